--- a/crates/constants/src/lib.rs
+++ b/crates/constants/src/lib.rs
@@ -76,7 +76,7 @@
 /// Share of the state service's request rate one node may use at most; nodes share the limit.
 pub const STATE_RPS_SHARE: f64 = 0.6;
 /// Share of the state service's request rate that all nodes together may spend on questions of users. What is left is
-/// for changes, the books, elections and watches.
+/// for changes, the leader's records, elections and watches.
 pub const QUESTION_SHARE: f64 = 0.5;
 /// Seconds' worth of its part of that that a node may spend at once.
 pub const QUESTION_BURST_S: f64 = 1.0;
@@ -85,7 +85,7 @@
 pub const CHANGE_READ_SHARE: f64 = 0.2;
 /// Seconds' worth of its part of that that a node may spend at once: as for writes, what came up during an outage.
 pub const CHANGE_READ_BURST_S: f64 = 2.0;
-/// Share of the state service's write rate that bookkeeping may use, the rest being for users; it takes less when the
+/// Share of the state service's write rate that the leader's records may use, the rest being for users; it takes less when the
 /// rate limit is hit.
 pub const STATE_WRITE_SHARE: f64 = 0.75;
 /// Share of the state service's write rate one node may spend on its users.
@@ -95,7 +95,7 @@
 pub const USER_WRITE_BURST: f64 = 0.6;
 /// Milliseconds to wait after the state service's rate limit was hit: it lets the next through within less.
 pub const RATE_RETRY_MS: u64 = 80;
-/// Share of its rate of writes that bookkeeping keeps each time the rate limit was hit: users' writes come first.
+/// Share of its rate of writes that the leader's records keep each time the rate limit was hit: users' writes come first.
 pub const STRAIN_CUT: f64 = 0.9;
 /// Share below which it does not fall by that.
 pub const STRAIN_LEAST: f64 = 0.5;
@@ -154,7 +154,7 @@
 pub const LOOKUP_RETRY_MS: u64 = 500;
 /// Bytes (a cautious guess of their JSON form) of records put in one transaction, of the 64 KiB allowed.
 pub const TXN_BYTES: usize = 40 * 1024;
-/// Transactions of bookkeeping on their way at a time.
+/// Transactions of the leader's records in flight at a time.
 pub const TXN_PARALLEL: usize = 3;
 
 /// Milliseconds after which a user's request that is still undecided is answered 503; users wait 2 s to 5 s.
@@ -172,7 +172,7 @@
 /// Versions of open jobs' records kept in memory (some 40 bytes each).
 pub const VERSION_CACHE: usize = 8_000;
 /// Open jobs in one message between controllers: 30 bytes each stay below a frame.
-pub const NEWS_MAX: usize = 1_500;
+pub const JOB_UPDATES_MAX: usize = 1_500;
 /// Seconds a refused user is told to wait.
 pub const RETRY_AFTER_S: u32 = 1;
 /// Questions of users in hand at a time, and as many submissions and cancellations; more are refused at once.
@@ -187,11 +187,11 @@
 /// Milliseconds added to every wait for a lease of another machine to run out.
 pub const LEASE_MARGIN_MS: u64 = 1_000;
 /// Starts in a row that a worker did not take until answers are held not to reach it.
-pub const UNHEARD_MAX: u32 = 3;
+pub const UNDELIVERED_STARTS_MAX: u32 = 3;
 /// Sessions in a row that end sooner than a lease after an answer until answers are held not to reach a worker.
-pub const UNHEARD_SESSIONS: u32 = 2;
+pub const EARLY_EXPIRIES_MAX: u32 = 2;
 /// Leases after which an empty machine that answers do not reach is given back: cuts are mostly shorter.
-pub const UNHEARD_LEASES: u64 = 4;
+pub const UNREACHABLE_LEASES: u64 = 4;
 /// Milliseconds a machine that is gone is remembered, so that late copies of its reports change nothing.
 pub const GONE_MS: u64 = 600_000;
 /// Orders in one answer to a worker: 400 of at most 120 bytes stay under the body limit.
@@ -202,7 +202,7 @@
 pub const KEEPALIVE_MARGIN_MS: u64 = 1_000;
 /// Reports answered at a time once the leader has read its records, of those that waited for it: all of a large fleet
 /// in one turn would keep users and the lease waiting for seconds.
-pub const PENDING_REPORTS_A_TURN: usize = 16;
+pub const PENDING_HEARTBEATS_PER_TURN: usize = 16;
 /// Milliseconds to wait for a worker's answer to a direct order.
 pub const ORDERS_TIMEOUT_MS: u64 = 2_000;
 /// Milliseconds between repeats of a `kill` for the same task.
@@ -238,11 +238,11 @@
 /// cut off just then costs the worker several seconds more.
 pub const HOLD_LEASE_SHARE: f64 = 1.0 / 12.0;
 /// Milliseconds a change of a job's record that nobody waits for may wait for one that somebody does.
-pub const LAZY_MS: u64 = 15_000;
+pub const DEFERRED_WRITE_MS: u64 = 15_000;
 /// Milliseconds that it may wait while other changes wait too: meanwhile it rides along where a record has room.
-pub const LAZY_MOST_MS: u64 = 60_000;
+pub const DEFERRED_WRITE_MAX_MS: u64 = 60_000;
 /// Records looked at for that in a transaction.
-pub const LAZY_RIDES: usize = 24;
+pub const DEFERRED_WRITES_PER_TRANSACTION: usize = 24;
 /// Milliseconds between steps of housekeeping (silent machines, fleet size).
 pub const HOUSEKEEPING_MS: u64 = 500;
 
@@ -371,10 +371,10 @@
 /// Milliseconds between the leader's counts of open jobs to its peers.
 pub const COUNTS_MS: u64 = 1_000;
 /// Milliseconds between beats to each peer.
-pub const PEER_BEAT_MS: u64 = 500;
+pub const PEER_HEARTBEAT_MS: u64 = 500;
 /// Milliseconds between two looks at the clock that prove that a node did not run: it is woken for every beat, and even
 /// the longest turns of a busy leader take a fraction of the rest.
-pub const STANDSTILL_MS: u64 = 2 * PEER_BEAT_MS;
+pub const STANDSTILL_MS: u64 = 2 * PEER_HEARTBEAT_MS;
 /// Milliseconds after which a peer's last beat says nothing about now.
 pub const PEER_FRESH_MS: u64 = 2_000;
 /// Milliseconds without the state service and without any peer after which a node tells the load balancer that it is not
--- a/crates/control/src/cloud.rs
+++ b/crates/control/src/cloud.rs
@@ -1,6 +1,6 @@
 //! Client of the cloud: within its call rate, returns ahead of rentals ahead of listings.
 
-use crate::mail::{CallError, CallId, Mail, Output, Target};
+use crate::effects::{CallError, CallId, Effects, Output, Target};
 use crate::requests::{CloudOp, CloudReply, CloudTag};
 use crate::token_bucket::TokenBucket;
 use constants::*;
@@ -10,7 +10,7 @@
 pub(crate) struct CloudClient {
     bucket: TokenBucket,
     queues: [VecDeque<(CloudOp, CloudTag)>; 4],
-    inflight: HashMap<CallId, (CloudOp, CloudTag)>,
+    in_flight: HashMap<CallId, (CloudOp, CloudTag)>,
     paused_until: u64,
     wake: Option<u64>,
 }
@@ -20,7 +20,7 @@
         CloudClient {
             bucket: TokenBucket::new(rps * 0.8, rps),
             queues: Default::default(),
-            inflight: HashMap::new(),
+            in_flight: HashMap::new(),
             paused_until: 0,
             wake: None,
         }
@@ -40,8 +40,8 @@
         self.queues = Default::default();
     }
 
-    pub fn pump(&mut self, next_call: &mut CallId, mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub fn pump(&mut self, next_call: &mut CallId, effects: &mut Effects) {
+        let now = effects.now.mono;
         self.wake = None;
         for queue in &mut self.queues {
             while !queue.is_empty() {
@@ -52,8 +52,8 @@
                 }
                 if let Some((op, tag)) = queue.pop_front() {
                     *next_call += 1;
-                    mail.out.push(call_of(&op, *next_call));
-                    self.inflight.insert(*next_call, (op, tag));
+                    effects.out.push(call_of(&op, *next_call));
+                    self.in_flight.insert(*next_call, (op, tag));
                 }
             }
         }
@@ -69,7 +69,7 @@
         call: CallId,
         result: &Result<(u16, Vec<u8>), CallError>,
     ) -> Option<(CloudTag, CloudOp, CloudReply)> {
-        let (op, tag) = self.inflight.remove(&call)?;
+        let (op, tag) = self.in_flight.remove(&call)?;
         let reply = read_reply(&op, result);
         if matches!(reply, CloudReply::Refused | CloudReply::Unknown) {
             self.paused_until = now + 1000;
--- a/crates/control/src/mail.rs
+++ b/crates/control/src/effects.rs
@@ -113,13 +113,13 @@
     },
 }
 
-/// News for the whole node.
+/// Something that concerns the whole node.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum News {
+pub(crate) enum NodeEvent {
     /// This node leads now.
     Elected { term: u64, version: u64 },
     /// This node leads no longer.
-    Deposed(&'static str),
+    SteppedDown(&'static str),
     /// A job is over for good.
     JobOver(String, Final),
     /// A user is about to be told that a job is cancelled.
@@ -136,20 +136,20 @@
 
 /// What an actor wants done by others once it returns.
 #[derive(Default)]
-pub(crate) struct Mail {
+pub(crate) struct Effects {
     pub now: Now,
     pub state: Vec<(Priority, StateOp, StateTag)>,
     pub cloud: Vec<(CloudOp, CloudTag)>,
-    pub news: Vec<News>,
+    pub events: Vec<NodeEvent>,
     pub out: Vec<Output>,
     pub direct: Vec<(String, Vec<u8>)>,
 }
 
-impl Mail {
+impl Effects {
     pub fn new(now: Now) -> Self {
-        Mail {
+        Effects {
             now,
-            ..Mail::default()
+            ..Effects::default()
         }
     }
 
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -1,10 +1,10 @@
 //! Who leads: a key under a lease, and a term that only grows, raised in the same guarded transaction.
 
-use crate::mail::{Mail, News};
+use crate::effects::{Effects, NodeEvent};
 use crate::requests::{ElectionStep, Priority, StateOp, StateReply, StateTag};
 use constants::*;
 use wire::records::{LeaderRecord, TermRecord, LEADER, TERM};
-use wire::state::{Guard, Item, Txn, Write};
+use wire::state::{Compare, Item, Txn, Write};
 
 /// What the node says of elections.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -14,7 +14,7 @@
     /// The feature level that its record names, if it may name one.
     pub level: Option<u32>,
     /// Conditions of its election besides those of every other: what it has read of the cluster's level still holds.
-    pub conditions: Vec<Guard>,
+    pub conditions: Vec<Compare>,
     /// Milliseconds for which a vacancy is left to newer builds.
     pub defer_ms: u64,
 }
@@ -114,7 +114,7 @@
     /// The process stood still until now. Replies that waited tell what was true when they were sent: a former leader
     /// would be taken for the present one, and a lease that may be over for our own. So the leader key is looked at, or
     /// the lease renewed, anew.
-    pub fn stood_still(&mut self, now: u64) {
+    pub fn on_stall(&mut self, now: u64) {
         self.resumed_at = now;
         self.next_at = now;
         self.busy_until = 0;
@@ -131,14 +131,14 @@
     }
 
     /// The leader stops as planned, and names us its successor: the vacancy is looked for until it is there.
-    pub fn on_handover(&mut self, from: &str, term: u64, mail: &mut Mail) {
+    pub fn on_handover(&mut self, from: &str, term: u64, effects: &mut Effects) {
         let leads = self.known.as_ref();
         let is_leader = leads.is_none_or(|(record, _)| record.node == from && record.term == term);
         if !is_leader || term < self.highest_term || self.leads().is_some() {
             return;
         }
         log::info!("event=named_successor by={from} term={term}");
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         let until = now + HANDOVER_MS;
         self.handover = Some(Handover { term, until });
         self.round += 1;
@@ -167,18 +167,18 @@
     }
 
     /// A peer knows of a term.
-    pub fn heard_term(&mut self, term: u64, mail: &mut Mail) {
+    pub fn heard_term(&mut self, term: u64, effects: &mut Effects) {
         self.highest_term = self.highest_term.max(term);
         if let Role::Leader { term: mine, .. } = self.role {
             if term > mine {
-                self.step_down("a peer knows a newer term", mail);
+                self.step_down("a peer knows a newer term", effects);
             }
         }
     }
 
     /// A peer that seems to have crashed: if it leads, its lease is ended for it, once a term. That is safe
     /// even when wrong (a filter between nodes refuses connections too): it would lose its place, no more.
-    pub fn peer_refuses(&mut self, label: &str, mail: &mut Mail) {
+    pub fn peer_refuses(&mut self, label: &str, effects: &mut Effects) {
         let Some((record, _)) = self.known.as_ref().filter(|(r, _)| r.node == label) else {
             return;
         };
@@ -189,18 +189,18 @@
         // Workers must not be sent there any more.
         let record = record.clone();
         self.known = None;
-        log::info!("event=leader_refuses node={label} term={}", record.term);
-        mail.state.push((
+        log::info!("event=leader_unreachable node={label} term={}", record.term);
+        effects.state.push((
             Priority::Leadership,
             StateOp::Revoke(lease),
             StateTag::Election(ElectionStep::Quit),
         ));
         // A successor that was named looks at once; the others leave it a moment.
-        let pause_ms = match self.is_named(mail.now.mono) {
+        let pause_ms = match self.is_named(effects.now.mono) {
             true => 0,
             false => STATE_RETRY_MS / 5 + self.rng.u64(..ELECTION_JITTER_MS),
         };
-        self.next_at = mail.now.mono + pause_ms;
+        self.next_at = effects.now.mono + pause_ms;
         self.busy_until = 0;
     }
 
@@ -210,31 +210,31 @@
     }
 
     /// Gives leadership up for a while, for a reason the others don't share.
-    pub fn resign(&mut self, why: &'static str, mail: &mut Mail) {
+    pub fn resign(&mut self, why: &'static str, effects: &mut Effects) {
         if let Role::Leader { lease, .. } = self.role {
-            mail.state.push((
+            effects.state.push((
                 Priority::Leadership,
                 StateOp::Revoke(lease),
                 StateTag::Election(ElectionStep::Quit),
             ));
-            self.paused_until = mail.now.mono + RESIGN_PAUSE_MS;
-            self.step_down(why, mail);
+            self.paused_until = effects.now.mono + RESIGN_PAUSE_MS;
+            self.step_down(why, effects);
         }
     }
 
-    fn step_down(&mut self, why: &'static str, mail: &mut Mail) {
+    fn step_down(&mut self, why: &'static str, effects: &mut Effects) {
         self.role = Role::Follower;
         self.round += 1;
         self.busy_until = 0;
         self.known = None;
-        self.next_at = mail.now.mono + LEADER_POLL_MS;
-        mail.news.push(News::Deposed(why));
+        self.next_at = effects.now.mono + LEADER_POLL_MS;
+        effects.events.push(NodeEvent::SteppedDown(why));
     }
 
-    /// The books found the leader key gone or changed.
-    pub fn fenced(&mut self, mail: &mut Mail) {
+    /// A transaction found the leader key gone or changed.
+    pub fn fenced(&mut self, effects: &mut Effects) {
         if self.leads().is_some() {
-            self.step_down("the leader key is not ours any more", mail);
+            self.step_down("the leader key is not ours any more", effects);
         }
     }
 
@@ -242,14 +242,15 @@
         self.next_at.max(self.busy_until)
     }
 
-    fn ask(&mut self, op: StateOp, step: ElectionStep, mail: &mut Mail) {
-        self.busy_until = mail.now.mono + 3 * STATE_TIMEOUT_MS;
-        mail.state
+    fn ask(&mut self, op: StateOp, step: ElectionStep, effects: &mut Effects) {
+        self.busy_until = effects.now.mono + 3 * STATE_TIMEOUT_MS;
+        effects
+            .state
             .push((Priority::Leadership, op, StateTag::Election(step)));
     }
 
-    pub fn tick(&mut self, mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub fn tick(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
         if now < self.next_at || now < self.busy_until {
             return;
         }
@@ -257,7 +258,11 @@
             Role::Leader { term, lease, .. } => {
                 let (term, lease) = (*term, *lease);
                 self.next_at = now + LEADER_RENEW_MS;
-                self.ask(StateOp::Renew(lease), ElectionStep::Renew(term, now), mail);
+                self.ask(
+                    StateOp::Renew(lease),
+                    ElectionStep::Renew(term, now),
+                    effects,
+                );
                 self.busy_until = now + LEADER_RENEW_MS;
             }
             _ => {
@@ -275,33 +280,37 @@
                 };
                 self.next_at = now + pause;
                 let round = self.round;
-                self.ask(StateOp::Get(LEADER.into()), ElectionStep::Poll(round), mail);
+                self.ask(
+                    StateOp::Get(LEADER.into()),
+                    ElectionStep::Poll(round),
+                    effects,
+                );
             }
         }
     }
 
-    fn again(&mut self, mail: &Mail) {
+    fn again(&mut self, effects: &Effects) {
         self.busy_until = 0;
-        self.next_at = mail.now.mono + LEADER_POLL_MS / 2 + self.rng.u64(..ELECTION_JITTER_MS);
+        self.next_at = effects.now.mono + LEADER_POLL_MS / 2 + self.rng.u64(..ELECTION_JITTER_MS);
     }
 
-    pub fn on_reply(&mut self, step: ElectionStep, reply: StateReply, mail: &mut Mail) {
+    pub fn on_reply(&mut self, step: ElectionStep, reply: StateReply, effects: &mut Effects) {
         match step {
             ElectionStep::Quit => {}
-            ElectionStep::Renew(term, sent) => self.on_renewal(term, sent, &reply, mail),
+            ElectionStep::Renew(term, sent) => self.on_renewal(term, sent, &reply, effects),
             ElectionStep::Poll(r)
             | ElectionStep::Term(r)
             | ElectionStep::Grant(r)
             | ElectionStep::Run(r)
                 if r != self.round => {}
-            ElectionStep::Poll(_) => self.on_poll(reply, mail),
-            ElectionStep::Term(_) => self.on_term(reply, mail),
-            ElectionStep::Grant(_) => self.on_grant(reply, mail),
-            ElectionStep::Run(_) => self.on_run(reply, mail),
+            ElectionStep::Poll(_) => self.on_poll(reply, effects),
+            ElectionStep::Term(_) => self.on_term(reply, effects),
+            ElectionStep::Grant(_) => self.on_grant(reply, effects),
+            ElectionStep::Run(_) => self.on_run(reply, effects),
         }
     }
 
-    fn on_renewal(&mut self, of: u64, sent: u64, reply: &StateReply, mail: &mut Mail) {
+    fn on_renewal(&mut self, of: u64, sent: u64, reply: &StateReply, effects: &mut Effects) {
         let Role::Leader { term, renewed, .. } = &mut self.role else {
             return;
         };
@@ -309,17 +318,17 @@
             return;
         }
         match reply {
-            // Nothing from before a standstill makes the lease hold again.
+            // Nothing from before a stall makes the lease hold again.
             StateReply::Renewed if sent < self.resumed_at => {}
             StateReply::Renewed => *renewed = (*renewed).max(sent),
-            StateReply::NoLease => self.step_down("the lease ran out", mail),
+            StateReply::NoLease => self.step_down("the lease ran out", effects),
             _ => {}
         }
     }
 
-    fn on_poll(&mut self, reply: StateReply, mail: &mut Mail) {
+    fn on_poll(&mut self, reply: StateReply, effects: &mut Effects) {
         self.busy_until = 0;
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         match reply {
             StateReply::Item(item) => {
                 let Ok(record) = item.value.deserialized::<LeaderRecord>() else {
@@ -339,17 +348,17 @@
                     self.known = Some((record, now));
                     self.known_lease = item.lease;
                 } else if record.boot == self.boot {
-                    self.found_ourselves(record, &item, mail);
+                    self.found_ourselves(record, &item, effects);
                 } else if self.may_stand(now) {
                     // Our own earlier process, which is gone: nobody needs to wait for its lease.
-                    self.stand(item.version, mail);
+                    self.stand(item.version, effects);
                 }
             }
             StateReply::Missing if self.may_stand(now) => {
                 self.known = None;
                 let since = *self.vacant_since.get_or_insert(now);
                 if self.is_named(now) || now >= since + self.rules.defer_ms {
-                    self.stand(0, mail);
+                    self.stand(0, effects);
                 }
             }
             StateReply::Missing => self.known = None,
@@ -362,7 +371,7 @@
     }
 
     /// The answer to our candidacy was lost, but it succeeded.
-    fn found_ourselves(&mut self, record: LeaderRecord, item: &Item, mail: &mut Mail) {
+    fn found_ourselves(&mut self, record: LeaderRecord, item: &Item, effects: &mut Effects) {
         let lease = match self.role {
             Role::Candidate {
                 lease: Some(lease),
@@ -372,35 +381,39 @@
             _ => None,
         };
         match lease {
-            Some(lease) => self.win(record.term, lease, item.version, mail),
-            None => self.stand(item.version, mail),
+            Some(lease) => self.win(record.term, lease, item.version, effects),
+            None => self.stand(item.version, effects),
         }
     }
 
-    fn stand(&mut self, lead_version: u64, mail: &mut Mail) {
+    fn stand(&mut self, lead_version: u64, effects: &mut Effects) {
         self.role = Role::Candidate {
             lead_version,
             term: 0,
             term_version: 0,
             last_term: None,
             lease: None,
-            since: mail.now.mono,
+            since: effects.now.mono,
         };
         let round = self.round;
-        self.ask(StateOp::Get(TERM.into()), ElectionStep::Term(round), mail);
+        self.ask(
+            StateOp::Get(TERM.into()),
+            ElectionStep::Term(round),
+            effects,
+        );
     }
 
-    fn on_term(&mut self, reply: StateReply, mail: &mut Mail) {
+    fn on_term(&mut self, reply: StateReply, effects: &mut Effects) {
         let (record, version) = match reply {
             StateReply::Item(item) => match item.value.deserialized::<TermRecord>() {
                 Ok(record) => (Some(record), item.version),
                 Err(_) => {
                     log::error!("event=term_record_unreadable version={}", item.version);
-                    return self.again(mail);
+                    return self.again(effects);
                 }
             },
             StateReply::Missing => (None, 0),
-            _ => return self.again(mail),
+            _ => return self.again(effects),
         };
         let last = record.as_ref().map_or(0, |r| r.term);
         let next = last.max(self.highest_term) + 1;
@@ -415,13 +428,17 @@
             *last_term = record;
             let round = self.round;
             let ttl_ms = LEADER_LEASE_MS;
-            self.ask(StateOp::Grant { ttl_ms }, ElectionStep::Grant(round), mail);
+            self.ask(
+                StateOp::Grant { ttl_ms },
+                ElectionStep::Grant(round),
+                effects,
+            );
         }
     }
 
-    fn on_grant(&mut self, reply: StateReply, mail: &mut Mail) {
+    fn on_grant(&mut self, reply: StateReply, effects: &mut Effects) {
         let StateReply::Granted(id) = reply else {
-            return self.again(mail);
+            return self.again(effects);
         };
         let Role::Candidate {
             lead_version,
@@ -434,8 +451,8 @@
         else {
             return;
         };
-        if mail.now.mono > *since + ELECTION_STALE_MS {
-            return self.again(mail);
+        if effects.now.mono > *since + ELECTION_STALE_MS {
+            return self.again(effects);
         }
         *lease = Some(id);
         let record = LeaderRecord {
@@ -452,13 +469,13 @@
             },
             None => TermRecord::new(*term),
         };
-        let mut guards = vec![
-            Guard::new(LEADER, *lead_version),
-            Guard::new(TERM, *term_version),
+        let mut compares = vec![
+            Compare::new(LEADER, *lead_version),
+            Compare::new(TERM, *term_version),
         ];
-        guards.extend(self.rules.conditions.iter().cloned());
+        compares.extend(self.rules.conditions.iter().cloned());
         let txn = Txn {
-            guards,
+            compares,
             writes: vec![
                 Write::Put {
                     key: LEADER.into(),
@@ -468,12 +485,12 @@
                 Write::put(TERM, &next_term),
             ],
         };
-        *since = mail.now.mono;
+        *since = effects.now.mono;
         let round = self.round;
-        self.ask(StateOp::Txn(txn), ElectionStep::Run(round), mail);
+        self.ask(StateOp::Txn(txn), ElectionStep::Run(round), effects);
     }
 
-    fn on_run(&mut self, reply: StateReply, mail: &mut Mail) {
+    fn on_run(&mut self, reply: StateReply, effects: &mut Effects) {
         let Role::Candidate {
             term,
             lease: Some(lease),
@@ -483,22 +500,22 @@
             return;
         };
         match reply {
-            StateReply::Committed { version } => self.win(term, lease, version, mail),
+            StateReply::Committed { version } => self.win(term, lease, version, effects),
             StateReply::Unknown => {
                 // The role is kept: the next poll may find that we were elected.
-                self.again(mail);
+                self.again(effects);
             }
             StateReply::Conflict { failed } if self.was_outdated(&failed) => {
                 // A controller has announced itself meanwhile, most often: the level is read again first.
                 self.role = Role::Follower;
                 self.rules.may_stand = false;
-                mail.news.push(News::LevelChanged);
-                self.next_at = mail.now.mono + HANDOVER_POLL_MS;
+                effects.events.push(NodeEvent::LevelChanged);
+                self.next_at = effects.now.mono + HANDOVER_POLL_MS;
                 self.busy_until = 0;
             }
             _ => {
                 self.role = Role::Follower;
-                self.again(mail);
+                self.again(effects);
             }
         }
     }
@@ -509,7 +526,7 @@
         conditions.any(|guard| failed.contains(&guard.key))
     }
 
-    fn win(&mut self, term: u64, lease: u64, version: u64, mail: &mut Mail) {
+    fn win(&mut self, term: u64, lease: u64, version: u64, effects: &mut Effects) {
         // The lease may have been granted a while ago: it counts as fresh only once it is renewed.
         self.role = Role::Leader {
             term,
@@ -522,9 +539,9 @@
         self.handover = None;
         self.round += 1;
         self.busy_until = 0;
-        self.next_at = mail.now.mono;
-        mail.news.push(News::Elected { term, version });
-        self.tick(mail);
+        self.next_at = effects.now.mono;
+        effects.events.push(NodeEvent::Elected { term, version });
+        self.tick(effects);
     }
 }
 
--- a/crates/control/src/election/tests.rs
+++ b/crates/control/src/election/tests.rs
@@ -1,25 +1,25 @@
 use super::*;
-use crate::mail::Now;
+use crate::effects::Now;
 
-fn mail(mono: u64) -> Mail {
-    Mail::new(Now { mono, unix: mono })
+fn effects(mono: u64) -> Effects {
+    Effects::new(Now { mono, unix: mono })
 }
 
 /// A node that has just been elected and has sent its first renewal.
 fn elected(at: u64) -> Election {
     let mut election = Election::new("n0", 7);
-    let mut mail = mail(at);
-    election.tick(&mut mail);
+    let mut effects = effects(at);
+    election.tick(&mut effects);
     let round = election.round;
-    election.on_reply(ElectionStep::Poll(round), StateReply::Missing, &mut mail);
-    election.on_reply(ElectionStep::Term(round), StateReply::Missing, &mut mail);
+    election.on_reply(ElectionStep::Poll(round), StateReply::Missing, &mut effects);
+    election.on_reply(ElectionStep::Term(round), StateReply::Missing, &mut effects);
     election.on_reply(
         ElectionStep::Grant(round),
         StateReply::Granted(1),
-        &mut mail,
+        &mut effects,
     );
     let committed = StateReply::Committed { version: 1 };
-    election.on_reply(ElectionStep::Run(round), committed, &mut mail);
+    election.on_reply(ElectionStep::Run(round), committed, &mut effects);
     assert_eq!(election.leads(), Some(1));
     election
 }
@@ -33,12 +33,12 @@
         election.on_reply(
             ElectionStep::Renew(1, sent),
             StateReply::Renewed,
-            &mut mail(resumed),
+            &mut effects(resumed),
         );
     };
     renewed(&mut election, sent);
     assert!(election.lease_holds(resumed));
-    election.stood_still(resumed);
+    election.on_stall(resumed);
     assert!(!election.lease_holds(resumed));
     renewed(&mut election, sent);
     assert!(!election.lease_holds(resumed), "sent before it");
--- a/crates/control/src/forwarding.rs
+++ b/crates/control/src/forwarding.rs
@@ -4,7 +4,7 @@
 //! that workers do not reach. Each side numbers its requests itself: the sender with calls, the peer with request ids
 //! that are kept apart from those of its own sockets.
 
-use crate::mail::{Mail, Output, RequestId};
+use crate::effects::{Effects, Output, RequestId};
 use constants::{
     DEADLINE_CHECK_MS, REPORT_FORWARD_MS, RETRY_AFTER_S, USER_DEADLINE_MS, USER_INFLIGHT,
 };
@@ -75,8 +75,8 @@
     }
 
     /// Refuses the requests that peers have not answered in time.
-    pub fn tick(&mut self, mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub fn tick(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
         let is_late = |pending: &PendingCall| now > pending.deadline;
         let late_calls: Vec<u64> = self
             .pending
@@ -86,26 +86,26 @@
             .collect();
         for call in late_calls {
             if let Some(late) = self.pending.remove(&call) {
-                mail.refuse(late.request, 503, "no answer from the peer");
+                effects.refuse(late.request, 503, "no answer from the peer");
             }
         }
     }
 
     /// Refuses everything that peers have not answered yet.
-    pub fn refuse_all(&mut self, reason: &str, mail: &mut Mail) {
+    pub fn refuse_all(&mut self, reason: &str, effects: &mut Effects) {
         for (_, pending) in self.pending.drain() {
-            mail.refuse(pending.request, 503, reason);
+            effects.refuse(pending.request, 503, reason);
         }
     }
 
     /// Passes a request of ours to a peer.
-    pub fn forward(&mut self, request: HttpRequest, peer: String, mail: &mut Mail) {
-        self.forward_within(request, peer, USER_INFLIGHT, mail);
+    pub fn forward(&mut self, request: HttpRequest, peer: String, effects: &mut Effects) {
+        self.forward_within(request, peer, USER_INFLIGHT, effects);
     }
 
     /// The same for a worker's report that its owner passes on: as many may be in hand as workers are connected.
-    pub fn forward_report(&mut self, request: HttpRequest, leader: String, mail: &mut Mail) {
-        self.forward_within(request, leader, usize::MAX, mail);
+    pub fn forward_report(&mut self, request: HttpRequest, leader: String, effects: &mut Effects) {
+        self.forward_within(request, leader, usize::MAX, effects);
     }
 
     fn forward_within(
@@ -113,10 +113,10 @@
         request: HttpRequest,
         peer: String,
         capacity: usize,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
         if self.pending.len() >= capacity {
-            return mail.refuse(request.id, 503, "too many requests in hand");
+            return effects.refuse(request.id, 503, "too many requests in hand");
         }
         let timeout_ms = if request.target == REPORT_PATH {
             REPORT_FORWARD_MS
@@ -127,10 +127,10 @@
         let pending = PendingCall {
             request: request.id,
             peer: peer.clone(),
-            deadline: mail.now.mono + timeout_ms,
+            deadline: effects.now.mono + timeout_ms,
         };
         self.pending.insert(self.last_call, pending);
-        mail.out.push(Output::Peer {
+        effects.out.push(Output::Peer {
             to: Some(peer),
             message: PeerMessage::Forward {
                 call: self.last_call,
@@ -148,14 +148,14 @@
         call: u64,
         status: u16,
         body: Vec<u8>,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
         // Answers to an earlier process of ours, or of another peer, are about something else.
         if self.pending.get(&call).is_none_or(|p| p.peer != from) {
             return;
         }
         if let Some(pending) = self.pending.remove(&call) {
-            mail.out.push(Output::Respond {
+            effects.out.push(Output::Respond {
                 id: pending.request,
                 status,
                 retry_after_s: matches!(status, 429 | 503).then_some(RETRY_AFTER_S),
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -2,11 +2,11 @@
 //! unless the answer is final.
 
 mod absence;
+mod dependency_state;
 mod proofs;
 mod records;
-mod walk;
 
-use crate::mail::{Mail, News, RequestId};
+use crate::effects::{Effects, NodeEvent, RequestId};
 use crate::recent_map::RecentMap;
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use crate::settings::{Limits, StateLimits, Team};
@@ -14,9 +14,9 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 use wire::cloud::MachineType;
-use wire::peers::JobNews;
+use wire::peers::JobUpdate;
 use wire::records::{final_key, job_key, Final, JobRecord, JOBS};
-use wire::state::{Guard, Txn, Write};
+use wire::state::{Compare, Txn, Write};
 use wire::users::*;
 
 /// What a user wants, and how far it has come.
@@ -57,7 +57,7 @@
     Checking,
 }
 
-struct Ticket {
+struct PendingRequest {
     request: RequestId,
     id: String,
     want: Want,
@@ -66,7 +66,7 @@
     /// Records whose versions are still to be proven: its own and those of jobs before it.
     todo: Option<Keys>,
     /// A job before it is cancelled.
-    doomed: bool,
+    dependency_cancelled: bool,
 }
 
 /// Records with the versions that they are to have.
@@ -89,13 +89,13 @@
 struct Proof {
     number: u64,
     keys: Keys,
-    tickets: Vec<u64>,
+    pending_requests: Vec<u64>,
 }
 
 pub(crate) struct Gateway {
     teams: Vec<Team>,
     types: Option<Vec<MachineType>>,
-    tickets: HashMap<u64, Ticket>,
+    pending_requests: HashMap<u64, PendingRequest>,
     /// How many of them are submissions and cancellations.
     changes: usize,
     next: u64,
@@ -112,7 +112,7 @@
     next_proof: u64,
     proofs: u64,
     proof_guards: usize,
-    unheard: absence::Unheard,
+    unheard: absence::UnknownIds,
     /// Limits of the state service today, and what holds at any time.
     now: Limits,
     least: Limits,
@@ -125,7 +125,7 @@
         Gateway {
             teams,
             types: None,
-            tickets: HashMap::new(),
+            pending_requests: HashMap::new(),
             changes: 0,
             next: 0,
             finals: RecentMap::new(FINAL_CACHE),
@@ -138,7 +138,7 @@
             proofs: 0,
             // The protocol allows four times as many conditions as writes.
             proof_guards: 4 * limits.least().txn_ops,
-            unheard: absence::Unheard::default(),
+            unheard: absence::UnknownIds::default(),
             now: limits.now(),
             least: limits.least(),
             upgraded: false,
@@ -185,7 +185,7 @@
         path: &str,
         body: &[u8],
         up: bool,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
         let rest = path.strip_prefix("/submissions").unwrap_or_default();
         let (want, id) = match (method, rest) {
@@ -193,10 +193,10 @@
                 Ok(read) => read,
                 Err(why) => {
                     log::info!("event=job_refused status=400 why={why:?}");
-                    return mail.refuse(request, 400, &why);
+                    return effects.refuse(request, 400, &why);
                 }
             },
-            (_, "") => return mail.refuse(request, 405, "method not allowed"),
+            (_, "") => return effects.refuse(request, 405, "method not allowed"),
             _ => {
                 let name = rest.strip_prefix('/').unwrap_or_default();
                 let (name, abort) = match name.strip_suffix("/abort") {
@@ -206,34 +206,34 @@
                 match (method, abort) {
                     ("GET", false) => (Want::Status, name.to_string()),
                     ("POST", true) => (Want::Abort, name.to_string()),
-                    _ => return mail.refuse(request, 405, "method not allowed"),
+                    _ => return effects.refuse(request, 405, "method not allowed"),
                 }
             }
         };
         if !is_job_id(&id) {
-            return mail.refuse(request, 404, "no such job");
+            return effects.refuse(request, 404, "no such job");
         }
         if let Some(end) = self.known_final(&id) {
-            return self.answer_final(request, &id, end, mail);
+            return self.answer_final(request, &id, end, effects);
         }
         if !up {
-            return mail.refuse(request, 503, "the state service does not answer");
+            return effects.refuse(request, 503, "the state service does not answer");
         }
         let changes = want.is_change();
         // Counted apart: questions come in floods, and with one count for both they kept submissions and cancellations
         // from being taken at all.
         let in_hand = match changes {
             true => self.changes,
-            false => self.tickets.len() - self.changes,
+            false => self.pending_requests.len() - self.changes,
         };
         if in_hand >= USER_INFLIGHT {
-            return mail.refuse(request, 503, "too many requests in hand");
+            return effects.refuse(request, 503, "too many requests in hand");
         }
         let create = matches!(&want, Want::Submit { refusal: None, .. });
         let heard = self.version_of(&id).is_some();
         let searches = !create && !heard;
         if searches && self.has_too_many_unheard(changes) {
-            return mail.refuse(request, 503, "too many requests about unknown ids");
+            return effects.refuse(request, 503, "too many requests about unknown ids");
         }
         self.next += 1;
         let needs = match &want {
@@ -248,40 +248,40 @@
             (_, _, true) => Stage::Searching,
             _ => Stage::Open,
         };
-        let since = mail.now.mono;
-        let ticket = Ticket {
+        let since = effects.now.mono;
+        let pending = PendingRequest {
             request,
             id,
             want,
             stage,
             since,
             todo: None,
-            doomed: false,
+            dependency_cancelled: false,
         };
-        self.tickets.insert(self.next, ticket);
+        self.pending_requests.insert(self.next, pending);
         self.changes += usize::from(changes);
         if proves {
             self.proving.push_back(self.next);
         } else if searches {
             self.start_search(self.next, changes);
         } else if create && needs {
-            self.go_on_creating(self.next, mail);
+            self.go_on_creating(self.next, effects);
         } else {
-            self.send(self.next, mail);
+            self.send(self.next, effects);
         }
     }
 
     /// Whether a request that was turned away may be tried again before its user is told to come back.
     fn may_wait(&self, number: u64, now: u64) -> bool {
-        let ticket = self.tickets.get(&number);
-        ticket.is_some_and(|t| now < t.since + USER_RETRY_MS)
+        let pending = self.pending_requests.get(&number);
+        pending.is_some_and(|t| now < t.since + USER_RETRY_MS)
     }
 
     /// Answers about a job that was found open. What has become certain while that was on its way goes first: another
     /// node may have told its user.
-    fn answer_open(&self, request: RequestId, id: &str, aborted: bool, mail: &mut Mail) {
+    fn answer_open(&self, request: RequestId, id: &str, aborted: bool, effects: &mut Effects) {
         if let Some(end) = self.known_final(id) {
-            return self.answer_final(request, id, end, mail);
+            return self.answer_final(request, id, end, effects);
         }
         let counts = self.counts.get(id).copied().unwrap_or_default();
         let (phase, counts) = match (aborted, counts.1 > 0) {
@@ -289,7 +289,7 @@
             (false, true) => (Phase::Running, Some(counts)),
             (false, false) => (Phase::Queued, Some(counts)),
         };
-        mail.respond(request, 200, status_body(id, phase, counts));
+        effects.respond(request, 200, status_body(id, phase, counts));
     }
 
     fn read_submission(&self, body: &[u8]) -> Result<(Want, String), String> {
@@ -350,105 +350,106 @@
         (!fits).then(|| (422, "a task fits no allowed machine type".into()))
     }
 
-    /// Sends the request that the ticket's stage needs.
-    fn send(&mut self, number: u64, mail: &mut Mail) {
-        let Some(ticket) = self.tickets.get(&number) else {
+    /// Sends the request that the pending request's stage needs.
+    fn send(&mut self, number: u64, effects: &mut Effects) {
+        let Some(pending) = self.pending_requests.get(&number) else {
             return;
         };
-        let op = match (&ticket.stage, &ticket.want) {
+        let op = match (&pending.stage, &pending.want) {
             (Stage::Creating, Want::Submit { spec: Some(s), .. }) => {
-                let writes = match self.draft(s, mail.now.unix) {
+                let writes = match self.draft(s, effects.now.unix) {
                     Ok(writes) => writes,
-                    Err(why) => return self.refuse(number, 400, &why, mail),
+                    Err(why) => return self.refuse(number, 400, &why, effects),
                 };
-                let mut guards = vec![
-                    Guard::new(job_key(&ticket.id), 0),
-                    Guard::new(final_key(&ticket.id), 0),
+                let mut compares = vec![
+                    Compare::new(job_key(&pending.id), 0),
+                    Compare::new(final_key(&pending.id), 0),
                 ];
-                let before = ticket.todo.iter().flatten();
-                guards.extend(before.map(|(id, version)| Guard::new(job_key(id), *version)));
-                StateOp::Txn(Txn { guards, writes })
+                let before = pending.todo.iter().flatten();
+                compares.extend(before.map(|(id, version)| Compare::new(job_key(id), *version)));
+                StateOp::Txn(Txn { compares, writes })
             }
             (Stage::Checking, _) => {
-                let before = ticket.todo.iter().flatten().take(self.proof_guards);
-                let guards = before.map(|(id, version)| Guard::new(job_key(id), *version));
+                let before = pending.todo.iter().flatten().take(self.proof_guards);
+                let compares = before.map(|(id, version)| Compare::new(job_key(id), *version));
                 StateOp::Txn(Txn {
-                    guards: guards.collect(),
+                    compares: compares.collect(),
                     writes: Vec::new(),
                 })
             }
             (Stage::Looking { id, last: false }, _) => StateOp::Get(job_key(id)),
             (Stage::Looking { id, last: true }, _) => StateOp::Get(final_key(id)),
-            (Stage::Final, _) => StateOp::Get(final_key(&ticket.id)),
-            _ => StateOp::Get(job_key(&ticket.id)),
+            (Stage::Final, _) => StateOp::Get(final_key(&pending.id)),
+            _ => StateOp::Get(job_key(&pending.id)),
         };
-        let priority = match (&op, ticket.want.is_change()) {
+        let priority = match (&op, pending.want.is_change()) {
             (StateOp::Txn(_), _) => Priority::Change,
             (_, true) => Priority::ChangeRead,
             (_, false) => Priority::Question,
         };
-        mail.state.push((priority, op, StateTag::User(number)));
+        effects.state.push((priority, op, StateTag::User(number)));
     }
 
     /// A request is about to be answered.
-    fn close(&mut self, number: u64) -> Option<Ticket> {
-        let ticket = self.tickets.remove(&number)?;
-        self.changes -= usize::from(ticket.want.is_change());
-        Some(ticket)
+    fn close(&mut self, number: u64) -> Option<PendingRequest> {
+        let pending = self.pending_requests.remove(&number)?;
+        self.changes -= usize::from(pending.want.is_change());
+        Some(pending)
     }
 
-    fn refuse(&mut self, number: u64, status: u16, why: &str, mail: &mut Mail) {
-        if let Some(ticket) = self.close(number) {
-            mail.refuse(ticket.request, status, why);
+    fn refuse(&mut self, number: u64, status: u16, why: &str, effects: &mut Effects) {
+        if let Some(pending) = self.close(number) {
+            effects.refuse(pending.request, status, why);
         }
     }
 
-    fn go(&mut self, number: u64, stage: Stage, mail: &mut Mail) {
-        if let Some(ticket) = self.tickets.get_mut(&number) {
-            ticket.stage = stage;
+    fn go(&mut self, number: u64, stage: Stage, effects: &mut Effects) {
+        if let Some(pending) = self.pending_requests.get_mut(&number) {
+            pending.stage = stage;
         }
-        self.send(number, mail);
+        self.send(number, effects);
     }
 
-    pub fn on_reply(&mut self, number: u64, reply: StateReply, mail: &mut Mail) {
-        let Some(ticket) = self.tickets.get(&number) else {
+    pub fn on_reply(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
+        let Some(pending) = self.pending_requests.get(&number) else {
             return;
         };
-        let late = mail.now.mono > ticket.since + USER_DEADLINE_MS;
-        match (&ticket.stage, reply) {
+        let late = effects.now.mono > pending.since + USER_DEADLINE_MS;
+        match (&pending.stage, reply) {
             (Stage::Creating, StateReply::Committed { version }) => {
                 if let Some(t) = self.close(number) {
-                    let took_ms = mail.now.mono.saturating_sub(t.since);
+                    let took_ms = effects.now.mono.saturating_sub(t.since);
                     let needs = match t.want {
                         Want::Submit { spec: Some(s), .. } => s.needs,
                         _ => Vec::new(),
                     };
                     log::info!(
-                        "event=job_accepted job={} took_ms={took_ms} needs={} doomed={}",
+                        "event=job_accepted job={} took_ms={took_ms} needs={} dependency_cancelled={}",
                         t.id,
                         needs.len(),
-                        t.doomed
+                        t.dependency_cancelled
                     );
                     if !needs.is_empty() && !self.upgraded {
-                        mail.news
-                            .push(News::Proven("a submission that needs others"));
+                        effects
+                            .events
+                            .push(NodeEvent::Proven("a submission that needs others"));
                     }
                     self.remember_version(&t.id, version, false, &needs);
                     // A repeat at another node may have been answered, and the job cancelled, before this came back.
-                    let phase = match (self.known_final(&t.id), t.doomed) {
+                    let phase = match (self.known_final(&t.id), t.dependency_cancelled) {
                         (Some(Final::Done), _) => Phase::Done,
                         (Some(Final::Aborted), _) | (None, true) => Phase::Aborted,
                         (None, false) => Phase::Queued,
                     };
-                    mail.respond(t.request, 201, status_body(&t.id, phase, None));
+                    effects.respond(t.request, 201, status_body(&t.id, phase, None));
                 }
             }
             (Stage::Aborting, StateReply::Committed { version }) => {
                 if let Some(t) = self.close(number) {
                     log::info!("event=job_aborted job={}", t.id);
                     self.remember_version(&t.id, version, true, &[]);
-                    mail.news.push(News::Aborted(t.id.clone()));
-                    mail.respond(t.request, 200, status_body(&t.id, Phase::Aborted, None));
+                    effects.events.push(NodeEvent::Aborted(t.id.clone()));
+                    effects.respond(t.request, 200, status_body(&t.id, Phase::Aborted, None));
                 }
             }
             // Certainly not executed; most often the rate limit that all nodes share.
@@ -459,91 +460,94 @@
                 | Stage::Checking
                 | Stage::Looking { .. },
                 StateReply::Refused,
-            ) if self.may_wait(number, mail.now.mono) => {
-                self.send(number, mail);
+            ) if self.may_wait(number, effects.now.mono) => {
+                self.send(number, effects);
             }
             (_, StateReply::Refused) => {
-                self.refuse(number, 503, "the state service refuses", mail);
+                self.refuse(number, 503, "the state service refuses", effects);
             }
             // A size that only the limits to come explain: they have come, and the record is written for them.
             (Stage::Creating, StateReply::Invalid)
                 if !self.upgraded && self.is_larger_than_least(number) =>
             {
                 self.upgraded = true;
-                mail.news
-                    .push(News::Proven("a submission that only new limits refuse"));
-                self.send(number, mail);
+                effects.events.push(NodeEvent::Proven(
+                    "a submission that only new limits refuse",
+                ));
+                self.send(number, effects);
             }
             (_, StateReply::Invalid) => {
-                log::error!("event=user_request_invalid job={}", ticket.id);
-                self.refuse(number, 503, "the state service can't take this", mail);
+                log::error!("event=user_request_invalid job={}", pending.id);
+                self.refuse(number, 503, "the state service can't take this", effects);
             }
-            _ if late => self.refuse(number, 503, "not decided in time", mail),
+            _ if late => self.refuse(number, 503, "not decided in time", effects),
             (Stage::Creating | Stage::Checking, StateReply::Conflict { failed })
                 if !failed.iter().any(|k| self.is_own_key(number, k)) =>
             {
-                self.before_changed(number, &failed, mail);
+                self.before_changed(number, &failed, effects);
             }
-            (Stage::Checking, StateReply::Committed { .. }) => self.checked(number, mail),
-            (Stage::Looking { .. }, reply) => self.looked(number, reply, mail),
+            (Stage::Checking, StateReply::Committed { .. }) => self.checked(number, effects),
+            (Stage::Looking { .. }, reply) => self.looked(number, reply, effects),
             // Unknown outcome or a conflict: what is recorded decides.
-            (Stage::Creating | Stage::Aborting, _) => self.go(number, Stage::Open, mail),
+            (Stage::Creating | Stage::Aborting, _) => self.go(number, Stage::Open, effects),
             (Stage::Open, StateReply::Item(item)) => match item.value.deserialized::<JobRecord>() {
-                Ok(record) => self.found_open(number, record, item.version, mail),
-                Err(_) => self.refuse(number, 503, "unreadable record", mail),
+                Ok(record) => self.found_open(number, record, item.version, effects),
+                Err(_) => self.refuse(number, 503, "unreadable record", effects),
             },
-            (Stage::Open, StateReply::Missing) => self.go(number, Stage::Final, mail),
+            (Stage::Open, StateReply::Missing) => self.go(number, Stage::Final, effects),
             (Stage::Final, StateReply::Item(item)) => match item.value.deserialized::<Final>() {
                 Ok(end) => {
                     if let Some(t) = self.close(number) {
-                        self.answer_final(t.request, &t.id, end, mail);
+                        self.answer_final(t.request, &t.id, end, effects);
                         self.remember_final(t.id, end);
                     }
                 }
-                Err(_) => self.refuse(number, 503, "unreadable record", mail),
+                Err(_) => self.refuse(number, 503, "unreadable record", effects),
             },
-            (Stage::Final, StateReply::Missing) => self.found_nothing(number, mail),
-            _ => self.refuse(number, 503, "the state service does not answer", mail),
+            (Stage::Final, StateReply::Missing) => self.found_nothing(number, effects),
+            _ => self.refuse(number, 503, "the state service does not answer", effects),
         }
     }
 
-    fn found_open(&mut self, number: u64, record: JobRecord, version: u64, mail: &mut Mail) {
-        let Some(ticket) = self.tickets.get_mut(&number) else {
+    fn found_open(&mut self, number: u64, record: JobRecord, version: u64, effects: &mut Effects) {
+        let Some(pending) = self.pending_requests.get_mut(&number) else {
             return;
         };
-        if let (Want::Abort, false) = (&ticket.want, record.aborted) {
-            ticket.stage = Stage::Aborting;
-            let key = job_key(&ticket.id);
+        if let (Want::Abort, false) = (&pending.want, record.aborted) {
+            pending.stage = Stage::Aborting;
+            let key = job_key(&pending.id);
             let txn = Txn {
-                guards: vec![Guard::new(key.clone(), version)],
+                compares: vec![Compare::new(key.clone(), version)],
                 writes: vec![Write::put(key, &self.cancelled(record))],
             };
             let tag = StateTag::User(number);
-            mail.state.push((Priority::Change, StateOp::Txn(txn), tag));
+            effects
+                .state
+                .push((Priority::Change, StateOp::Txn(txn), tag));
             return;
         }
-        let id = ticket.id.clone();
+        let id = pending.id.clone();
         self.remember_version(&id, version, record.aborted, &record.spec.needs);
         let held = self.version_of(&id).is_some_and(|v| !v.needs.is_empty());
         if held && !record.aborted {
             // Whether a job before it is cancelled is to be seen.
-            return self.start_proof(number, mail);
+            return self.start_proof(number, effects);
         }
         let Some(t) = self.close(number) else {
             return;
         };
         if record.aborted {
             // Perhaps by a transaction of ours whose answer was lost, or of a node that crashed since.
-            mail.news.push(News::Aborted(t.id.clone()));
+            effects.events.push(NodeEvent::Aborted(t.id.clone()));
         }
-        self.answer_open(t.request, &t.id, record.aborted, mail);
+        self.answer_open(t.request, &t.id, record.aborted, effects);
     }
 
-    fn found_nothing(&mut self, number: u64, mail: &mut Mail) {
-        let Some(ticket) = self.tickets.get(&number) else {
+    fn found_nothing(&mut self, number: u64, effects: &mut Effects) {
+        let Some(pending) = self.pending_requests.get(&number) else {
             return;
         };
-        match &ticket.want {
+        match &pending.want {
             Want::Submit {
                 refusal: Some((status, why)),
                 ..
@@ -551,64 +555,64 @@
                 let (status, why) = (*status, why.clone());
                 log::info!(
                     "event=job_refused job={} status={status} why={why:?}",
-                    ticket.id
+                    pending.id
                 );
-                self.refuse(number, status, &why, mail);
+                self.refuse(number, status, &why, effects);
             }
             // The creation may still be on its way; a retry finds out.
-            Want::Submit { .. } => self.refuse(number, 503, "not recorded yet", mail),
+            Want::Submit { .. } => self.refuse(number, 503, "not recorded yet", effects),
             // It has become known since the first of the two readings was sent.
-            _ if self.known_final(&ticket.id).is_some()
-                || self.known_version(&ticket.id).is_some() =>
+            _ if self.known_final(&pending.id).is_some()
+                || self.known_version(&pending.id).is_some() =>
             {
-                self.go(number, Stage::Open, mail);
+                self.go(number, Stage::Open, effects);
             }
-            _ => self.refuse(number, 404, "no such job", mail),
+            _ => self.refuse(number, 404, "no such job", effects),
         }
     }
 
-    fn answer_final(&self, request: RequestId, id: &str, end: Final, mail: &mut Mail) {
+    fn answer_final(&self, request: RequestId, id: &str, end: Final, effects: &mut Effects) {
         let phase = match end {
             Final::Done => Phase::Done,
             Final::Aborted => Phase::Aborted,
         };
-        mail.respond(request, 200, status_body(id, phase, None));
+        effects.respond(request, 200, status_body(id, phase, None));
     }
 
     /// Answers what has been undecided for too long.
-    pub fn tick(&mut self, mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub fn tick(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
         let late: Vec<u64> = self
-            .tickets
+            .pending_requests
             .iter()
             .filter(|(_, t)| now > t.since + USER_DEADLINE_MS)
             .map(|(n, _)| *n)
             .collect();
         for number in late {
-            self.refuse(number, 503, "not decided in time", mail);
+            self.refuse(number, 503, "not decided in time", effects);
         }
-        self.prove(mail);
-        self.check_unheard(mail);
+        self.prove(effects);
+        self.check_unheard(effects);
     }
 
     /// Turns away everybody who waits for an answer.
-    pub fn refuse_all(&mut self, why: &str, mail: &mut Mail) {
-        for (_, ticket) in self.tickets.drain() {
-            mail.refuse(ticket.request, 503, why);
+    pub fn refuse_all(&mut self, why: &str, effects: &mut Effects) {
+        for (_, pending) in self.pending_requests.drain() {
+            effects.refuse(pending.request, 503, why);
         }
         self.changes = 0;
     }
 
     pub fn is_idle(&self) -> bool {
-        self.tickets.is_empty()
+        self.pending_requests.is_empty()
     }
 
-    pub fn on_news(&mut self, news: &News) {
-        match news {
-            News::JobOver(id, end) => self.remember_final(id.clone(), *end),
-            News::Aborted(id) => self.remember_cancelled(id),
-            News::Types(types) => self.set_types(types.clone()),
-            News::Upgraded | News::Proven(_) => self.upgraded = true,
+    pub fn on_event(&mut self, event: &NodeEvent) {
+        match event {
+            NodeEvent::JobOver(id, end) => self.remember_final(id.clone(), *end),
+            NodeEvent::Aborted(id) => self.remember_cancelled(id),
+            NodeEvent::Types(types) => self.set_types(types.clone()),
+            NodeEvent::Upgraded | NodeEvent::Proven(_) => self.upgraded = true,
             _ => {}
         }
     }
--- a/crates/control/src/gateway/absence.rs
+++ b/crates/control/src/gateway/absence.rs
@@ -9,7 +9,7 @@
 
 /// Requests about ids never heard of, and the transaction that some of them wait for.
 #[derive(Default)]
-pub(super) struct Unheard {
+pub(super) struct UnknownIds {
     /// Submissions that are refused unless known, and cancellations.
     changes: VecDeque<u64>,
     questions: VecDeque<u64>,
@@ -21,10 +21,10 @@
 /// A transaction under way.
 struct Check {
     number: u64,
-    tickets: Vec<u64>,
+    pending_requests: Vec<u64>,
 }
 
-impl Unheard {
+impl UnknownIds {
     fn queue(&mut self, change: bool) -> &mut VecDeque<u64> {
         match change {
             true => &mut self.changes,
@@ -67,7 +67,7 @@
         match first {
             Some(_) if self.unheard.check.is_some() => u64::MAX,
             Some(number) => {
-                let since = self.tickets.get(number).map_or(0, |t| t.since);
+                let since = self.pending_requests.get(number).map_or(0, |t| t.since);
                 self.unheard.next_at.max(since + PROOF_GATHER_MS)
             }
             None => u64::MAX,
@@ -75,68 +75,71 @@
     }
 
     /// Sends one transaction that finds out which of the waiting ids no job has.
-    pub(super) fn check_unheard(&mut self, mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub(super) fn check_unheard(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
         let most = self.ids_a_check();
         let full = self.unheard.len() >= most && now >= self.unheard.next_at;
         if self.unheard.check.is_some() || !(full || now >= self.next_check()) {
             return;
         }
         let mut ids = BTreeSet::new();
-        let mut tickets = Vec::new();
+        let mut pending_requests = Vec::new();
         let mut change = true;
         while ids.len() < most {
             let Some(number) = self.unheard.pop(change) else {
                 break;
             };
             change = !change;
-            let Some(ticket) = self.tickets.get(&number) else {
+            let Some(pending) = self.pending_requests.get(&number) else {
                 continue;
             };
-            if let Some(end) = self.known_final(&ticket.id) {
+            if let Some(end) = self.known_final(&pending.id) {
                 if let Some(t) = self.close(number) {
-                    self.answer_final(t.request, &t.id, end, mail);
+                    self.answer_final(t.request, &t.id, end, effects);
                 }
                 continue;
             }
-            ids.insert(ticket.id.clone());
-            tickets.push(number);
+            ids.insert(pending.id.clone());
+            pending_requests.push(number);
         }
-        if tickets.is_empty() {
+        if pending_requests.is_empty() {
             return;
         }
-        let absent = |id: &String| [Guard::new(job_key(id), 0), Guard::new(final_key(id), 0)];
+        let absent = |id: &String| [Compare::new(job_key(id), 0), Compare::new(final_key(id), 0)];
         let op = StateOp::Txn(Txn {
-            guards: ids.iter().flat_map(absent).collect(),
+            compares: ids.iter().flat_map(absent).collect(),
             writes: Vec::new(),
         });
         self.unheard.next_at = now + UNHEARD_EVERY_MS;
         self.unheard.checks += 1;
         let number = self.unheard.checks;
-        let tag = StateTag::Unheard(number);
-        mail.state.push((Priority::Proof, op, tag));
-        self.unheard.check = Some(Check { number, tickets });
+        let tag = StateTag::UnknownIds(number);
+        effects.state.push((Priority::Proof, op, tag));
+        self.unheard.check = Some(Check {
+            number,
+            pending_requests,
+        });
     }
 
     /// Such a transaction came back: what no job has is answered, what exists is read, the others wait for the next.
-    pub fn on_unheard(&mut self, number: u64, reply: StateReply, mail: &mut Mail) {
+    pub fn on_unknown_ids(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
         let Some(check) = self.unheard.check.take_if(|c| c.number == number) else {
             return;
         };
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         // Backwards, since what has to wait goes to the front again.
-        for number in check.tickets.into_iter().rev() {
-            let Some(ticket) = self.tickets.get(&number) else {
+        for number in check.pending_requests.into_iter().rev() {
+            let Some(pending) = self.pending_requests.get(&number) else {
                 continue;
             };
-            let (change, id) = (ticket.want.is_change(), ticket.id.clone());
+            let (change, id) = (pending.want.is_change(), pending.id.clone());
             match &reply {
-                StateReply::Committed { .. } => self.found_nothing(number, mail),
+                StateReply::Committed { .. } => self.found_nothing(number, effects),
                 StateReply::Conflict { failed } if failed.contains(&job_key(&id)) => {
-                    self.go(number, Stage::Open, mail);
+                    self.go(number, Stage::Open, effects);
                 }
                 StateReply::Conflict { failed } if failed.contains(&final_key(&id)) => {
-                    self.go(number, Stage::Final, mail);
+                    self.go(number, Stage::Final, effects);
                 }
                 StateReply::Conflict { .. } => {
                     self.unheard.queue(change).push_front(number);
@@ -147,11 +150,11 @@
                     self.unheard.next_at = now + STATE_RETRY_MS;
                 }
                 StateReply::Refused => {
-                    self.refuse(number, 503, "the state service refuses", mail);
+                    self.refuse(number, 503, "the state service refuses", effects);
                 }
-                _ => self.refuse(number, 503, "the state service does not answer", mail),
+                _ => self.refuse(number, 503, "the state service does not answer", effects),
             }
         }
-        self.check_unheard(mail);
+        self.check_unheard(effects);
     }
 }
--- a/crates/control/src/gateway/walk.rs
+++ b/crates/control/src/gateway/dependency_state.rs
@@ -7,7 +7,7 @@
 use std::collections::HashSet;
 
 /// What is known of the jobs before a job.
-pub(super) enum Walk {
+pub(super) enum DependencyState {
     /// One of them is cancelled, for good.
     Cancelled,
     /// These were never looked at, or have changed since.
@@ -18,7 +18,10 @@
 
 impl Gateway {
     /// Walks up from some jobs, themselves included. Ends that are known need no proof.
-    pub(super) fn walk<'a>(&'a self, from: impl Iterator<Item = &'a String>) -> Walk {
+    pub(super) fn dependency_state<'a>(
+        &'a self,
+        from: impl Iterator<Item = &'a String>,
+    ) -> DependencyState {
         let mut stack: Vec<&String> = from.collect();
         let mut seen: HashSet<&String> = stack.iter().copied().collect();
         let mut keys = Keys::new();
@@ -26,8 +29,8 @@
         while let Some(id) = stack.pop() {
             match (self.known_final(id), self.known_version(id)) {
                 (Some(Final::Done), _) => {}
-                (Some(Final::Aborted), _) => return Walk::Cancelled,
-                (None, Some(v)) if v.aborted => return Walk::Cancelled,
+                (Some(Final::Aborted), _) => return DependencyState::Cancelled,
+                (None, Some(v)) if v.aborted => return DependencyState::Cancelled,
                 (None, Some(v)) => {
                     keys.insert(id.clone(), v.version);
                     stack.extend(v.needs.iter().filter(|n| seen.insert(n)));
@@ -36,56 +39,60 @@
             }
         }
         match unknown {
-            Some(id) => Walk::Unknown(id.clone()),
-            None => Walk::Open(keys),
+            Some(id) => DependencyState::Unknown(id.clone()),
+            None => DependencyState::Open(keys),
         }
     }
 
-    fn look(&mut self, number: u64, id: String, mail: &mut Mail) {
+    fn look(&mut self, number: u64, id: String, effects: &mut Effects) {
         let last = false;
-        self.go(number, Stage::Looking { id, last }, mail);
+        self.go(number, Stage::Looking { id, last }, effects);
     }
 
     /// The next step of a submission that names jobs: all of them must have been accepted, and whether one before it
     /// is cancelled decides how it is answered.
-    pub(super) fn go_on_creating(&mut self, number: u64, mail: &mut Mail) {
-        let Some(Ticket {
+    pub(super) fn go_on_creating(&mut self, number: u64, effects: &mut Effects) {
+        let Some(PendingRequest {
             want: Want::Submit {
                 spec: Some(spec), ..
             },
             ..
-        }) = self.tickets.get(&number)
+        }) = self.pending_requests.get(&number)
         else {
             return;
         };
         let known =
             |id: &&String| self.known_final(id).is_some() || self.known_version(id).is_some();
         if let Some(id) = spec.needs.iter().find(|id| !known(id)).cloned() {
-            return self.look(number, id, mail);
+            return self.look(number, id, effects);
         }
-        let (doomed, todo) = match self.walk(spec.needs.iter()) {
-            Walk::Unknown(id) => return self.look(number, id, mail),
-            Walk::Cancelled => (true, Keys::new()),
-            Walk::Open(keys) => (false, keys),
+        let (dependency_cancelled, todo) = match self.dependency_state(spec.needs.iter()) {
+            DependencyState::Unknown(id) => return self.look(number, id, effects),
+            DependencyState::Cancelled => (true, Keys::new()),
+            DependencyState::Open(keys) => (false, keys),
         };
         // What fits goes as conditions of the creation itself; it has two of its own.
         let many = todo.len() + 2 > self.proof_guards;
-        if let Some(ticket) = self.tickets.get_mut(&number) {
-            ticket.doomed = doomed;
-            ticket.todo = Some(todo);
+        if let Some(pending) = self.pending_requests.get_mut(&number) {
+            pending.dependency_cancelled = dependency_cancelled;
+            pending.todo = Some(todo);
         }
         let stage = if many {
             Stage::Checking
         } else {
             Stage::Creating
         };
-        self.go(number, stage, mail);
+        self.go(number, stage, effects);
     }
 
     /// Some of the jobs before it were proven.
-    pub(super) fn checked(&mut self, number: u64, mail: &mut Mail) {
+    pub(super) fn checked(&mut self, number: u64, effects: &mut Effects) {
         let most = self.proof_guards;
-        let Some(todo) = self.tickets.get_mut(&number).and_then(|t| t.todo.as_mut()) else {
+        let Some(todo) = self
+            .pending_requests
+            .get_mut(&number)
+            .and_then(|t| t.todo.as_mut())
+        else {
             return;
         };
         for id in todo.keys().take(most).cloned().collect::<Vec<_>>() {
@@ -97,117 +104,117 @@
         } else {
             Stage::Creating
         };
-        self.go(number, stage, mail);
+        self.go(number, stage, effects);
     }
 
-    /// Whether a key is that of the ticket's own job.
+    /// Whether a key is that of the pending request's own job.
     pub(super) fn is_own_key(&self, number: u64, key: &str) -> bool {
-        let ticket = self.tickets.get(&number);
-        ticket.is_some_and(|t| key == job_key(&t.id) || key == final_key(&t.id))
+        let pending = self.pending_requests.get(&number);
+        pending.is_some_and(|t| key == job_key(&t.id) || key == final_key(&t.id))
     }
 
     /// Jobs before it have changed since they were last seen: mostly, they are over.
-    pub(super) fn before_changed(&mut self, number: u64, failed: &[String], mail: &mut Mail) {
+    pub(super) fn before_changed(&mut self, number: u64, failed: &[String], effects: &mut Effects) {
         for id in failed.iter().filter_map(|k| k.strip_prefix(JOBS)) {
             self.forget_version(id);
         }
-        self.go_on_creating(number, mail);
+        self.go_on_creating(number, effects);
     }
 
     /// A job before it was looked at.
-    pub(super) fn looked(&mut self, number: u64, reply: StateReply, mail: &mut Mail) {
-        let Some(ticket) = self.tickets.get_mut(&number) else {
+    pub(super) fn looked(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
+        let Some(pending) = self.pending_requests.get_mut(&number) else {
             return;
         };
-        let Stage::Looking { id, last } = &ticket.stage else {
+        let Stage::Looking { id, last } = &pending.stage else {
             return;
         };
         let (id, last) = (id.clone(), *last);
         match reply {
             StateReply::Item(item) if last => match item.value.deserialized::<Final>() {
                 Ok(end) => self.remember_final(id, end),
-                Err(_) => return self.refuse(number, 503, "unreadable record", mail),
+                Err(_) => return self.refuse(number, 503, "unreadable record", effects),
             },
             StateReply::Item(item) => match item.value.deserialized::<JobRecord>() {
                 Ok(r) => {
                     if r.aborted {
                         // Its user may be told so by this node from now on.
-                        mail.news.push(News::Aborted(id.clone()));
+                        effects.events.push(NodeEvent::Aborted(id.clone()));
                     }
                     self.remember_version(&id, item.version, r.aborted, &r.spec.needs);
                 }
-                Err(_) => return self.refuse(number, 503, "unreadable record", mail),
+                Err(_) => return self.refuse(number, 503, "unreadable record", effects),
             },
             StateReply::Missing if !last => {
-                return self.go(number, Stage::Looking { id, last: true }, mail);
+                return self.go(number, Stage::Looking { id, last: true }, effects);
             }
             StateReply::Missing => {
                 // Neither open nor over: it was never accepted. An id that is known is answered all the same.
-                match &mut ticket.want {
+                match &mut pending.want {
                     Want::Submit { refusal, .. } => {
                         *refusal = Some((422, format!("awaits: {id:?} was never accepted")));
-                        return self.go(number, Stage::Open, mail);
+                        return self.go(number, Stage::Open, effects);
                     }
                     _ => {
-                        log::error!("event=needed_job_missing job={} needs={id}", ticket.id);
-                        return self.refuse(number, 503, "a job before it is not found", mail);
+                        log::error!("event=needed_job_missing job={} needs={id}", pending.id);
+                        return self.refuse(number, 503, "a job before it is not found", effects);
                     }
                 }
             }
-            _ => return self.refuse(number, 503, "the state service does not answer", mail),
+            _ => return self.refuse(number, 503, "the state service does not answer", effects),
         }
-        let ticket = self.tickets.get(&number);
-        let creates = |t: &Ticket| matches!(&t.want, Want::Submit { refusal: None, .. });
+        let pending = self.pending_requests.get(&number);
+        let creates = |t: &PendingRequest| matches!(&t.want, Want::Submit { refusal: None, .. });
         // A known id that is submitted again asks only for its state.
-        match ticket.is_some_and(|t| creates(t) && self.known_version(&t.id).is_none()) {
-            true => self.go_on_creating(number, mail),
-            false => self.start_proof(number, mail),
+        match pending.is_some_and(|t| creates(t) && self.known_version(&t.id).is_none()) {
+            true => self.go_on_creating(number, effects),
+            false => self.start_proof(number, effects),
         }
     }
 
     /// What is to be proven for the answer about a job. Nothing if the answer is known, or is being looked for.
-    pub(super) fn keys_for(&mut self, number: u64, mail: &mut Mail) -> Option<Keys> {
-        let ticket = self.tickets.get(&number)?;
-        if let Some(todo) = &ticket.todo {
+    pub(super) fn keys_for(&mut self, number: u64, effects: &mut Effects) -> Option<Keys> {
+        let pending = self.pending_requests.get(&number)?;
+        if let Some(todo) = &pending.todo {
             return Some(todo.clone());
         }
-        let id = ticket.id.clone();
+        let id = pending.id.clone();
         if self.known_version(&id).is_none() {
-            self.go(number, Stage::Open, mail);
+            self.go(number, Stage::Open, effects);
             return None;
         }
-        match self.walk(std::iter::once(&id)) {
-            Walk::Open(keys) => {
+        match self.dependency_state(std::iter::once(&id)) {
+            DependencyState::Open(keys) => {
                 if keys.len() == 1 {
                     self.is_free(&id);
                 }
-                if let Some(ticket) = self.tickets.get_mut(&number) {
-                    ticket.todo = Some(keys.clone());
+                if let Some(pending) = self.pending_requests.get_mut(&number) {
+                    pending.todo = Some(keys.clone());
                 }
                 Some(keys)
             }
-            Walk::Unknown(before) => {
-                self.look(number, before, mail);
+            DependencyState::Unknown(before) => {
+                self.look(number, before, effects);
                 None
             }
-            Walk::Cancelled => {
+            DependencyState::Cancelled => {
                 let t = self.close(number)?;
                 match self.known_final(&id) {
-                    Some(end) => self.answer_final(t.request, &id, end, mail),
-                    None => self.answer_open(t.request, &id, true, mail),
+                    Some(end) => self.answer_final(t.request, &id, end, effects),
+                    None => self.answer_open(t.request, &id, true, effects),
                 }
                 None
             }
         }
     }
 
-    /// A ticket goes to those that wait for a proof.
-    pub(super) fn start_proof(&mut self, number: u64, mail: &mut Mail) {
-        if let Some(ticket) = self.tickets.get_mut(&number) {
-            ticket.stage = Stage::Proving;
-            ticket.todo = None;
+    /// A pending request goes to those that wait for a proof.
+    pub(super) fn start_proof(&mut self, number: u64, effects: &mut Effects) {
+        if let Some(pending) = self.pending_requests.get_mut(&number) {
+            pending.stage = Stage::Proving;
+            pending.todo = None;
             self.proving.push_back(number);
         }
-        self.prove(mail);
+        self.prove(effects);
     }
 }
--- a/crates/control/src/gateway/proofs.rs
+++ b/crates/control/src/gateway/proofs.rs
@@ -53,8 +53,8 @@
     }
 
     /// Sends one transaction without writes that proves the records of as many questions as it can hold.
-    pub(super) fn prove(&mut self, mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub(super) fn prove(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
         if self.proof.is_some() || now < self.next_proof {
             return;
         }
@@ -62,15 +62,15 @@
             || self
                 .proving
                 .front()
-                .and_then(|n| self.tickets.get(n))
+                .and_then(|n| self.pending_requests.get(n))
                 .is_none_or(|t| now >= t.since + PROOF_GATHER_MS);
         if !gathered {
             return;
         }
         let mut keys = Keys::new();
-        let mut tickets = Vec::new();
+        let mut pending_requests = Vec::new();
         for number in std::mem::take(&mut self.proving) {
-            let Some(todo) = self.keys_for(number, mail) else {
+            let Some(todo) = self.keys_for(number, effects) else {
                 continue;
             };
             for (id, version) in &todo {
@@ -78,42 +78,48 @@
                     keys.insert(id.clone(), *version);
                 }
             }
-            // A ticket with many records goes on in the next ones.
+            // A request with many records goes on in the next ones.
             match todo.iter().any(|(id, v)| keys.get(id) == Some(v)) {
-                true => tickets.push(number),
+                true => pending_requests.push(number),
                 false => self.proving.push_back(number),
             }
         }
         if keys.is_empty() {
             return;
         }
-        let guards = keys.iter().map(|(id, v)| Guard::new(job_key(id), *v));
+        let compares = keys.iter().map(|(id, v)| Compare::new(job_key(id), *v));
         let op = StateOp::Txn(Txn {
-            guards: guards.collect(),
+            compares: compares.collect(),
             writes: Vec::new(),
         });
         self.next_proof = now + PROOF_EVERY_MS;
         self.proofs += 1;
         let number = self.proofs;
-        mail.state
+        effects
+            .state
             .push((Priority::Proof, op, StateTag::Proof(number)));
         self.proof = Some(Proof {
             number,
             keys,
-            tickets,
+            pending_requests,
         });
     }
 
     /// A proof came back: what held is answered, what did not is read.
-    pub fn on_proof(&mut self, number: u64, reply: StateReply, mail: &mut Mail) {
-        let Some(Proof { keys, tickets, .. }) = self.proof.take_if(|p| p.number == number) else {
+    pub fn on_proof(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
+        let Some(Proof {
+            keys,
+            pending_requests,
+            ..
+        }) = self.proof.take_if(|p| p.number == number)
+        else {
             return;
         };
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         match reply {
             StateReply::Committed { .. } => {
-                for number in tickets.into_iter().rev() {
-                    let Some(t) = self.tickets.get_mut(&number) else {
+                for number in pending_requests.into_iter().rev() {
+                    let Some(t) = self.pending_requests.get_mut(&number) else {
                         continue;
                     };
                     let todo = t.todo.get_or_insert_with(Keys::new);
@@ -125,7 +131,7 @@
                     }
                     if let Some(t) = self.close(number) {
                         let aborted = self.known_version(&t.id).is_some_and(|v| v.aborted);
-                        self.answer_open(t.request, &t.id, aborted, mail);
+                        self.answer_open(t.request, &t.id, aborted, effects);
                     }
                 }
             }
@@ -138,8 +144,8 @@
                     }
                 }
                 // The others wait for the next one, which is sent at once: they were not proven by this.
-                for number in tickets.into_iter().rev() {
-                    if let Some(t) = self.tickets.get_mut(&number) {
+                for number in pending_requests.into_iter().rev() {
+                    if let Some(t) = self.pending_requests.get_mut(&number) {
                         t.todo = None;
                         self.proving.push_front(number);
                     }
@@ -147,28 +153,28 @@
                 self.next_proof = now;
             }
             StateReply::Refused => {
-                for number in tickets.into_iter().rev() {
+                for number in pending_requests.into_iter().rev() {
                     if self.may_wait(number, now) {
                         self.proving.push_front(number);
                     } else {
-                        self.refuse(number, 503, "the state service refuses", mail);
+                        self.refuse(number, 503, "the state service refuses", effects);
                     }
                 }
                 self.next_proof = now + STATE_RETRY_MS;
             }
             _ => {
-                for number in tickets {
-                    self.refuse(number, 503, "the state service does not answer", mail);
+                for number in pending_requests {
+                    self.refuse(number, 503, "the state service does not answer", effects);
                 }
             }
         }
-        self.prove(mail);
+        self.prove(effects);
     }
 
     /// What the leader tells of open jobs: only of those for which nothing before them is left to wait for.
-    pub fn hear(&mut self, jobs: &[JobNews]) {
+    pub fn hear(&mut self, jobs: &[JobUpdate]) {
         // A full message tells of some of the jobs, any other of all.
-        if jobs.len() < NEWS_MAX {
+        if jobs.len() < JOB_UPDATES_MAX {
             self.counts.clear();
         }
         for j in jobs {
@@ -183,7 +189,11 @@
 
     /// When a waiting proof or search is to be sent.
     pub fn next_wake(&self) -> u64 {
-        let proof = match self.proving.front().and_then(|n| self.tickets.get(n)) {
+        let proof = match self
+            .proving
+            .front()
+            .and_then(|n| self.pending_requests.get(n))
+        {
             Some(t) if self.proof.is_none() => self.next_proof.max(t.since + PROOF_GATHER_MS),
             _ => u64::MAX,
         };
--- a/crates/control/src/gateway/records.rs
+++ b/crates/control/src/gateway/records.rs
@@ -20,7 +20,8 @@
 
     /// Whether a submission's one record is larger than the limits to come allow.
     pub(super) fn is_larger_than_least(&self, number: u64) -> bool {
-        let Some(Want::Submit { spec: Some(s), .. }) = self.tickets.get(&number).map(|t| &t.want)
+        let Some(Want::Submit { spec: Some(s), .. }) =
+            self.pending_requests.get(&number).map(|t| &t.want)
         else {
             return false;
         };
--- a/crates/control/src/leader/consolidation.rs
+++ b/crates/control/src/leader/consolidation.rs
@@ -1,6 +1,6 @@
 //! Where money counts: machines that are emptied, and those that must stay because work waits for them.
 
-use super::books::*;
+use super::model::*;
 use super::*;
 use sched::Resources;
 
@@ -30,14 +30,14 @@
 impl Leader {
     /// Where money counts, empties ordinary machines whose few tasks fit on others, so that they can go back. A
     /// small part of the fleet at a time, and only while nothing waits.
-    pub(super) fn consolidate(&mut self, mail: &mut Mail) {
-        let now = mail.now;
-        if !self.settings.thrifty() || now.mono < self.next_consolidation {
+    pub(super) fn consolidate(&mut self, effects: &mut Effects) {
+        let now = effects.now;
+        if !self.settings.minimizes_cost() || now.mono < self.next_consolidation {
             return;
         }
         self.next_consolidation = now.mono + (CONSOLIDATE_S * 1000.0) as u64;
-        let picture = self.picture(now);
-        let view = &picture.view;
+        let scheduling_snapshot = self.scheduling_snapshot(now);
+        let view = &scheduling_snapshot.view;
         let waiting = view.jobs.iter().any(|j| !j.waiting.is_empty());
         let emptying = self
             .machines
@@ -67,7 +67,7 @@
                 let long = machine.busy_s >= CONSOLIDATE_LEFT_S;
                 let movable = || {
                     on[m].iter().all(|r| {
-                        let job = self.jobs.get(&picture.jobs[r.job]);
+                        let job = self.jobs.get(&scheduling_snapshot.jobs[r.job]);
                         r.movable && job.is_some_and(|j| !j.is_gang() && j.spec.checkpoint_s > 0.0)
                     })
                 };
@@ -113,8 +113,12 @@
             }
         }
         for m in chosen {
-            if let Some(m) = self.machines.get_mut(&picture.machines[m]) {
-                log::info!("event=consolidate kind={} tasks={}", m.kind, m.places.len());
+            if let Some(m) = self.machines.get_mut(&scheduling_snapshot.machines[m]) {
+                log::info!(
+                    "event=consolidate kind={} tasks={}",
+                    m.kind,
+                    m.assignments.len()
+                );
                 m.draining = Some(CONSOLIDATED);
             }
         }
@@ -126,7 +130,7 @@
         let teams = &self.settings.deployment.teams;
         let mut used: HashMap<&str, Resources> = HashMap::new();
         for job in self.jobs.values() {
-            let all = job.res().times(f64::from(job.placed));
+            let all = job.res().times(f64::from(job.assigned));
             used.entry(&job.spec.team).or_default().add(&all);
         }
         let full = |job: &Job| {
@@ -148,13 +152,13 @@
         };
         let waits = |job: &&Job| {
             !job.aborted
-                && !job.is_held()
-                && u64::from(job.placed) + job.done < job.spec.tasks
-                && job.fails == 0
+                && !job.awaits_dependencies()
+                && u64::from(job.assigned) + job.done < job.spec.tasks
+                && job.failures == 0
                 && !job.is_resting(now.unix)
                 && !full(job)
         };
-        let types = self.types.want.iter().flatten();
+        let types = self.types.desired.iter().flatten();
         let jobs: Vec<&Job> = self.jobs.values().filter(waits).collect();
         let mut wanted: Vec<Wanted> = Vec::new();
         for t in types {
@@ -175,7 +179,7 @@
                         memory_gb: t.mem_gb,
                     };
                     let filled = |j: &&Job| {
-                        let waiting = (j.spec.tasks - j.done) as u32 - j.placed;
+                        let waiting = (j.spec.tasks - j.done) as u32 - j.assigned;
                         waiting.div_ceil(total.holds(&j.res(), waiting).max(1)) as usize
                     };
                     let machines = jobs.iter().filter(suits).map(filled).sum();
--- a/crates/control/src/leader/delegation.rs
+++ b/crates/control/src/leader/delegation.rs
@@ -1,31 +1,31 @@
 //! Machines whose steady reports owners of partitions answer: what the leader's tables say of them, and what owners say to
 //! the leader. Why this is safe: `docs/partitions.md`.
 
-use super::books::{Machine, OwnerPermit, Stage};
+use super::model::{AssignmentStage, Machine, OwnerPermit};
 use super::Leader;
 use constants::REDIRECT_LEASE_PART;
 use partitions::{Delegation, RequestError};
 use std::collections::BTreeMap;
 use wire::partitions::{Grant, GrantRequest, PartitionEpoch, PartitionId, Permit, RecalledPermit};
-use wire::workers::{Report, TaskPhase};
+use wire::workers::{TaskPhase, WorkerHeartbeat};
 
 /// Of a report what its answer's follow-up needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct AnsweredReport {
+pub(crate) struct AnsweredHeartbeat {
     machine: String,
-    session: u64,
+    incarnation: u64,
     seq: u64,
     /// Number of its tasks if all of them run.
     running: Option<usize>,
 }
 
-impl AnsweredReport {
-    pub fn new(report: &Report) -> Self {
+impl AnsweredHeartbeat {
+    pub fn new(report: &WorkerHeartbeat) -> Self {
         let mut phases = report.tasks.iter().map(|task| task.phase);
         let all_run = phases.all(|phase| phase == TaskPhase::Running);
-        AnsweredReport {
+        AnsweredHeartbeat {
             machine: report.machine.clone(),
-            session: report.session,
+            incarnation: report.incarnation,
             seq: report.seq,
             running: all_run.then_some(report.tasks.len()),
         }
@@ -61,10 +61,10 @@
         let heard = delegation.on_request(owner, request, now)?;
         for word in heard {
             if let Some(m) = self.machines.get_mut(&word.machine) {
-                m.last_report = m.last_report.max(Some(word.heard_at));
+                m.last_heartbeat = m.last_heartbeat.max(Some(word.heard_at));
             }
         }
-        self.withdraw_unsettled();
+        self.withdraw_permits_with_orders();
         let Some(delegation) = &mut self.delegation else {
             return Ok(None);
         };
@@ -81,13 +81,13 @@
     pub fn permit_after(
         &mut self,
         owner: &str,
-        report: &AnsweredReport,
+        report: &AnsweredHeartbeat,
         now: u64,
     ) -> Option<(u64, Permit)> {
         if !self.is_steady(report) {
             return None;
         }
-        let numbers = (report.session, report.seq);
+        let numbers = (report.incarnation, report.seq);
         let delegation = self.delegation.as_mut()?;
         let permit = delegation.permit(owner, &report.machine, numbers, now)?;
         let watched_until = now + delegation.refresh_overdue_ms();
@@ -102,18 +102,20 @@
     }
 
     /// Whether nothing is pending for a machine that has sent this report, and nothing may soon be.
-    fn is_steady(&self, report: &AnsweredReport) -> bool {
+    fn is_steady(&self, report: &AnsweredHeartbeat) -> bool {
         let Some(m) = self.machines.get(&report.machine) else {
             return false;
         };
-        let is_last = (m.session, m.seq) == (report.session, report.seq);
-        let is_as_recorded = report.running == Some(m.places.len());
+        let is_last = (m.incarnation, m.seq) == (report.incarnation, report.seq);
+        let is_as_recorded = report.running == Some(m.assignments.len());
         is_last
             && is_as_recorded
             && m.synced
             && m.token_seen
             && m.is_calm()
-            && m.places.iter().all(|(id, task)| self.runs_on(id, *task))
+            && m.assignments
+                .iter()
+                .all(|(id, task)| self.runs_on(id, *task))
             && !self.has_room(&report.machine)
     }
 
@@ -122,35 +124,37 @@
         let Some(job) = self.jobs.get(id).filter(|job| !job.aborted) else {
             return false;
         };
-        job.place(task).is_some_and(|place| {
-            place.stage == Stage::Seen
-                && place.phase == Some(TaskPhase::Running)
-                && place.stop.is_none()
+        job.assignment(task).is_some_and(|assignment| {
+            assignment.stage == AssignmentStage::Seen
+                && assignment.phase == Some(TaskPhase::Running)
+                && assignment.stop.is_none()
         })
     }
 
     /// Something has become pending for a machine: an owner that answers it must not go on.
-    pub(super) fn unsettle(&mut self, machine: String) {
+    pub(super) fn note_pending_orders(&mut self, machine: String) {
         if self.delegation.is_none() {
             return;
         }
         if let Some(m) = self.machines.get_mut(&machine) {
             m.has_pending_orders = true;
         }
-        self.unsettled.push(machine);
+        self.machines_with_new_orders.push(machine);
     }
 
     /// Withdraws the permits of machines for which something is pending by now.
-    fn withdraw_unsettled(&mut self) {
-        let unsettled = std::mem::take(&mut self.unsettled);
+    fn withdraw_permits_with_orders(&mut self) {
+        let machines_with_new_orders = std::mem::take(&mut self.machines_with_new_orders);
         if let Some(delegation) = &mut self.delegation {
-            unsettled.iter().for_each(|name| delegation.withdraw(name));
+            machines_with_new_orders
+                .iter()
+                .for_each(|name| delegation.withdraw(name));
         }
     }
 
     /// Recalls to send at once, by owner and process.
     pub fn urgent_recalls(&mut self) -> BTreeMap<(String, u64), Vec<RecalledPermit>> {
-        self.withdraw_unsettled();
+        self.withdraw_permits_with_orders();
         let delegation = self.delegation.as_mut();
         delegation.map_or_else(BTreeMap::new, Delegation::urgent_recalls)
     }
@@ -175,15 +179,15 @@
         let lease_ms = (self.settings.deployment.workers.lease_s * 1000.0) as u64;
         let is_recent = |at: u64| now < at + lease_ms / REDIRECT_LEASE_PART;
         let is_settled = |(id, task): &(String, u32)| {
-            let place = self.jobs.get(id).and_then(|job| job.place(*task));
-            place.is_some_and(|p| p.stage == Stage::Seen && p.stop.is_none())
+            let assignment = self.jobs.get(id).and_then(|job| job.assignment(*task));
+            assignment.is_some_and(|p| p.stage == AssignmentStage::Seen && p.stop.is_none())
         };
         self.machines.get(machine).is_some_and(|m| {
             m.synced
                 && m.token_seen
                 && m.notice_at.is_none()
                 && m.last_answer.is_some_and(is_recent)
-                && m.places.iter().all(is_settled)
+                && m.assignments.iter().all(is_settled)
         })
     }
 
@@ -200,7 +204,7 @@
     pub(super) fn heard_at(&self, m: &Machine, now: u64) -> Option<u64> {
         match self.is_watched_by_owner(m, now) {
             true => Some(now),
-            false => m.last_report,
+            false => m.last_heartbeat,
         }
     }
 }
--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -1,16 +1,16 @@
 //! Machines: renting, adopting, giving back. Every rental is recorded before it is asked for; a return sent twice
 //! changes nothing and needs no record.
 
-use super::blame::Verdict;
-use super::books::*;
 use super::consolidation::CONSOLIDATED;
+use super::machine_health::MachineHealth;
+use super::model::*;
 use super::*;
 use sched::{plan_fleet, FleetSnapshot, Offer, Resources};
 use wire::cloud::{MachinePhase, Rent};
 
 /// Where this leader's money went, by what the GPU share (or CPU share) of each machine did.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Spent {
+pub(super) struct CostAccount {
     boot: f64,
     idle: f64,
     unused: f64,
@@ -21,15 +21,15 @@
 }
 
 impl Leader {
-    /// Books the time since the last look.
+    /// Accounts for the time since the last look.
     fn account(&mut self, now: Now) {
         if now.mono < self.next_account {
             return;
         }
         self.next_account = now.mono + ACCOUNT_MS;
-        let hours = now.mono.saturating_sub(self.spent.at).min(2 * ACCOUNT_MS) as f64 / 3_600_000.0;
-        self.spent.at = now.mono;
-        let types = self.types.want.iter().flatten();
+        let hours = now.mono.saturating_sub(self.costs.at).min(2 * ACCOUNT_MS) as f64 / 3_600_000.0;
+        self.costs.at = now.mono;
+        let types = self.types.desired.iter().flatten();
         let types: HashMap<&str, &MachineType> = types.map(|t| (t.name.as_str(), t)).collect();
         for m in self.machines.values() {
             let Some(t) = types.get(m.kind.as_str()) else {
@@ -37,15 +37,15 @@
             };
             let money = hours * if m.spot { t.spot_price } else { t.price };
             if !m.synced {
-                self.spent.boot += money;
+                self.costs.boot += money;
                 continue;
             }
-            if m.places.is_empty() {
-                self.spent.idle += money;
+            if m.assignments.is_empty() {
+                self.costs.idle += money;
                 continue;
             }
             let mut left = 1.0;
-            for (id, task) in &m.places {
+            for (id, task) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
@@ -54,25 +54,25 @@
                 } else {
                     job.spec.cpus / t.cpus.max(1e-9)
                 };
-                let part = match job.place(*task).and_then(|p| p.phase) {
-                    Some(TaskPhase::Running) => &mut self.spent.running,
-                    Some(TaskPhase::Saving | TaskPhase::Ended) => &mut self.spent.stopping,
-                    _ => &mut self.spent.starting,
+                let part = match job.assignment(*task).and_then(|p| p.phase) {
+                    Some(TaskPhase::Running) => &mut self.costs.running,
+                    Some(TaskPhase::Saving | TaskPhase::Ended) => &mut self.costs.stopping,
+                    _ => &mut self.costs.starting,
                 };
                 *part += money * share;
                 left -= share;
             }
-            self.spent.unused += money * left.max(0.0);
+            self.costs.unused += money * left.max(0.0);
         }
     }
 
     /// Regular look at the fleet.
-    pub(super) fn mind_fleet(&mut self, mail: &mut Mail) {
-        let now = mail.now;
+    pub(super) fn maintain_fleet(&mut self, effects: &mut Effects) {
+        let now = effects.now;
         self.account(now);
         if now.mono >= self.next_types {
             self.next_types = now.mono + (CLOUD_TYPES_S * 1000.0) as u64;
-            self.ask_cloud(CloudOp::Types, CloudRequest::Types, mail);
+            self.send_cloud_request(CloudOp::Types, CloudRequest::Types, effects);
         }
         if now.mono >= self.next_list && self.list_busy.is_none() {
             // Pages are counted by the machines known, so that a large fleet's lists leave room for other calls.
@@ -85,43 +85,47 @@
             let op = CloudOp::List {
                 from: String::new(),
             };
-            self.ask_cloud(op, CloudRequest::List { asked: now.mono }, mail);
+            self.send_cloud_request(op, CloudRequest::List { asked: now.mono }, effects);
         }
-        self.consolidate(mail);
-        self.give_back(mail);
-        self.resend_rentals(mail);
-        self.rent(mail);
+        self.consolidate(effects);
+        self.return_machines(effects);
+        self.resend_rentals(effects);
+        self.rent(effects);
         let lag_ms = (self.settings.deployment.cloud.list_lag_s * 4000.0) as u64 + GONE_MS;
-        self.gone.retain(|_, at| now.mono < *at + lag_ms);
+        self.departed.retain(|_, at| now.mono < *at + lag_ms);
         if now.mono >= self.next_summary {
             self.next_summary = now.mono + 15_000;
             let up = self.machines.values().filter(|m| m.synced).count();
-            let held = self.jobs.values().filter(|j| j.is_held()).count();
+            let held = self
+                .jobs
+                .values()
+                .filter(|j| j.awaits_dependencies())
+                .count();
             let waiting: u64 = self
                 .jobs
                 .values()
-                .filter(|j| !j.is_held())
-                .map(|j| j.spec.tasks - j.done - u64::from(j.placed).min(j.spec.tasks - j.done))
+                .filter(|j| !j.awaits_dependencies())
+                .map(|j| j.spec.tasks - j.done - u64::from(j.assigned).min(j.spec.tasks - j.done))
                 .sum();
-            let placed: u32 = self.jobs.values().map(|j| j.placed).sum();
-            let s = self.spent;
+            let assigned: u32 = self.jobs.values().map(|j| j.assigned).sum();
+            let s = self.costs;
             log::info!(
-                "event=money term={} boot={:.2} idle={:.2} unused={:.2} starting={:.2} stopping={:.2} running={:.2}",
+                "event=cost term={} boot={:.2} idle={:.2} unused={:.2} starting={:.2} stopping={:.2} running={:.2}",
                 self.term, s.boot, s.idle, s.unused, s.starting, s.stopping, s.running
             );
             log::info!(
-                "event=summary machines={} up={up} jobs={} held={held} placed={placed} waiting={waiting} rentals={} \
-                 dirty={} starts={} sent_ms={} seen_ms={} ran_ms={}",
+                "event=summary machines={} up={up} jobs={} held={held} placed={assigned} waiting={waiting} rentals={} \
+                 is_unsaved={} starts={} sent_ms={} seen_ms={} ran_ms={}",
                 self.machines.len(),
                 self.jobs.len(),
                 self.rentals.len(),
-                self.dirty.len(),
-                self.lags.sent.n,
-                self.lags.sent,
-                self.lags.seen,
-                self.lags.ran
+                self.unsaved.len(),
+                self.start_latencies.sent.n,
+                self.start_latencies.sent,
+                self.start_latencies.seen,
+                self.start_latencies.ran
             );
-            self.lags = Lags::default();
+            self.start_latencies = StartLatencies::default();
         }
     }
 
@@ -133,7 +137,7 @@
     fn patience_ms(&self, kind: &str) -> u64 {
         let boot = self
             .types
-            .want
+            .desired
             .iter()
             .flatten()
             .find(|t| t.name == kind)
@@ -142,30 +146,30 @@
     }
 
     /// Decides which machines go back, and sends them back, as many at a time as the cloud takes.
-    fn give_back(&mut self, mail: &mut Mail) {
-        let now = mail.now.mono;
+    fn return_machines(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
         let w = &self.settings.deployment.workers;
-        let lapse_ms = (w.lease_s * 1000.0 * DRIFT) as u64 + LEASE_MARGIN_MS;
+        let expiry_ms = (w.lease_s * 1000.0 * DRIFT) as u64 + LEASE_MARGIN_MS;
         let silent_ms = self.silent_ms();
         // What the list does not show any more and has missed a report is gone.
         let missed_ms = (w.report_s * 1_500.0) as u64 + 500;
         // Machines that have stopped are listed as failed before long. What is silent for longer is cut off or hangs,
         // and mostly comes back with its images sooner than another machine would be up: where nothing runs on it
         // any more, it has time.
-        let silent_limit = |m: &Machine| match m.places.is_empty() && m.strays.is_empty() {
-            true => (lapse_ms as f64 * SILENT_LEASES) as u64,
-            false => lapse_ms + SILENT_UNSURE_MS,
+        let silent_limit = |m: &Machine| match m.assignments.is_empty() && m.orphans.is_empty() {
+            true => (expiry_ms as f64 * SILENT_LEASES) as u64,
+            false => expiry_ms + SILENT_UNSURE_MS,
         };
         let idle_ms = |spot: bool| {
             let factor = if spot { IDLE_SPOT } else { IDLE_ORDINARY };
             (self.operator.idle_return_s * 1000.0 * factor) as u64
         };
-        let thrifty = self.settings.thrifty();
-        let mut wanted = self.wanted(mail.now);
+        let minimizes_cost = self.settings.minimizes_cost();
+        let mut wanted = self.wanted(effects.now);
         let mut in_use = |m: &Machine| wanted.iter_mut().any(|w| w.takes(m));
         let mut returns: Vec<(String, &'static str)> = Vec::new();
         // A part of the fleet that idles serves what comes next as well as all of it would.
-        let idle = |m: &&Machine| m.synced && m.places.is_empty() && !m.returning;
+        let idle = |m: &&Machine| m.synced && m.assignments.is_empty() && !m.returning;
         let pool = IDLE_LEAST + self.machines.len() / IDLE_PART;
         let mut surplus = self
             .machines
@@ -177,14 +181,14 @@
             if m.returning {
                 continue;
             }
-            let empty = m.places.is_empty() && m.strays.is_empty();
+            let empty = m.assignments.is_empty() && m.orphans.is_empty();
             // A leader that stood still for a minute of an outage, and still leads, would give its whole fleet back.
             let listening = self.ready_at.max(self.resumed_at);
             let heard = self.heard_at(m, now).unwrap_or(0).max(listening);
             let quiet = now.saturating_sub(heard);
             let why = if m.failed {
                 Some("failed")
-            } else if m.missing_lists >= 2 && quiet > missed_ms {
+            } else if m.missed_listings >= 2 && quiet > missed_ms {
                 Some("taken")
             } else if m
                 .notice_at
@@ -192,11 +196,11 @@
             {
                 // Whether it is gone or not: the answer frees its tasks for sure, and nothing is left to wait for.
                 Some("its notice is over")
-            } else if m.last_report.is_none() {
-                let limit = if m.places.is_empty() {
+            } else if m.last_heartbeat.is_none() {
+                let limit = if m.assignments.is_empty() {
                     self.patience_ms(&m.kind)
                 } else {
-                    lapse_ms + SILENT_UNSURE_MS
+                    expiry_ms + SILENT_UNSURE_MS
                 };
                 (now > m.first_known + limit && quiet > limit).then_some("never came up")
             } else if quiet > silent_limit(m) {
@@ -205,14 +209,14 @@
                 Some("under notice and empty")
             } else if empty && m.draining == Some(CONSOLIDATED) {
                 Some(CONSOLIDATED)
-            } else if empty && self.verdict(name, m, now) == Verdict::Faulty {
+            } else if empty && self.health(name, m, now) == MachineHealth::Faulty {
                 Some("faulty")
             } else if empty
-                && m.doubted
-                    .is_some_and(|at| now > at + UNHEARD_LEASES * lapse_ms)
+                && m.unreachable_since
+                    .is_some_and(|at| now > at + UNREACHABLE_LEASES * expiry_ms)
             {
                 Some("answers do not reach it")
-            } else if thrifty
+            } else if minimizes_cost
                 && empty
                 && m.synced
                 && quiet <= silent_ms
@@ -239,10 +243,10 @@
                 continue;
             };
             log::info!(
-                "event=give_back machine={name} kind={} spot={} places={} why={why:?}",
+                "event=return_machine machine={name} kind={} spot={} places={} why={why:?}",
                 m.kind,
                 m.spot,
-                m.places.len()
+                m.assignments.len()
             );
             m.draining.get_or_insert(why);
             m.returning = true;
@@ -252,18 +256,18 @@
             let due = m
                 .return_sent
                 .is_none_or(|at| now > at + 2 * CLOUD_TIMEOUT_MS);
-            if m.returning && due && names.len() < RETURN_MAX && !self.gone.contains_key(name) {
+            if m.returning && due && names.len() < RETURN_MAX && !self.departed.contains_key(name) {
                 m.return_sent = Some(now);
                 names.push(name.clone());
             }
         }
         if !names.is_empty() {
             let op = CloudOp::Return(names.clone());
-            self.ask_cloud(op, CloudRequest::Return(names), mail);
+            self.send_cloud_request(op, CloudRequest::Return(names), effects);
         }
     }
 
-    pub(super) fn send_rental(&mut self, name: &str, mail: &mut Mail) {
+    pub(super) fn send_rental(&mut self, name: &str, effects: &mut Effects) {
         let Some(rental) = self.rentals.get_mut(name) else {
             return;
         };
@@ -273,7 +277,7 @@
         if rental.got_at.is_some() {
             return;
         }
-        if rental.record.dirty() || mail.now.mono < rental.retry_at {
+        if rental.record.is_unsaved() || effects.now.mono < rental.retry_at {
             return;
         }
         rental.sent = true;
@@ -284,43 +288,45 @@
             spot: r.spot,
             count: r.count,
         };
-        self.ask_cloud(
+        self.send_cloud_request(
             CloudOp::Rent(rent),
             CloudRequest::Rent(name.to_string()),
-            mail,
+            effects,
         );
     }
 
-    fn resend_rentals(&mut self, mail: &mut Mail) {
+    fn resend_rentals(&mut self, effects: &mut Effects) {
         // A record goes once the list certainly shows its machines: until then a next leader asks by its name.
         let shown_ms = (self.settings.deployment.cloud.list_lag_s * 2_500.0) as u64 + 2_000;
         let mut over = Vec::new();
         for (name, r) in &mut self.rentals {
-            if r.got_at.is_some_and(|at| mail.now.mono > at + shown_ms) && r.record.want.is_some() {
-                r.record.want = None;
+            if r.got_at.is_some_and(|at| effects.now.mono > at + shown_ms)
+                && r.record.desired.is_some()
+            {
+                r.record.desired = None;
                 over.push(name.clone());
             }
         }
         for name in over {
-            self.mark(RecordId::Rental(name));
+            self.queue_write(RecordId::Rental(name));
         }
         for name in self.rentals.keys().cloned().collect::<Vec<_>>() {
-            self.send_rental(&name, mail);
+            self.send_rental(&name, effects);
         }
     }
 
     /// Asks for what the waiting work needs.
-    fn rent(&mut self, mail: &mut Mail) {
-        let now = mail.now;
+    fn rent(&mut self, effects: &mut Effects) {
+        let now = effects.now;
         // A new leader first learns what there is: the list may still hide what was rented before it.
-        let Some(types) = self.types.want.clone() else {
+        let Some(types) = self.types.desired.clone() else {
             return;
         };
         if !self.listed_once || now.mono < self.next_rent {
             return;
         }
         self.next_rent = now.mono + HOUSEKEEPING_MS;
-        let mut picture = self.picture(now);
+        let mut scheduling_snapshot = self.scheduling_snapshot(now);
         let mut offers = Vec::new();
         let mut keys: Vec<OfferKey> = Vec::new();
         for t in &types {
@@ -332,8 +338,8 @@
                         .get(&key)
                         .is_none_or(|(until, _)| now.mono >= *until);
                     offers.push(Offer {
-                        kind: picture.kinds.number(&t.name),
-                        zone: picture.zones.number(zone),
+                        kind: scheduling_snapshot.kinds.number(&t.name),
+                        zone: scheduling_snapshot.zones.number(zone),
                         spot,
                         total: Resources {
                             cpus: t.cpus,
@@ -353,8 +359,8 @@
             let booting = m.expected && !m.synced;
             // Cut off or hanging, most likely: it is back before another would be up.
             let away = m.synced
-                && m.places.is_empty()
-                && m.last_report.is_some_and(|at| now.mono > at + silent_ms);
+                && m.assignments.is_empty()
+                && m.last_heartbeat.is_some_and(|at| now.mono > at + silent_ms);
             if m.known && (booting || away) && !m.failed && !m.returning {
                 let key = (m.kind.clone(), m.zone.clone(), m.spot);
                 if let Some(i) = keys.iter().position(|k| *k == key) {
@@ -364,10 +370,10 @@
         }
         let mut asked = vec![false; offers.len()];
         for r in self.rentals.values().filter(|r| r.got_at.is_none()) {
-            if let Some(want) = r.record.want.as_ref().or(r.record.saved.as_ref()) {
-                let key = (want.kind.clone(), want.zone.clone(), want.spot);
+            if let Some(desired) = r.record.desired.as_ref().or(r.record.saved.as_ref()) {
+                let key = (desired.kind.clone(), desired.zone.clone(), desired.spot);
                 if let Some(i) = keys.iter().position(|k| *k == key) {
-                    coming[i] += want.count;
+                    coming[i] += desired.count;
                     asked[i] = true;
                 }
             }
@@ -375,14 +381,17 @@
         let fleet = FleetSnapshot {
             offers,
             coming,
-            thrifty: self.settings.thrifty(),
+            minimizes_cost: self.settings.minimizes_cost(),
             horizon_s: types.iter().map(|t| t.boot_s).fold(f64::MAX, f64::min) * RENT_HORIZON,
         };
         let mut under_way = self.rentals.values().filter(|r| r.got_at.is_none()).count();
-        let wishes = plan_fleet(&picture.view, &fleet);
+        let requests_by_offer = plan_fleet(&scheduling_snapshot.view, &fleet);
         // Of a large wish, one request at a time goes out for each offer until the first is answered in full.
-        let mut wishes: VecDeque<_> = wishes.into_iter().filter(|w| !asked[w.offer]).collect();
-        while let Some(mut wish) = wishes.pop_front() {
+        let mut requests_by_offer: VecDeque<_> = requests_by_offer
+            .into_iter()
+            .filter(|w| !asked[w.offer])
+            .collect();
+        while let Some(mut wish) = requests_by_offer.pop_front() {
             let (kind, zone, spot) = keys[wish.offer].clone();
             if under_way >= RENTALS_OPEN {
                 break;
@@ -393,14 +402,18 @@
             let name = format!("t{}-{}", self.term, self.next_request);
             let count = wish.count.min(RENT_MAX);
             wish.count -= count;
-            if wish.count > 0 && self.served.contains(&(kind.clone(), zone.clone(), spot)) {
-                wishes.push_back(wish);
+            if wish.count > 0
+                && self
+                    .filled_offers
+                    .contains(&(kind.clone(), zone.clone(), spot))
+            {
+                requests_by_offer.push_back(wish);
             }
             log::info!(
                 "event=rent request={name} kind={kind} zone={zone} spot={spot} count={count}"
             );
-            let mut record = Cell::new(None, 0);
-            record.want = Some(RentalRecord {
+            let mut record = RecordCell::new(None, 0);
+            record.desired = Some(RentalRecord {
                 kind,
                 zone,
                 spot,
@@ -414,7 +427,7 @@
                 got_at: None,
             };
             self.rentals.insert(name.clone(), rental);
-            self.mark(RecordId::Rental(name));
+            self.queue_write(RecordId::Rental(name));
         }
     }
 
@@ -423,20 +436,20 @@
         ask: CloudRequest,
         op: CloudOp,
         reply: CloudReply,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
-        let now = mail.now;
+        let now = effects.now;
         match (ask, reply) {
             (CloudRequest::Types, CloudReply::Types(types)) => {
-                if self.types.want.as_ref() != Some(&types) {
-                    mail.news.push(News::Types(types.clone()));
-                    self.types.want = Some(types);
-                    self.mark(RecordId::Types);
+                if self.types.desired.as_ref() != Some(&types) {
+                    effects.events.push(NodeEvent::Types(types.clone()));
+                    self.types.desired = Some(types);
+                    self.queue_write(RecordId::Types);
                     self.plan_due = true;
                 }
             }
             (CloudRequest::Types, _) => {
-                let pause = if self.types.want.is_some() {
+                let pause = if self.types.desired.is_some() {
                     10_000
                 } else {
                     1_000
@@ -450,7 +463,11 @@
                 }
                 match (list.more, last) {
                     (true, Some(from)) => {
-                        self.ask_cloud(CloudOp::List { from }, CloudRequest::List { asked }, mail);
+                        self.send_cloud_request(
+                            CloudOp::List { from },
+                            CloudRequest::List { asked },
+                            effects,
+                        );
                     }
                     _ => self.list_complete(asked),
                 }
@@ -478,7 +495,7 @@
 
     fn machine_gone(&mut self, name: &str, now: Now) {
         self.free_machine(name, "its machine was given back", now);
-        self.gone.insert(name.to_string(), now.mono);
+        self.departed.insert(name.to_string(), now.mono);
         log::info!("event=machine_gone machine={name}");
         self.machines.remove(name);
         self.plan_due = true;
@@ -504,10 +521,10 @@
                     self.no_capacity(key, now);
                 } else {
                     self.refused.remove(&key);
-                    self.served.insert(key);
+                    self.filled_offers.insert(key);
                 }
                 for machine in machines {
-                    if self.gone.contains_key(&machine) {
+                    if self.departed.contains_key(&machine) {
                         continue;
                     }
                     let m = self
@@ -516,20 +533,20 @@
                         .or_insert_with(|| Machine::new(now.mono));
                     m.describe(&rent.kind, &rent.zone, rent.spot);
                     m.expected = true;
-                    m.rented = m.last_report.is_none() && !m.listed;
+                    m.rented = m.last_heartbeat.is_none() && !m.listed;
                 }
             }
             CloudReply::NoCapacity | CloudReply::Invalid => {
-                rental.record.want = None;
+                rental.record.desired = None;
                 self.no_capacity(key, now);
-                self.mark(RecordId::Rental(name.to_string()));
+                self.queue_write(RecordId::Rental(name.to_string()));
             }
             _ => rental.retry_at = now.mono + 2_000,
         }
     }
 
     fn no_capacity(&mut self, key: OfferKey, now: Now) {
-        self.served.remove(&key);
+        self.filled_offers.remove(&key);
         let last = self.refused.get(&key).map_or(0, |(_, pause)| *pause);
         let pause = (last * 2).clamp(NO_CAPACITY_MS, NO_CAPACITY_MAX_MS);
         log::info!(
@@ -543,7 +560,7 @@
 
     fn on_listed(&mut self, listed: wire::cloud::ListedMachine, now: Now) {
         self.list_seen.insert(listed.id.clone());
-        if self.gone.contains_key(&listed.id) {
+        if self.departed.contains_key(&listed.id) {
             return;
         }
         let age_ms = (listed.age_s.max(0.0) * 1000.0) as u64;
@@ -557,7 +574,7 @@
         }
         m.listed = true;
         m.expected = true;
-        m.missing_lists = 0;
+        m.missed_listings = 0;
         if listed.phase == MachinePhase::Failed && !m.failed {
             log::info!("event=machine_failed machine={}", listed.id);
             m.failed = true;
@@ -577,7 +594,7 @@
         for (name, m) in &mut self.machines {
             let due = m.listed || asked > m.first_known + shown_ms;
             if due && !self.list_seen.contains(name) {
-                m.missing_lists += 1;
+                m.missed_listings += 1;
             }
         }
     }
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -1,27 +1,27 @@
-//! The leader's books: open jobs, machines and rentals; the only place where tasks are placed.
+//! The leader's state: open jobs, machines and rentals; the only place where tasks are placed.
 //!
 //! Everything recorded is level-triggered: memory holds what is wanted, transactions bring the store there, and
 //! nothing leaves the node (`launch`, `reap`, `done`, a rental) before its record is known to be safe. Machines have
 //! no records: their workers, the cloud's list and recent rental requests name them.
 
-mod blame;
-mod books;
 mod delegation;
-pub(crate) use delegation::AnsweredReport;
+mod machine_health;
+mod model;
+pub(crate) use delegation::AnsweredHeartbeat;
+mod dependencies;
 mod fleet;
 mod pages;
-mod pipelines;
 mod planning;
-mod reports;
-pub(crate) use reports::{Heard, Held};
+mod worker_heartbeats;
 pub(crate) use watch::direct_call;
+pub(crate) use worker_heartbeats::{DeferredAnswer, ReportOutcome};
 mod consolidation;
 mod store;
 #[cfg(test)]
 mod tests;
 mod watch;
 
-use crate::mail::{Mail, News, Now};
+use crate::effects::{Effects, NodeEvent, Now};
 use crate::recent_map::RecentMap;
 use crate::requests::{
     CloudOp, CloudReply, CloudRequest, CloudTag, LeaderRequest, Priority, RecordId, Reread,
@@ -29,12 +29,12 @@
 };
 use crate::settings::{Operator, Settings};
 use crate::token_bucket::TokenBucket;
-use books::*;
 use constants::*;
+use model::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::ops::Bound;
 use wire::cloud::MachineType;
-use wire::peers::JobNews;
+use wire::peers::JobUpdate;
 use wire::records::*;
 use wire::state::{Change, Item};
 
@@ -51,7 +51,7 @@
 /// A rental request.
 #[derive(Debug, Clone)]
 struct Rental {
-    record: Cell<RentalRecord>,
+    record: RecordCell<RentalRecord>,
     /// The cloud was asked.
     sent: bool,
     retry_at: u64,
@@ -62,13 +62,13 @@
 
 /// Mean and worst of a time, in milliseconds.
 #[derive(Debug, Clone, Copy, Default)]
-struct Lag {
+struct LatencyStats {
     sum: u64,
     n: u64,
     most: u64,
 }
 
-impl Lag {
+impl LatencyStats {
     fn add(&mut self, ms: u64) {
         self.sum += ms;
         self.n += 1;
@@ -76,7 +76,7 @@
     }
 }
 
-impl std::fmt::Display for Lag {
+impl std::fmt::Display for LatencyStats {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}/{}", self.sum / self.n.max(1), self.most)
     }
@@ -84,10 +84,10 @@
 
 /// From the decision to place a task until it was sent, seen and running, since the last summary.
 #[derive(Debug, Clone, Copy, Default)]
-struct Lags {
-    sent: Lag,
-    seen: Lag,
-    ran: Lag,
+struct StartLatencies {
+    sent: LatencyStats,
+    seen: LatencyStats,
+    ran: LatencyStats,
 }
 
 /// Type, zone and kind of a machine.
@@ -109,19 +109,19 @@
     jobs: BTreeMap<String, Job>,
     machines: BTreeMap<String, Machine>,
     /// Machines that are certainly gone, with the time that was learnt.
-    gone: HashMap<String, u64>,
+    departed: HashMap<String, u64>,
     /// Boot times seen in this term, by type.
     boots: HashMap<String, Boots>,
     rentals: BTreeMap<String, Rental>,
-    types: Cell<Vec<MachineType>>,
+    types: RecordCell<Vec<MachineType>>,
     pages: BTreeMap<u32, pages::Page>,
     /// Parts are written in the dense form, which the version before the pipelines can't read.
     dense: bool,
     /// While loading.
     copies: pages::Copies,
-    pipes: pipelines::Pipes,
+    dependencies: dependencies::Dependencies,
     watch_from: u64,
-    /// Moment up to which every cancellation that was confirmed to a user is in these books: when the reading or the
+    /// Moment up to which every cancellation that was confirmed to a user is known here: when the reading or the
     /// last watch was sent that came back whole. 0 while nothing has been read.
     informed_until: u64,
     watch_open: bool,
@@ -129,8 +129,8 @@
     /// Watches that failed in a row.
     watch_fails: u32,
     // Store.
-    dirty: BTreeSet<RecordId>,
-    dirty_order: VecDeque<RecordId>,
+    unsaved: BTreeSet<RecordId>,
+    write_queue: VecDeque<RecordId>,
     pending_transactions: HashMap<u64, store::PendingTransaction>,
     next_transaction_number: u64,
     retries: Vec<(u64, u64)>,
@@ -145,7 +145,7 @@
     next_request: u64,
     refused: HashMap<OfferKey, (u64, u64)>,
     /// Offers whose last request was filled in full: several may be asked for at once.
-    served: BTreeSet<OfferKey>,
+    filled_offers: BTreeSet<OfferKey>,
     next_list: u64,
     next_types: u64,
     list_busy: Option<u64>,
@@ -155,29 +155,29 @@
     next_rent: u64,
     kill_budget: TokenBucket,
     /// Jobs filed away in this term.
-    filed: RecentMap<Final>,
-    /// Jobs that peers, or this node, have said are cancelled and that these books don't have, or not yet.
-    told: RecentMap<()>,
+    archived: RecentMap<Final>,
+    /// Jobs that peers, or this node, have said are cancelled and that are not known here, or not yet.
+    cancellation_notices: RecentMap<()>,
     /// Until when nothing is written, after a transaction that the state service called invalid.
     invalid_until: u64,
     next_summary: u64,
-    spent: fleet::Spent,
+    costs: fleet::CostAccount,
     next_consolidation: u64,
     next_account: u64,
     /// Jobs that a round cut short had found no room for: the next one goes on behind them.
-    passed: BTreeSet<String>,
-    lags: Lags,
+    skipped_jobs: BTreeSet<String>,
+    start_latencies: StartLatencies,
     /// Number of rounds of decisions so far.
     rounds: u64,
     /// Records whose change may wait, with the time up to which.
-    lazy: BTreeMap<RecordId, u64>,
-    next_lazy: u64,
+    deferred_writes: BTreeMap<RecordId, u64>,
+    next_deferred_check: u64,
     /// Something happened that a held answer may have waited for.
-    pub settled: bool,
+    pub has_new_decisions: bool,
     /// Which answers of owners may be out there; nothing where partitions are off.
     delegation: Option<::partitions::Delegation>,
     /// Machines for which something has become pending, and which an owner may be answering.
-    unsettled: Vec<String>,
+    machines_with_new_orders: Vec<String>,
 }
 
 impl Leader {
@@ -207,21 +207,21 @@
             resumed_at: 0,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            gone: HashMap::new(),
+            departed: HashMap::new(),
             boots: HashMap::new(),
             rentals: BTreeMap::new(),
-            types: Cell::new(None, 0),
+            types: RecordCell::new(None, 0),
             pages: BTreeMap::new(),
             dense,
             copies: pages::Copies::default(),
-            pipes: pipelines::Pipes::default(),
+            dependencies: dependencies::Dependencies::default(),
             watch_from: 0,
             informed_until: 0,
             watch_open: false,
             watch_retry_at: 0,
             watch_fails: 0,
-            dirty: BTreeSet::new(),
-            dirty_order: VecDeque::new(),
+            unsaved: BTreeSet::new(),
+            write_queue: VecDeque::new(),
             pending_transactions: HashMap::new(),
             next_transaction_number: 0,
             retries: Vec::new(),
@@ -232,7 +232,7 @@
             last_told: String::new(),
             next_request: 0,
             refused: HashMap::new(),
-            served: BTreeSet::new(),
+            filled_offers: BTreeSet::new(),
             next_list: 0,
             next_types: 0,
             list_busy: None,
@@ -241,30 +241,30 @@
             listed_once: false,
             next_rent: 0,
             kill_budget: TokenBucket::new(20.0, 40.0),
-            filed: RecentMap::new(FINAL_CACHE),
-            told: RecentMap::new(FINAL_CACHE),
+            archived: RecentMap::new(FINAL_CACHE),
+            cancellation_notices: RecentMap::new(FINAL_CACHE),
             invalid_until: 0,
             next_summary: 0,
-            spent: fleet::Spent::default(),
+            costs: fleet::CostAccount::default(),
             next_consolidation: 0,
             next_account: 0,
-            passed: BTreeSet::new(),
-            lags: Lags::default(),
+            skipped_jobs: BTreeSet::new(),
+            start_latencies: StartLatencies::default(),
             rounds: 0,
-            lazy: BTreeMap::new(),
-            next_lazy: 0,
-            settled: false,
+            deferred_writes: BTreeMap::new(),
+            next_deferred_check: 0,
+            has_new_decisions: false,
             delegation: None,
-            unsettled: Vec::new(),
+            machines_with_new_orders: Vec::new(),
         }
     }
 
     /// Nobody is left who could not read the dense form.
-    pub fn upgraded(&mut self, mail: &mut Mail) {
+    pub fn upgraded(&mut self, effects: &mut Effects) {
         // While the records are being read they say themselves which parts are where.
         if self.is_ready() {
             self.go_dense();
-            self.flush(mail);
+            self.flush(effects);
         } else {
             self.dense = true;
         }
@@ -274,19 +274,26 @@
         self.loading == Loading::Ready
     }
 
-    fn ask(&self, priority: Priority, op: StateOp, ask: LeaderRequest, mail: &mut Mail) {
-        mail.state
+    fn send_state_request(
+        &self,
+        priority: Priority,
+        op: StateOp,
+        ask: LeaderRequest,
+        effects: &mut Effects,
+    ) {
+        effects
+            .state
             .push((priority, op, StateTag::Leader(self.term, ask)));
     }
 
-    fn ask_cloud(&self, op: CloudOp, ask: CloudRequest, mail: &mut Mail) {
-        mail.cloud.push((op, CloudTag::Leader(self.term, ask)));
+    fn send_cloud_request(&self, op: CloudOp, ask: CloudRequest, effects: &mut Effects) {
+        effects.cloud.push((op, CloudTag::Leader(self.term, ask)));
     }
 
     /// Time-driven work. `active` tells whether the leader's lease holds and the state service answers:
     /// without that nothing is decided.
-    pub fn tick(&mut self, active: bool, mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub fn tick(&mut self, active: bool, effects: &mut Effects) {
+        let now = effects.now.mono;
         if let Loading::Pages { prefix, from } = self.loading.clone() {
             if !self.load_busy && now >= self.load_retry_at {
                 self.load_busy = true;
@@ -294,7 +301,12 @@
                     self.informed_until = now;
                 }
                 let op = StateOp::List { prefix, from };
-                self.ask(Priority::Leadership, op, LeaderRequest::Load(prefix), mail);
+                self.send_state_request(
+                    Priority::Leadership,
+                    op,
+                    LeaderRequest::Load(prefix),
+                    effects,
+                );
             }
             return;
         }
@@ -304,24 +316,24 @@
                 prefix: JOBS,
                 from: self.watch_from,
             };
-            // Behind the books' own writes it could wait for seconds, and cancellations with it.
-            self.ask(Priority::Leadership, op, LeaderRequest::Watch(now), mail);
+            // Behind the leader's own writes it could wait for seconds, and cancellations with it.
+            self.send_state_request(Priority::Leadership, op, LeaderRequest::Watch(now), effects);
         }
-        self.mind_pipelines(mail);
+        self.maintain_pipelines(effects);
         if now >= self.next_housekeeping {
             self.next_housekeeping = now + HOUSEKEEPING_MS;
             // Pauses and rests end, and doubts are over, without anything happening.
             self.plan_due |= now >= self.next_round + ROUND_AT_LEAST_MS;
-            self.watch_machines(active, mail);
+            self.watch_machines(active, effects);
             if active {
-                self.mind_fleet(mail);
+                self.maintain_fleet(effects);
             }
         }
         if active && self.plan_due && now >= self.next_round {
             self.next_round = now + ROUND_EVERY_MS;
-            self.plan(mail);
+            self.plan(effects);
         }
-        self.flush(mail);
+        self.flush(effects);
     }
 
     /// When [`Leader::tick`] wants to be called. A round that is due waits for `active`: a leader that was cut off
@@ -344,23 +356,23 @@
         self.retries.iter().fold(at, |at, (t, _)| at.min(*t))
     }
 
-    pub fn on_state(&mut self, ask: LeaderRequest, reply: StateReply, mail: &mut Mail) {
+    pub fn on_state(&mut self, ask: LeaderRequest, reply: StateReply, effects: &mut Effects) {
         match ask {
-            LeaderRequest::Load(prefix) => self.on_load(prefix, reply, mail),
-            LeaderRequest::Watch(sent) => self.on_watch(sent, reply, mail),
+            LeaderRequest::Load(prefix) => self.on_load(prefix, reply, effects),
+            LeaderRequest::Watch(sent) => self.on_watch(sent, reply, effects),
             LeaderRequest::PendingTransaction(number) => {
-                self.on_transaction_reply(number, reply, mail)
+                self.on_transaction_reply(number, reply, effects)
             }
-            LeaderRequest::Refresh(what, key) => self.on_refresh(what, key, reply, mail),
-            LeaderRequest::Resync(reread) => self.on_resync(reread, reply, mail),
-            LeaderRequest::Final(id) => self.on_final(&id, reply, mail),
-            LeaderRequest::More(id, number) => self.on_more(id, number, reply, mail),
+            LeaderRequest::Refresh(what, key) => self.on_refresh(what, key, reply, effects),
+            LeaderRequest::Resync(reread) => self.on_resync(reread, reply, effects),
+            LeaderRequest::Final(id) => self.on_final(&id, reply, effects),
+            LeaderRequest::More(id, number) => self.on_more(id, number, reply, effects),
         }
     }
 
-    fn on_load(&mut self, prefix: &'static str, reply: StateReply, mail: &mut Mail) {
+    fn on_load(&mut self, prefix: &'static str, reply: StateReply, effects: &mut Effects) {
         self.load_busy = false;
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         let StateReply::Page(page) = reply else {
             self.load_retry_at = now + STATE_RETRY_MS;
             return;
@@ -374,7 +386,7 @@
         }
         if let (true, Some(from)) = (page.more, last) {
             self.loading = Loading::Pages { prefix, from };
-            return self.tick(false, mail);
+            return self.tick(false, effects);
         }
         let next = match prefix {
             JOBS => Some(MORE),
@@ -387,9 +399,9 @@
             Some(prefix) => {
                 let from = String::new();
                 self.loading = Loading::Pages { prefix, from };
-                self.tick(false, mail);
+                self.tick(false, effects);
             }
-            None => self.loaded(mail),
+            None => self.loaded(effects),
         }
     }
 
@@ -420,7 +432,7 @@
             }),
             RENTALS => value.deserialized::<RentalRecord>().map(|r| {
                 let rental = Rental {
-                    record: Cell::new(Some(r), version),
+                    record: RecordCell::new(Some(r), version),
                     sent: false,
                     retry_at: 0,
                     since: now,
@@ -429,7 +441,7 @@
                 self.rentals.insert(name, rental);
             }),
             _ if key == TYPES => value.deserialized::<Vec<MachineType>>().map(|types| {
-                self.types = Cell::new(Some(types), version);
+                self.types = RecordCell::new(Some(types), version);
             }),
             _ => Ok(()),
         };
@@ -438,43 +450,43 @@
         }
     }
 
-    fn loaded(&mut self, mail: &mut Mail) {
-        let now = mail.now.mono;
+    fn loaded(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
         self.loading = Loading::Ready;
         self.ready_at = now;
         self.next_housekeeping = now + HOUSEKEEPING_MS;
         if let Some(types) = &self.types.saved {
-            mail.news.push(News::Types(types.clone()));
+            effects.events.push(NodeEvent::Types(types.clone()));
         }
         self.settle_copies();
         for (id, job) in &mut self.jobs {
-            job.aborted |= self.told.contains(id);
+            job.aborted |= self.cancellation_notices.contains(id);
         }
-        let mut places = Vec::new();
+        let mut assignments = Vec::new();
         for (id, job) in &self.jobs {
-            for (task, place) in job.places() {
-                places.push((place.machine.clone(), id.clone(), task));
+            for (task, assignment) in job.assignments() {
+                assignments.push((assignment.machine.clone(), id.clone(), task));
             }
         }
-        for (machine, id, task) in places {
+        for (machine, id, task) in assignments {
             self.machines
                 .entry(machine)
                 .or_insert_with(|| Machine::new(now))
-                .places
+                .assignments
                 .insert((id, task));
         }
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in &ids {
-            self.await_needs(id, mail.now);
+            self.track_dependencies(id, effects.now);
         }
         for id in ids {
             if self.jobs.get(&id).is_some_and(|j| j.aborted) {
-                self.abort_places(&id, mail.now);
+                self.cancel_assignments(&id, effects.now);
             }
-            self.mark_if_final(&id);
+            self.queue_write_if_final(&id);
         }
         log::info!(
-            "event=books_loaded term={} jobs={} pages={} machines={} rentals={} took_ms={}",
+            "event=leader_state_loaded term={} jobs={} pages={} machines={} rentals={} took_ms={}",
             self.term,
             self.jobs.len(),
             self.pages.len(),
@@ -483,36 +495,36 @@
             now.saturating_sub(self.since)
         );
         self.plan_due = true;
-        self.tick(false, mail);
+        self.tick(false, effects);
     }
 
-    fn on_watch(&mut self, sent: u64, reply: StateReply, mail: &mut Mail) {
+    fn on_watch(&mut self, sent: u64, reply: StateReply, effects: &mut Effects) {
         self.watch_open = false;
         match reply {
             StateReply::Changes(changes) => {
                 self.watch_fails = 0;
                 for change in changes.events {
-                    self.on_change(change, mail);
+                    self.on_change(change, effects);
                 }
                 self.watch_from = self.watch_from.max(changes.revision);
                 self.informed_until = self.informed_until.max(sent);
-                self.watch_retry_at = mail.now.mono + WATCH_EVERY_MS;
-                self.tick(false, mail);
+                self.watch_retry_at = effects.now.mono + WATCH_EVERY_MS;
+                self.tick(false, effects);
             }
-            StateReply::TooOld => self.resync(mail),
+            StateReply::TooOld => self.resync(effects),
             _ => {
                 self.watch_fails += 1;
-                self.watch_retry_at = mail.now.mono + STATE_RETRY_MS;
+                self.watch_retry_at = effects.now.mono + STATE_RETRY_MS;
                 // Its answer has no size limit: one too large to be read would come again and again.
                 if self.watch_fails >= WATCH_TRIES {
-                    self.resync(mail);
+                    self.resync(effects);
                 }
             }
         }
     }
 
     /// Reads all open jobs again instead of what has changed.
-    fn resync(&mut self, mail: &mut Mail) {
+    fn resync(&mut self, effects: &mut Effects) {
         log::info!(
             "event=resync from={} fails={}",
             self.watch_from,
@@ -525,17 +537,22 @@
             from: String::new(),
         };
         let reread = Reread {
-            since: mail.now.mono,
+            since: effects.now.mono,
             revision: 0,
         };
-        self.ask(Priority::Books, op, LeaderRequest::Resync(reread), mail);
+        self.send_state_request(
+            Priority::LeaderRecords,
+            op,
+            LeaderRequest::Resync(reread),
+            effects,
+        );
     }
 
     /// The watch had fallen too far behind: all open jobs are read again, page by page.
-    fn on_resync(&mut self, reread: Reread, reply: StateReply, mail: &mut Mail) {
+    fn on_resync(&mut self, reread: Reread, reply: StateReply, effects: &mut Effects) {
         let StateReply::Page(page) = reply else {
             self.watch_open = false;
-            self.watch_retry_at = mail.now.mono + STATE_RETRY_MS;
+            self.watch_retry_at = effects.now.mono + STATE_RETRY_MS;
             return;
         };
         let revision = match reread.revision {
@@ -550,24 +567,24 @@
                 delete: None,
                 version: item.version,
             };
-            self.on_change(change, mail);
+            self.on_change(change, effects);
         }
         match (page.more, last) {
             (true, Some(from)) => {
                 let op = StateOp::List { prefix: JOBS, from };
                 let ask = LeaderRequest::Resync(Reread { revision, ..reread });
-                self.ask(Priority::Books, op, ask, mail);
+                self.send_state_request(Priority::LeaderRecords, op, ask, effects);
             }
             _ => {
                 self.watch_from = self.watch_from.max(revision);
                 self.informed_until = self.informed_until.max(reread.since);
                 self.watch_open = false;
-                self.tick(false, mail);
+                self.tick(false, effects);
             }
         }
     }
 
-    fn on_change(&mut self, change: Change, mail: &mut Mail) {
+    fn on_change(&mut self, change: Change, effects: &mut Effects) {
         let (Some(key), Some(value)) = (change.put, change.value) else {
             // Only this leader files jobs away, and it knows when it does.
             return;
@@ -579,12 +596,12 @@
             log::error!("event=record_unreadable key={key}");
             return;
         };
-        self.learn_job(id, record, change.version, mail);
+        self.learn_job(id, record, change.version, effects);
     }
 
-    fn learn_job(&mut self, id: &str, record: JobRecord, version: u64, mail: &mut Mail) {
-        let now = mail.now;
-        let filed = self.filed_as(id).is_some();
+    fn learn_job(&mut self, id: &str, record: JobRecord, version: u64, effects: &mut Effects) {
+        let now = effects.now;
+        let archived = self.archived_as(id).is_some();
         match self.jobs.get_mut(id) {
             Some(job) if version <= job.version => return,
             Some(job) => {
@@ -592,25 +609,25 @@
                 job.recorded_abort = record.aborted;
                 if record.aborted && !job.aborted {
                     job.aborted = true;
-                    log::info!("event=abort_seen job={id} placed={}", job.placed);
-                    self.abort_places(id, now);
-                    self.cascade_from(id);
+                    log::info!("event=cancellation_read job={id} placed={}", job.assigned);
+                    self.cancel_assignments(id, now);
+                    self.cancel_dependents(id);
                 }
             }
             // A job that was filed away can't come back: ids are created once.
-            None if filed => return,
+            None if archived => return,
             // Of a cancelled one the rest is of no interest.
             None if record.more > 0 && !record.aborted => {
-                return self.fetch_more(id, record, version, mail);
+                return self.fetch_more(id, record, version, effects);
             }
-            None => return self.insert_job(id, record, version, mail),
+            None => return self.insert_job(id, record, version, effects),
         }
         self.plan_due = true;
-        self.mark_if_final(id);
+        self.queue_write_if_final(id);
     }
 
     /// A job that has become known.
-    fn insert_job(&mut self, id: &str, record: JobRecord, version: u64, mail: &mut Mail) {
+    fn insert_job(&mut self, id: &str, record: JobRecord, version: u64, effects: &mut Effects) {
         log::info!(
             "event=job_seen job={id} class={} team={} tasks={} gang={} guess_s={:.0} due_s={:.0} needs={}",
             record.spec.class,
@@ -622,98 +639,109 @@
             record.spec.needs.len()
         );
         let mut job = Job::new(record, version);
-        job.aborted |= self.told.contains(id);
+        job.aborted |= self.cancellation_notices.contains(id);
         if self.dense {
             job.split();
         }
         if !job.spec.needs.is_empty() && !self.dense {
-            mail.news.push(News::Proven("a job that needs others"));
+            effects
+                .events
+                .push(NodeEvent::Proven("a job that needs others"));
         }
         self.jobs.insert(id.to_string(), job);
-        self.await_needs(id, mail.now);
+        self.track_dependencies(id, effects.now);
         self.plan_due = true;
-        self.mark_if_final(id);
+        self.queue_write_if_final(id);
     }
 
     /// A node is about to confirm a cancellation. The record follows by the watch, unless the state service has
     /// gone in between: the tasks must stop all the same.
     ///
-    /// A job that is not in the books may be read any moment, in a record older than the cancellation.
-    pub fn abort_told(&mut self, id: &str, now: Now) {
-        let (loading, filed) = (!self.is_ready(), self.filed_as(id).is_some());
+    /// A job that is not known yet may be read any moment, in a record older than the cancellation.
+    pub fn on_cancellation_notice(&mut self, id: &str, now: Now) {
+        let (loading, archived) = (!self.is_ready(), self.archived_as(id).is_some());
         match self.jobs.get_mut(id).filter(|_| !loading) {
             Some(job) if job.aborted => {}
             Some(job) => {
                 job.aborted = true;
-                log::info!("event=abort_told job={id} placed={}", job.placed);
-                self.abort_places(id, now);
-                self.cascade_from(id);
-                self.mark_if_final(id);
+                log::info!(
+                    "event=on_cancellation_notice job={id} placed={}",
+                    job.assigned
+                );
+                self.cancel_assignments(id, now);
+                self.cancel_dependents(id);
+                self.queue_write_if_final(id);
             }
-            None if !filed => self.told.insert(id.to_string(), ()),
+            None if !archived => self.cancellation_notices.insert(id.to_string(), ()),
             None => {}
         }
     }
 
-    /// Moment up to which every cancellation confirmed to a user is in these books; nothing while they are being read.
+    /// Moment up to which every cancellation confirmed to a user is known here; nothing while they are being read.
     pub fn informed_until(&self) -> Option<u64> {
         self.is_ready().then_some(self.informed_until)
     }
 
     /// Cancelled: what was not sent goes at once, the rest is killed, whatever it had been told before. Called
-    /// when an abort is seen and for jobs that were already cancelled when the books were loaded.
-    fn abort_places(&mut self, id: &str, now: Now) {
+    /// when an abort is seen and for jobs that were already cancelled when the records were loaded.
+    fn cancel_assignments(&mut self, id: &str, now: Now) {
         let Some(job) = self.jobs.get(id) else { return };
-        let places: Vec<(u32, Stage)> = job.places().map(|(t, p)| (t, p.stage)).collect();
-        for (task, stage) in places {
-            if stage == Stage::Ready {
-                self.free_place(id, task, "aborted before it was sent", now);
-            } else if let Some(place) = self.jobs.get_mut(id).and_then(|j| j.place_mut(task)) {
-                place.stop = Some(Stop {
+        let assignments: Vec<(u32, AssignmentStage)> =
+            job.assignments().map(|(t, p)| (t, p.stage)).collect();
+        for (task, stage) in assignments {
+            if stage == AssignmentStage::Ready {
+                self.release_assignment(id, task, "aborted before it was sent", now);
+            } else if let Some(assignment) =
+                self.jobs.get_mut(id).and_then(|j| j.assignment_mut(task))
+            {
+                assignment.stop = Some(Stop {
                     since: now.mono,
                     grace_s: 0.0,
                     why: "aborted",
                 });
-                let machine = place.machine.clone();
+                let machine = assignment.machine.clone();
                 if let Some(m) = self.machines.get_mut(&machine) {
                     m.stops = true;
                 }
-                self.unsettle(machine);
+                self.note_pending_orders(machine);
             }
         }
     }
 
     /// Takes a place away that is certainly free.
-    fn free_place(&mut self, id: &str, task: u32, why: &str, now: Now) {
+    fn release_assignment(&mut self, id: &str, task: u32, why: &str, now: Now) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(place) = job.vacate(task) else {
+        let Some(assignment) = job.vacate(task) else {
             return;
         };
-        let running = matches!(place.phase, Some(TaskPhase::Running | TaskPhase::Saving));
-        if job.is_gang() && job.placed > 0 && (running || job.started) && !job.all_done() {
+        let running = matches!(
+            assignment.phase,
+            Some(TaskPhase::Running | TaskPhase::Saving)
+        );
+        if job.is_gang() && job.assigned > 0 && (running || job.started) && !job.all_done() {
             job.broken = true;
         }
         log::info!(
-            "event=place_freed task={id}/{task} try={} machine={} why={why:?}",
-            place.attempt,
-            place.machine
+            "event=assignment_released task={id}/{task} try={} machine={} why={why:?}",
+            assignment.attempt,
+            assignment.machine
         );
-        if let Some(m) = self.machines.get_mut(&place.machine) {
-            m.places.remove(&(id.to_string(), task));
-            if m.places.is_empty() {
+        if let Some(m) = self.machines.get_mut(&assignment.machine) {
+            m.assignments.remove(&(id.to_string(), task));
+            if m.assignments.is_empty() {
                 m.idle_since = now.mono;
                 m.stops = false;
             }
         }
         self.plan_due = true;
-        self.mark_lazily(RecordId::Job(id.to_string()), now);
+        self.defer_write(RecordId::Job(id.to_string()), now);
     }
 
-    fn mark_if_final(&mut self, id: &str) {
+    fn queue_write_if_final(&mut self, id: &str) {
         if self.jobs.get(id).is_some_and(|j| j.final_due().is_some()) {
-            self.mark(RecordId::Job(id.to_string()));
+            self.queue_write(RecordId::Job(id.to_string()));
         }
     }
 
@@ -724,27 +752,30 @@
     ///
     /// Where there are more jobs than a message holds, each message goes on where the last one ended. With the first
     /// ones told again and again, all nodes had to read each of the others by itself.
-    pub fn next_news(&mut self) -> Vec<JobNews> {
+    pub fn next_job_updates(&mut self) -> Vec<JobUpdate> {
         let last = std::mem::take(&mut self.last_told);
         let after = (Bound::Excluded(last.as_str()), Bound::Unbounded);
         let up_to = (Bound::Unbounded, Bound::Included(last.as_str()));
-        let all = self.news(after).chain(self.news(up_to));
-        let news: Vec<JobNews> = all.take(NEWS_MAX).collect();
-        if let Some(last) = news.last().filter(|_| news.len() == NEWS_MAX) {
+        let all = self.job_updates(after).chain(self.job_updates(up_to));
+        let updates: Vec<JobUpdate> = all.take(JOB_UPDATES_MAX).collect();
+        if let Some(last) = updates.last().filter(|_| updates.len() == JOB_UPDATES_MAX) {
             self.last_told = last.id.clone();
         }
-        news
+        updates
     }
 
-    fn news<'a>(&'a self, range: (Bound<&str>, Bound<&str>)) -> impl Iterator<Item = JobNews> + 'a {
+    fn job_updates<'a>(
+        &'a self,
+        range: (Bound<&str>, Bound<&str>),
+    ) -> impl Iterator<Item = JobUpdate> + 'a {
         let jobs = self.jobs.range::<str, _>(range);
-        let free = jobs.filter(|(_, job)| !job.is_held());
+        let free = jobs.filter(|(_, job)| !job.awaits_dependencies());
         free.map(|(id, job)| {
             let running = job
-                .places()
+                .assignments()
                 .filter(|(_, p)| p.phase == Some(TaskPhase::Running))
                 .count();
-            JobNews {
+            JobUpdate {
                 id: id.clone(),
                 done: job.done as u32,
                 running: running as u32,
@@ -755,12 +786,12 @@
     }
 
     /// The process stood still until now, and reports waited unread.
-    pub fn stood_still(&mut self, now: u64) {
+    pub fn on_stall(&mut self, now: u64) {
         self.resumed_at = now;
     }
 
     /// Whether workers that report here have all fallen silent.
-    pub fn hears_nobody(&self, now: u64) -> bool {
+    pub fn no_worker_reports(&self, now: u64) -> bool {
         let known = self.machines.values();
         let mut known = known.filter(|m| m.synced && !m.failed).peekable();
         let silent_ms = (self.settings.deployment.workers.report_s * 2500.0) as u64;
@@ -782,16 +813,23 @@
 
     /// Whether answers reach no worker, though reports arrive: the session of each ended too soon under them, and none
     /// has outlived a lease since.
-    pub fn is_heard_by_nobody(&self, now: u64) -> bool {
-        let lease_ms = self.lease_lapse_ms();
+    pub fn no_worker_receives(&self, now: u64) -> bool {
+        let lease_ms = self.lease_expiry_ms();
         let mut known = self.machines.values().filter(|m| m.synced && !m.failed);
-        let unheard = |m: &Machine| m.lapses > 0 && now <= m.session_since + lease_ms;
-        known.clone().next().is_some() && known.all(unheard)
+        let undelivered_starts =
+            |m: &Machine| m.early_expiries > 0 && now <= m.incarnation_since + lease_ms;
+        known.clone().next().is_some() && known.all(undelivered_starts)
     }
 
-    pub fn on_cloud(&mut self, ask: CloudRequest, op: CloudOp, reply: CloudReply, mail: &mut Mail) {
-        self.cloud_answered(ask, op, reply, mail);
-        self.flush(mail);
+    pub fn on_cloud(
+        &mut self,
+        ask: CloudRequest,
+        op: CloudOp,
+        reply: CloudReply,
+        effects: &mut Effects,
+    ) {
+        self.cloud_answered(ask, op, reply, effects);
+        self.flush(effects);
     }
 }
 
--- a/crates/control/src/leader/books.rs
+++ b/crates/control/src/leader/model/mod.rs
@@ -9,13 +9,13 @@
 
 /// How far a place has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Stage {
+pub(crate) enum AssignmentStage {
     /// Found in the records: an earlier leader may have started it.
     Recorded,
     /// Ours; `launch` is sent once the record is safe.
     Ready,
     /// `launch` went out in the answer to this report.
-    Sent { session: u64, seq: u64 },
+    Sent { incarnation: u64, seq: u64 },
     /// The worker has reported it.
     Seen,
 }
@@ -30,12 +30,12 @@
 
 /// Where a task is or may be.
 #[derive(Debug, Clone)]
-pub(crate) struct Place {
+pub(crate) struct Assignment {
     pub machine: String,
     pub attempt: u64,
     /// Number of the chunk's change that made it.
     pub seq: u64,
-    pub stage: Stage,
+    pub stage: AssignmentStage,
     pub phase: Option<TaskPhase>,
     pub running_since: Option<u64>,
     pub pilot: bool,
@@ -50,7 +50,7 @@
     /// Page that holds what was last recorded of it.
     pub home: Option<u32>,
     pub done: RangeSet,
-    pub places: BTreeMap<u32, Place>,
+    pub assignments: BTreeMap<u32, Assignment>,
     pub hi: u64,
     pub secs: f64,
     pub timed: u32,
@@ -64,7 +64,7 @@
         ChunkRecord {
             done: self.done.to_string(),
             at: self
-                .places
+                .assignments
                 .iter()
                 .map(|(t, p)| (*t, p.attempt, p.machine.clone()))
                 .collect(),
@@ -74,26 +74,26 @@
         }
     }
 
-    pub fn dirty(&self) -> bool {
+    pub fn is_unsaved(&self) -> bool {
         self.seq > self.saved
     }
 
     /// Whether it has places that are not recorded yet: their record must fail once the job is cancelled.
-    pub fn has_new_places(&self) -> bool {
-        let new = |p: &Place| p.stage == Stage::Ready && p.seq > self.saved;
-        self.dirty() && self.places.values().any(new)
+    pub fn has_new_assignments(&self) -> bool {
+        let new = |p: &Assignment| p.stage == AssignmentStage::Ready && p.seq > self.saved;
+        self.is_unsaved() && self.assignments.values().any(new)
     }
 
     /// A cautious guess at the bytes of its record, in the form that limits count in.
     pub fn bytes(&self, dense: bool) -> usize {
         let done = self.done.to_string().len();
         if !dense {
-            let place = |p: &Place| 26 + p.machine.len();
-            return 150 + done + self.places.values().map(place).sum::<usize>();
+            let assignment = |p: &Assignment| 26 + p.machine.len();
+            return 150 + done + self.assignments.values().map(assignment).sum::<usize>();
         }
         // The names' common part is counted once; attempts other than the highest are written out.
-        let names = self.places.values().map(|p| p.machine.as_bytes());
-        let first = self.places.values().next().map_or("", |p| &p.machine);
+        let names = self.assignments.values().map(|p| p.machine.as_bytes());
+        let first = self.assignments.values().next().map_or("", |p| &p.machine);
         let same = |name: &[u8]| {
             name.iter()
                 .zip(first.as_bytes())
@@ -101,7 +101,7 @@
                 .count()
         };
         let common = names.map(same).min().unwrap_or(0);
-        let place = |p: &Place| {
+        let assignment = |p: &Assignment| {
             let attempt = if p.attempt == self.hi && !p.machine.contains(':') {
                 0
             } else {
@@ -109,7 +109,7 @@
             };
             10 + attempt + p.machine.len() - common
         };
-        125 + common + done + self.places.values().map(place).sum::<usize>()
+        125 + common + done + self.assignments.values().map(assignment).sum::<usize>()
     }
 
     /// The quarter (or whichever part) of a wide part that holds these tasks. What was timed goes with the first.
@@ -118,11 +118,11 @@
         for t in self.done.iter().filter(|t| tasks.contains(t)) {
             done.insert(t);
         }
-        let places = self.places.range(tasks).map(|(t, p)| (*t, p.clone()));
+        let assignments = self.assignments.range(tasks).map(|(t, p)| (*t, p.clone()));
         Chunk {
             home: self.home,
             done,
-            places: places.collect(),
+            assignments: assignments.collect(),
             hi: self.hi,
             secs: if first { self.secs } else { 0.0 },
             timed: if first { self.timed } else { 0 },
@@ -136,7 +136,7 @@
 /// first of them to meet its deadline, and for it to meet the last moment that an aim still counts; and the highest
 /// priority among them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Reach {
+pub(crate) struct DownstreamDemand {
     pub ends: Option<(u64, u64)>,
     pub priority: Priority,
 }
@@ -145,7 +145,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Job {
     pub spec: Submission,
-    pub at: u64,
+    pub submitted_at: u64,
     pub version: u64,
     pub aborted: bool,
     /// Whether the record of that version says so; a notice may have come ahead of it.
@@ -158,28 +158,28 @@
     /// When the last of them was, by this leader's knowledge (time of day, ms): from then on it waits for a place.
     pub ready_at: u64,
     /// What the jobs that need it make of its deadline and priority.
-    pub reach: Option<Reach>,
+    pub downstream: Option<DownstreamDemand>,
     /// Tasks that are done or have a place.
     pub busy: RangeSet,
     pub done: u64,
-    pub placed: u32,
+    pub assigned: u32,
     /// Tasks on machines without a record, by (task, machine): not to be started again until they are gone.
-    pub strays: BTreeSet<(u32, String)>,
+    pub orphans: BTreeSet<(u32, String)>,
     /// It is being filed away, or its record is being read again.
-    pub inflight: bool,
+    pub in_flight: bool,
     /// Gang: its present attempt has run, or can't be completed any more.
     pub started: bool,
     pub broken: bool,
     /// Gang: some of its tasks waited in vain for others that are still fetching the image.
     pub alone: bool,
-    pub fails: u32,
+    pub failures: u32,
     /// Under earlier leaders all that was started of it ended with nothing done.
-    pub fruitless: bool,
-    pub fail_machines: BTreeSet<String>,
+    pub failed_under_earlier_leaders: bool,
+    pub failed_machines: BTreeSet<String>,
     pub pause_until: u64,
     pub first_run: Option<u64>,
     /// Machines kept from filling up for this gang.
-    pub kept: Vec<String>,
+    pub reserved_machines: Vec<String>,
     /// Further records that its submission takes.
     pub more: u32,
 }
@@ -189,7 +189,7 @@
         let more = record.more;
         Job {
             spec: record.spec,
-            at: record.at,
+            submitted_at: record.at,
             version,
             aborted: record.aborted,
             recorded_abort: record.aborted,
@@ -197,33 +197,33 @@
             chunks: BTreeMap::new(),
             needs: BTreeSet::new(),
             ready_at: record.at,
-            reach: None,
+            downstream: None,
             busy: RangeSet::default(),
             done: 0,
-            placed: 0,
-            strays: BTreeSet::new(),
-            inflight: false,
+            assigned: 0,
+            orphans: BTreeSet::new(),
+            in_flight: false,
             started: false,
             broken: false,
             alone: false,
-            fails: 0,
-            fruitless: false,
-            fail_machines: BTreeSet::new(),
+            failures: 0,
+            failed_under_earlier_leaders: false,
+            failed_machines: BTreeSet::new(),
             pause_until: 0,
             first_run: None,
-            kept: Vec::new(),
+            reserved_machines: Vec::new(),
             more,
         }
     }
 
     /// Whether it waits for other jobs: then it is as good as not there.
-    pub fn is_held(&self) -> bool {
+    pub fn awaits_dependencies(&self) -> bool {
         !self.needs.is_empty()
     }
 
     /// The highest priority among it and the jobs that need it.
     pub fn priority(&self) -> Priority {
-        let reached = self.reach.map_or(self.spec.priority, |r| r.priority);
+        let reached = self.downstream.map_or(self.spec.priority, |r| r.priority);
         reached.max(self.spec.priority)
     }
 
@@ -293,52 +293,54 @@
         }
     }
 
-    pub fn place(&self, task: u32) -> Option<&Place> {
-        self.chunk(task)?.places.get(&task)
+    pub fn assignment(&self, task: u32) -> Option<&Assignment> {
+        self.chunk(task)?.assignments.get(&task)
     }
 
-    pub fn place_mut(&mut self, task: u32) -> Option<&mut Place> {
-        self.chunk_mut(task)?.places.get_mut(&task)
+    pub fn assignment_mut(&mut self, task: u32) -> Option<&mut Assignment> {
+        self.chunk_mut(task)?.assignments.get_mut(&task)
     }
 
-    pub fn places(&self) -> impl Iterator<Item = (u32, &Place)> {
+    pub fn assignments(&self) -> impl Iterator<Item = (u32, &Assignment)> {
         self.chunks
             .values()
-            .flat_map(|c| c.places.iter().map(|(t, p)| (*t, p)))
+            .flat_map(|c| c.assignments.iter().map(|(t, p)| (*t, p)))
     }
 
     /// Whether everything known about a task's chunk is recorded.
     pub fn is_saved(&self, task: u32) -> bool {
-        self.chunk(task).is_none_or(|c| !c.dirty())
+        self.chunk(task).is_none_or(|c| !c.is_unsaved())
     }
 
     /// Whether a task has a place that is recorded and whose start has not been sent.
     pub fn is_startable(&self, task: u32) -> bool {
         let chunk = self.chunk(task);
-        let place = chunk.and_then(|c| Some((c, c.places.get(&task)?)));
-        place.is_some_and(|(c, p)| p.stage == Stage::Ready && p.seq <= c.saved && p.stop.is_none())
+        let assignment = chunk.and_then(|c| Some((c, c.assignments.get(&task)?)));
+        assignment.is_some_and(|(c, p)| {
+            p.stage == AssignmentStage::Ready && p.seq <= c.saved && p.stop.is_none()
+        })
     }
 
     /// Takes in a part as a record has it, in the form that the job is in.
     pub fn load_chunk(&mut self, part: u32, seq: u64, record: ChunkRecord, page: u32) {
-        let place = |(task, attempt, machine)| {
-            let place = Place {
+        let assignment = |(task, attempt, machine)| {
+            let assignment = Assignment {
                 machine,
                 attempt,
                 seq: 0,
-                stage: Stage::Recorded,
+                stage: AssignmentStage::Recorded,
                 phase: None,
                 running_since: None,
                 pilot: false,
                 stop: None,
                 at: 0,
             };
-            (task, place)
+            (task, assignment)
         };
         let chunk = Chunk {
             home: Some(page),
             done: RangeSet::parse(&record.done).unwrap_or_default(),
-            places: record.at.into_iter().map(place).collect(),
+            assignments: record.at.into_iter().map(assignment).collect(),
             hi: record.hi,
             secs: record.secs,
             timed: record.timed,
@@ -351,11 +353,11 @@
     /// Counts what the loaded parts hold.
     pub fn count_chunks(&mut self) {
         self.busy = RangeSet::default();
-        (self.done, self.placed) = (0, 0);
+        (self.done, self.assigned) = (0, 0);
         for chunk in self.chunks.values() {
             self.done += chunk.done.len();
-            self.placed += chunk.places.len() as u32;
-            for t in chunk.done.iter().chain(chunk.places.keys().copied()) {
+            self.assigned += chunk.assignments.len() as u32;
+            for t in chunk.done.iter().chain(chunk.assignments.keys().copied()) {
                 self.busy.insert(t);
             }
         }
@@ -367,38 +369,38 @@
         let chunk = self.chunks.entry(part).or_default();
         chunk.seq += 1;
         chunk.hi = chunk.hi.max(attempt);
-        let place = Place {
+        let assignment = Assignment {
             machine: machine.to_string(),
             attempt,
             seq: chunk.seq,
-            stage: Stage::Ready,
+            stage: AssignmentStage::Ready,
             phase: None,
             running_since: None,
             pilot,
             stop: None,
             at: now,
         };
-        chunk.places.insert(task, place);
-        self.placed += 1;
+        chunk.assignments.insert(task, assignment);
+        self.assigned += 1;
         self.busy.insert(task);
     }
 
     /// Takes a task's place away, the task not being done.
-    pub fn vacate(&mut self, task: u32) -> Option<Place> {
+    pub fn vacate(&mut self, task: u32) -> Option<Assignment> {
         let part = self.part_of(task);
         let chunk = self.chunks.get_mut(&part)?;
-        let place = chunk.places.remove(&task)?;
+        let assignment = chunk.assignments.remove(&task)?;
         chunk.seq += 1;
-        self.placed -= 1;
+        self.assigned -= 1;
         if !chunk.done.contains(task) {
             self.busy.remove(task);
         }
-        if self.placed == 0 {
+        if self.assigned == 0 {
             self.started = false;
             self.broken = false;
             self.alone = false;
         }
-        Some(place)
+        Some(assignment)
     }
 
     /// Records a task as done; true if that is new.
@@ -444,39 +446,39 @@
     }
 
     /// Whether one of its tasks has completed, or has been running for a while at one of the places that count.
-    pub fn is_sound(&self, now: u64, counts: impl Fn(&Place) -> bool) -> bool {
-        let runs_on = |p: &Place| {
+    pub fn is_sound(&self, now: u64, counts: impl Fn(&Assignment) -> bool) -> bool {
+        let runs_on = |p: &Assignment| {
             let since = p.running_since;
             since.is_some_and(|at| now >= at + constants::SOUND_RUN_MS)
         };
-        self.done > 0 || self.places().any(|(_, p)| counts(p) && runs_on(p))
+        self.done > 0 || self.assignments().any(|(_, p)| counts(p) && runs_on(p))
     }
 
     /// Whether it has failed on so many machines that it most likely fails on all of them.
     pub fn seems_to_fail_everywhere(&self) -> bool {
-        self.fruitless || self.fail_machines.len() > constants::FAULTY_JOBS
+        self.failed_under_earlier_leaders || self.failed_machines.len() > constants::FAULTY_JOBS
     }
 
     /// Whether its records show several attempts that have ended and nothing that is done. They do not tell why; if
     /// it was by failures, they must not begin anew with short pauses under each leader.
-    pub fn has_been_fruitless(&self) -> bool {
+    pub fn has_failed_under_earlier_leaders(&self) -> bool {
         let (attempts, present) = match self.is_gang() {
-            true => (self.highest_attempt(), u64::from(self.placed > 0)),
+            true => (self.highest_attempt(), u64::from(self.assigned > 0)),
             false => (
                 self.chunks.values().map(|c| c.hi).sum(),
-                u64::from(self.placed),
+                u64::from(self.assigned),
             ),
         };
         let ended = attempts.saturating_sub(present);
-        let idle = self.is_gang() || self.placed <= 1;
+        let idle = self.is_gang() || self.assigned <= 1;
         self.done == 0 && idle && ended >= constants::FRUITLESS_ATTEMPTS
     }
 
     /// Milliseconds for which it is left alone after a failure.
     pub fn error_pause_ms(&self) -> u64 {
-        let pause = match self.fruitless {
+        let pause = match self.failed_under_earlier_leaders {
             true => constants::ERROR_PAUSE_MAX_MS,
-            false => constants::ERROR_PAUSE_MS << self.fails.min(5),
+            false => constants::ERROR_PAUSE_MS << self.failures.min(5),
         };
         pause.min(constants::ERROR_PAUSE_MAX_MS)
     }
@@ -485,7 +487,7 @@
     pub fn final_due(&self) -> Option<Final> {
         // A user who was told "cancelled" must never hear "done", even if every task completes meanwhile.
         if self.aborted {
-            (self.placed == 0 && self.strays.is_empty()).then_some(Final::Aborted)
+            (self.assigned == 0 && self.orphans.is_empty()).then_some(Final::Aborted)
         } else {
             self.all_done().then_some(Final::Done)
         }
@@ -494,25 +496,25 @@
 
 /// A record that is to be as wanted, with what is known to be in the store.
 #[derive(Debug, Clone)]
-pub(crate) struct Cell<T> {
-    pub want: Option<T>,
+pub(crate) struct RecordCell<T> {
+    pub desired: Option<T>,
     pub saved: Option<T>,
     pub version: u64,
-    pub inflight: bool,
+    pub in_flight: bool,
 }
 
-impl<T: PartialEq + Clone> Cell<T> {
+impl<T: PartialEq + Clone> RecordCell<T> {
     pub fn new(saved: Option<T>, version: u64) -> Self {
-        Cell {
-            want: saved.clone(),
+        RecordCell {
+            desired: saved.clone(),
             saved,
             version,
-            inflight: false,
+            in_flight: false,
         }
     }
 
-    pub fn dirty(&self) -> bool {
-        self.want != self.saved
+    pub fn is_unsaved(&self) -> bool {
+        self.desired != self.saved
     }
 }
 
@@ -550,15 +552,15 @@
     pub addr: Option<String>,
     /// It is to be given back, or is on its way.
     pub returning: bool,
-    pub session: u64,
+    pub incarnation: u64,
     pub seq: u64,
     /// The last session whose lease has certainly run out: reports of it, or of an earlier one, arrive late.
-    pub ended_session: u64,
+    pub ended_incarnation: u64,
     /// The worker is known to have seen our term.
     pub token_seen: bool,
     /// A report with our term has been worked in.
     pub synced: bool,
-    pub last_report: Option<u64>,
+    pub last_heartbeat: Option<u64>,
     pub last_answer: Option<u64>,
     pub first_known: u64,
     /// When it is taken away.
@@ -566,7 +568,7 @@
     pub draining: Option<&'static str>,
     pub listed: bool,
     pub failed: bool,
-    pub missing_lists: u32,
+    pub missed_listings: u32,
     /// Some task of it has been told to stop.
     pub stops: bool,
     /// The cloud has named or listed it, so that it may be counted on.
@@ -574,18 +576,18 @@
     /// We rented it ourselves, so that its age is known.
     pub rented: bool,
     /// When its present session was first heard of.
-    pub session_since: u64,
+    pub incarnation_since: u64,
     /// Starts in a row that were sent in answers and not taken.
-    pub unheard: u32,
+    pub undelivered_starts: u32,
     /// Sessions in a row that ended sooner than a lease after our last answer.
-    pub lapses: u32,
+    pub early_expiries: u32,
     /// Since when our answers seem not to reach it, though its reports reach us.
-    pub doubted: Option<u64>,
+    pub unreachable_since: Option<u64>,
     /// A report of it waits for its answer.
     pub held: bool,
     pub images: BTreeMap<String, (u64, f64)>,
-    pub places: BTreeSet<(String, u32)>,
-    pub strays: BTreeSet<(String, u32, u64)>,
+    pub assignments: BTreeSet<(String, u32)>,
+    pub orphans: BTreeSet<(String, u32, u64)>,
     pub failed_jobs: BTreeSet<String>,
     /// Sum and number of (run time / job's mean) of tasks completed here.
     pub pace: (f64, u32),
@@ -617,30 +619,30 @@
             known: false,
             addr: None,
             returning: false,
-            session: 0,
+            incarnation: 0,
             seq: 0,
-            ended_session: 0,
+            ended_incarnation: 0,
             token_seen: false,
             synced: false,
-            last_report: None,
+            last_heartbeat: None,
             last_answer: None,
             first_known: now,
             notice_at: None,
             draining: None,
             listed: false,
             failed: false,
-            missing_lists: 0,
+            missed_listings: 0,
             stops: false,
             expected: false,
             rented: false,
-            session_since: now,
-            unheard: 0,
-            lapses: 0,
-            doubted: None,
+            incarnation_since: now,
+            undelivered_starts: 0,
+            early_expiries: 0,
+            unreachable_since: None,
             held: false,
             images: BTreeMap::new(),
-            places: BTreeSet::new(),
-            strays: BTreeSet::new(),
+            assignments: BTreeSet::new(),
+            orphans: BTreeSet::new(),
             failed_jobs: BTreeSet::new(),
             pace: (0.0, 0),
             idle_since: now,
@@ -663,13 +665,13 @@
     /// Whether the worker's lease has certainly run out, and with it every task of its session. The worker had seen our
     /// term, so only answers under it have counted since: ours, and those of an owner, which may come until
     /// `delegated_until`.
-    pub fn lease_lapsed(
+    pub fn lease_expired(
         &self,
         now: u64,
-        lapse_ms: u64,
+        expiry_ms: u64,
         delegated_until: impl Fn() -> Option<u64>,
     ) -> bool {
-        let answered_long_ago = |at: u64| now > at + lapse_ms;
+        let answered_long_ago = |at: u64| now > at + expiry_ms;
         self.token_seen
             && self.last_answer.is_some_and(answered_long_ago)
             && delegated_until().is_none_or(answered_long_ago)
@@ -687,20 +689,20 @@
             && !self.failed
             && self.draining.is_none()
             && self.notice_at.is_none()
-            && self.doubted.is_none()
-            && self.strays.is_empty()
+            && self.unreachable_since.is_none()
+            && self.orphans.is_empty()
     }
 
     /// Whether a report with these numbers was written before something that is known already.
-    pub fn is_outdated(&self, session: u64, seq: u64) -> bool {
-        session <= self.ended_session || (session, seq) <= (self.session, self.seq)
+    pub fn is_outdated(&self, incarnation: u64, seq: u64) -> bool {
+        incarnation <= self.ended_incarnation || (incarnation, seq) <= (self.incarnation, self.seq)
     }
 
     /// Answers seem not to reach it: no new work until a session outlives a lease.
-    pub fn doubt(&mut self, now: u64, why: &str) {
-        if self.doubted.is_none() {
-            log::info!("event=machine_unheard kind={} why={why:?}", self.kind);
-            self.doubted = Some(now);
+    pub fn mark_unreachable(&mut self, now: u64, why: &str) {
+        if self.unreachable_since.is_none() {
+            log::info!("event=machine_unreachable kind={} why={why:?}", self.kind);
+            self.unreachable_since = Some(now);
         }
     }
 
--- a/crates/control/src/leader/books/tests.rs
+++ b/crates/control/src/leader/model/tests.rs
@@ -29,12 +29,12 @@
     assert!(job.chunks.keys().copied().eq(0..10));
     assert!(job.chunks.values().all(|c| c.hi == 1));
     assert!((0..4).all(|n| job.chunks[&n].seq == whole.seq));
-    let places: Vec<u32> = job.places().map(|(t, _)| t).collect();
-    assert_eq!(places, [0, 31, 32, 130, 299]);
+    let assignments: Vec<u32> = job.assignments().map(|(t, _)| t).collect();
+    assert_eq!(assignments, [0, 31, 32, 130, 299]);
     assert_eq!((job.sample(), job.chunks[&0].done.len()), (sample, 1));
-    assert!(job.place(130).is_some() && job.place(131).is_none());
+    assert!(job.assignment(130).is_some() && job.assignment(131).is_none());
     job.count_chunks();
-    assert_eq!((job.done, job.placed), (1, 5));
+    assert_eq!((job.done, job.assigned), (1, 5));
 }
 
 /// Gangs waited for machines of which one in ten takes several times as long as the others.
--- a/crates/control/src/leader/pages.rs
+++ b/crates/control/src/leader/pages.rs
@@ -13,10 +13,10 @@
 //! split carries on its change number, so the highest counts across both. Pages too large for the new limits are never
 //! written again: what they hold moves out as it changes, and what is left empty is deleted.
 
-use super::books::*;
+use super::model::*;
 use super::store::PendingTransaction;
 use super::*;
-use wire::state::{Guard, Write};
+use wire::state::{Compare, Write};
 
 /// What is known of a page.
 #[derive(Debug, Clone, Default)]
@@ -45,17 +45,17 @@
 }
 
 /// A page as a transaction is to write it.
-pub(super) struct Draft {
+pub(super) struct PageDraft {
     number: u32,
     parts: BTreeSet<(String, u32)>,
     bytes: usize,
-    guards: BTreeSet<String>,
+    compares: BTreeSet<String>,
 }
 
-impl Draft {
+impl PageDraft {
     /// Guards it needs, its own included.
-    pub fn guards(&self) -> usize {
-        1 + self.guards.len()
+    pub fn compares(&self) -> usize {
+        1 + self.compares.len()
     }
 
     pub fn bytes(&self) -> usize {
@@ -74,7 +74,7 @@
 
 /// What a transaction writes of one part, in either layout.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct Copied {
+pub(super) struct PageEntryId {
     pub job: String,
     part: u32,
     seq: u64,
@@ -82,14 +82,14 @@
 }
 
 /// What a page says it holds.
-pub(super) fn copies_in(record: &PageRecord) -> Vec<Copied> {
-    let wide = record.parts.iter().map(|e| Copied {
+pub(super) fn copies_in(record: &PageRecord) -> Vec<PageEntryId> {
+    let wide = record.parts.iter().map(|e| PageEntryId {
         job: e.job.clone(),
         part: e.part,
         seq: e.seq,
         wide: true,
     });
-    let small = record.small.iter().map(|e| Copied {
+    let small = record.small.iter().map(|e| PageEntryId {
         job: e.job.clone(),
         part: e.part,
         seq: e.seq,
@@ -144,13 +144,13 @@
             self.pages.len(),
             self.page_bytes()
         );
-        let dirty = self
+        let is_unsaved = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.chunks.values().any(Chunk::dirty));
-        let dirty: Vec<String> = dirty.map(|(id, _)| id.clone()).collect();
-        for id in dirty {
-            self.mark(RecordId::Job(id));
+            .filter(|(_, j)| j.chunks.values().any(Chunk::is_unsaved));
+        let is_unsaved: Vec<String> = is_unsaved.map(|(id, _)| id.clone()).collect();
+        for id in is_unsaved {
+            self.queue_write(RecordId::Job(id));
         }
     }
 
@@ -223,14 +223,14 @@
         }
         for job in self.jobs.values_mut() {
             job.count_chunks();
-            job.fruitless = job.has_been_fruitless();
+            job.failed_under_earlier_leaders = job.has_failed_under_earlier_leaders();
         }
         self.settle_homes();
     }
 
     /// Starts to write a page: the one that keeps least, or a new one if all keep too much. What is carried along is
     /// room that new content lacks: with small pages and few changes a second, starts waited for it.
-    fn open_page(&self, drafts: &[Draft]) -> Draft {
+    fn open_page(&self, drafts: &[PageDraft]) -> PageDraft {
         let idle = |(n, p): &(&u32, &Page)| !p.busy && drafts.iter().all(|d| d.number != **n);
         let least = self.pages.iter().filter(idle).min_by_key(|(_, p)| p.bytes);
         let most = match self.dense {
@@ -243,24 +243,25 @@
                 // What is carried along is written as it is now.
                 let bytes = parts.iter().filter_map(|p| self.chunk(p));
                 let bytes = bytes.map(|c| c.bytes(self.dense)).sum();
-                let new = |p: &&(String, u32)| self.chunk(p).is_some_and(Chunk::has_new_places);
-                let guards = parts.iter().filter(new).map(|p| p.0.clone()).collect();
-                Draft {
+                let new =
+                    |p: &&(String, u32)| self.chunk(p).is_some_and(Chunk::has_new_assignments);
+                let compares = parts.iter().filter(new).map(|p| p.0.clone()).collect();
+                PageDraft {
                     number: *number,
                     parts,
                     bytes,
-                    guards,
+                    compares,
                 }
             }
             None => {
                 let taken = self.pages.keys().copied();
                 let taken: BTreeSet<u32> = taken.chain(drafts.iter().map(|d| d.number)).collect();
                 let free = (0..).find(|n| !taken.contains(n));
-                Draft {
+                PageDraft {
                     number: free.unwrap_or(u32::MAX),
                     parts: BTreeSet::new(),
                     bytes: 0,
-                    guards: BTreeSet::new(),
+                    compares: BTreeSet::new(),
                 }
             }
         }
@@ -271,7 +272,7 @@
     pub(super) fn add_parts(
         &self,
         id: &str,
-        drafts: &mut Vec<Draft>,
+        drafts: &mut Vec<PageDraft>,
         spare: (usize, usize, usize),
     ) -> bool {
         let Some(job) = self.jobs.get(id) else {
@@ -279,14 +280,14 @@
         };
         let most = self.page_bytes();
         let most_jobs = self.page_jobs();
-        let (writes, guards, bytes) = spare;
-        for (n, chunk) in job.chunks.iter().filter(|(_, c)| c.dirty()) {
+        let (writes, compares, bytes) = spare;
+        for (n, chunk) in job.chunks.iter().filter(|(_, c)| c.is_unsaved()) {
             let part = (id.to_string(), *n);
             if drafts.iter().any(|d| d.parts.contains(&part)) {
                 continue;
             }
             let size = chunk.bytes(self.dense);
-            let full = |d: &Draft| {
+            let full = |d: &PageDraft| {
                 let more = d.bytes + size > most || d.jobs() >= most_jobs;
                 more && !d.parts.is_empty()
             };
@@ -299,26 +300,26 @@
                 }
                 let draft = self.open_page(drafts);
                 // What it carries along may need guards too.
-                let used: usize = drafts.iter().map(Draft::guards).sum();
-                if used + draft.guards() > guards {
+                let used: usize = drafts.iter().map(PageDraft::compares).sum();
+                if used + draft.compares() > compares {
                     return false;
                 }
                 drafts.push(draft);
             }
             // Each page has a guard of its own.
-            let used: usize = drafts.iter().map(Draft::guards).sum();
+            let used: usize = drafts.iter().map(PageDraft::compares).sum();
             let Some(draft) = drafts.last_mut() else {
                 return false;
             };
             if draft.parts.contains(&part) {
                 continue;
             }
-            if used >= guards {
+            if used >= compares {
                 return false;
             }
             draft.bytes += size;
-            if chunk.has_new_places() {
-                draft.guards.insert(part.0.clone());
+            if chunk.has_new_assignments() {
+                draft.compares.insert(part.0.clone());
             }
             draft.parts.insert(part);
         }
@@ -326,7 +327,11 @@
     }
 
     /// Puts drafts into a transaction.
-    pub(super) fn write_pages(&mut self, drafts: Vec<Draft>, transaction: &mut PendingTransaction) {
+    pub(super) fn write_pages(
+        &mut self,
+        drafts: Vec<PageDraft>,
+        transaction: &mut PendingTransaction,
+    ) {
         for draft in drafts {
             let mut record = PageRecord::default();
             for part in &draft.parts {
@@ -350,25 +355,25 @@
                     }),
                 }
             }
-            for id in &draft.guards {
+            for id in &draft.compares {
                 let version = self.jobs.get(id).map_or(0, |j| j.version);
-                let guard = Guard::new(job_key(id), version);
-                if !transaction.txn.guards.contains(&guard) {
-                    transaction.txn.guards.push(guard);
+                let guard = Compare::new(job_key(id), version);
+                if !transaction.txn.compares.contains(&guard) {
+                    transaction.txn.compares.push(guard);
                 }
             }
             let page = self.pages.entry(draft.number).or_default();
             page.busy = true;
             let key = page_key(draft.number);
-            let guard = Guard::new(key.clone(), page.version);
-            transaction.txn.guards.push(guard);
+            let guard = Compare::new(key.clone(), page.version);
+            transaction.txn.compares.push(guard);
             transaction.txn.writes.push(Write::put(key, &record));
             transaction.add_page(draft.number, copies_in(&record));
         }
     }
 
     /// What a page is known to hold: newer copies of some parts, which are at home there from now on.
-    pub(super) fn page_holds(&mut self, number: u32, version: u64, copied: &[Copied]) {
+    pub(super) fn page_holds(&mut self, number: u32, version: u64, copied: &[PageEntryId]) {
         let page = self.pages.entry(number).or_default();
         page.busy = false;
         page.version = version;
