--- a/crates/control/src/leader/planning.rs
+++ b/crates/control/src/leader/planning.rs
@@ -1,7 +1,7 @@
-//! From the books to the scheduler's view, and from its decisions to places and stops.
+//! From the leader's state to the scheduler's view, and from its decisions to places and stops.
 
-use super::blame::Verdict;
-use super::books::*;
+use super::machine_health::MachineHealth;
+use super::model::*;
 use super::*;
 use sched::{
     pilots_of, queue_of, ClusterSnapshot, Decision, JobSnapshot, MachineSnapshot, ResourceBounds,
@@ -26,7 +26,7 @@
 }
 
 /// A view, with what its numbers stand for.
-pub(super) struct Picture {
+pub(super) struct SchedulingSnapshot {
     pub view: ClusterSnapshot,
     pub jobs: Vec<String>,
     pub machines: Vec<String>,
@@ -67,8 +67,10 @@
     fn latest_start(&self, job: &Job, secs: f64, now: Now) -> Option<u64> {
         let takes = self.expected_ms(job, secs);
         let since = |at: u64, s: f64| at + (s.max(0.0) * 1000.0) as u64;
-        let due = |times: f64| Some(since(job.at, job.spec.due_s? * times).saturating_sub(takes));
-        let reached = job.reach.and_then(|r| r.ends);
+        let due = |times: f64| {
+            Some(since(job.submitted_at, job.spec.due_s? * times).saturating_sub(takes))
+        };
+        let reached = job.downstream.and_then(|r| r.ends);
         let reached = reached.into_iter().flat_map(|(first, last)| [first, last]);
         let of_class =
             |o: &&crate::settings::Objective| o.class.as_deref() == Some(job.spec.class.as_str());
@@ -96,22 +98,22 @@
         &self,
         m: &Machine,
         heard_at: Option<u64>,
-        verdict: Verdict,
+        health: MachineHealth,
         now: u64,
     ) -> bool {
         let silent_ms = self.silent_ms();
         m.known
             && m.synced
             && m.draining.is_none()
-            && m.doubted.is_none()
+            && m.unreachable_since.is_none()
             && m.notice_at.is_none()
             && !m.failed
             && !m.returning
-            && verdict != Verdict::Faulty
+            && health != MachineHealth::Faulty
             && heard_at.is_some_and(|at| now <= at + silent_ms)
     }
 
-    pub(super) fn picture(&self, now: Now) -> Picture {
+    pub(super) fn scheduling_snapshot(&self, now: Now) -> SchedulingSnapshot {
         let (mut kinds, mut zones, mut images, mut teams) = (
             Names::default(),
             Names::default(),
@@ -129,7 +131,7 @@
         }
         let types: HashMap<&str, &MachineType> = self
             .types
-            .want
+            .desired
             .iter()
             .flatten()
             .map(|t| (t.name.as_str(), t))
@@ -146,7 +148,7 @@
                 gpus: t.gpus,
                 memory_gb: t.mem_gb,
             };
-            let verdict = self.verdict(name, m, now.mono);
+            let health = self.health(name, m, now.mono);
             index.insert(name, machines.len());
             machines.push(name.clone());
             view.machines.push(MachineSnapshot {
@@ -156,16 +158,16 @@
                 free: total,
                 soon: total,
                 total,
-                usable: self.usable(m, self.heard_at(m, now.mono), verdict, now.mono),
-                slots: TASKS_PER_MACHINE.saturating_sub(m.places.len() as u32),
+                usable: self.usable(m, self.heard_at(m, now.mono), health, now.mono),
+                slots: TASKS_PER_MACHINE.saturating_sub(m.assignments.len() as u32),
                 pilots: 0,
-                slow: m.is_slow() || verdict == Verdict::Suspect,
+                slow: m.is_slow() || health == MachineHealth::Suspect,
                 images: m.images.keys().map(|i| images.number(i)).collect(),
                 busy_s: 0.0,
                 reach_s: if m.held {
                     0.0
                 } else {
-                    let since = m.last_report.map_or(0, |at| now.mono.saturating_sub(at));
+                    let since = m.last_heartbeat.map_or(0, |at| now.mono.saturating_sub(at));
                     (report_s - since as f64 / 1000.0).max(0.0)
                 },
                 coming_s: {
@@ -173,7 +175,7 @@
                     let coming = m.expected && !m.synced && !m.failed && !m.returning;
                     let seen = self.boots.get(&m.kind).and_then(Boots::late_s);
                     let late_s = seen.unwrap_or(t.boot_s * BOOT_OVERDUE);
-                    (coming && m.places.is_empty() && age < late_s)
+                    (coming && m.assignments.is_empty() && age < late_s)
                         .then(|| (t.boot_s - age).max(0.0))
                 },
             });
@@ -181,7 +183,7 @@
         let mut jobs = Vec::new();
         for (id, job) in &self.jobs {
             // A job that waits for others is as good as not there.
-            if job.is_held() && job.placed == 0 && job.strays.is_empty() {
+            if job.awaits_dependencies() && job.assigned == 0 && job.orphans.is_empty() {
                 continue;
             }
             let team = teams.number(&job.spec.team);
@@ -195,14 +197,16 @@
             let (secs, sampling) = self.task_secs(job);
             let mut pilots = 0;
             let mut ran = 0.0;
-            let placed = job.places().map(|(t, p)| (t, p.machine.as_str(), Some(p)));
-            let strays = job.strays.iter().map(|(t, m)| (*t, m.as_str(), None));
-            for (number_of_task, machine, place) in placed.chain(strays) {
+            let assigned = job
+                .assignments()
+                .map(|(t, p)| (t, p.machine.as_str(), Some(p)));
+            let orphans = job.orphans.iter().map(|(t, m)| (*t, m.as_str(), None));
+            for (number_of_task, machine, assignment) in assigned.chain(orphans) {
                 view.teams[team].used.add(&task);
-                if place.is_some_and(|p| p.stop.is_some()) {
+                if assignment.is_some_and(|p| p.stop.is_some()) {
                     view.teams[team].leaving.add(&task);
                 }
-                pilots += u32::from(place.is_some_and(|p| p.pilot));
+                pilots += u32::from(assignment.is_some_and(|p| p.pilot));
                 let known = self.machines.get(machine).filter(|m| m.known);
                 // A place whose zone is not known yet counts as a zone of its own: nothing is near it.
                 let zone = known.map_or(UNKNOWN_ZONE, |m| zones.number(&m.zone));
@@ -214,12 +218,14 @@
                     continue;
                 };
                 view.machines[m].free.sub(&task);
-                let Some(place) = place else { continue };
-                if place.stop.is_none() {
+                let Some(assignment) = assignment else {
+                    continue;
+                };
+                if assignment.stop.is_none() {
                     view.machines[m].soon.sub(&task);
                 }
-                view.machines[m].pilots += u32::from(place.pilot && sampling);
-                let elapsed = place
+                view.machines[m].pilots += u32::from(assignment.pilot && sampling);
+                let elapsed = assignment
                     .running_since
                     .map_or(0.0, |t| now.mono.saturating_sub(t) as f64 / 1000.0);
                 ran += elapsed;
@@ -235,29 +241,31 @@
                     priority: job.priority() as u8,
                     resources: task,
                     left_s: left,
-                    movable: place.stop.is_none()
-                        && place.stage == Stage::Seen
+                    movable: assignment.stop.is_none()
+                        && assignment.stage == AssignmentStage::Seen
                         && (!job.is_gang() || job.tasks() == 1)
-                        && (place.running_since.is_none() || left > job.spec.save_s + 3.0),
+                        && (assignment.running_since.is_none() || left > job.spec.save_s + 3.0),
                     // A gang finds room for itself again only with difficulty.
                     cost_s: if job.is_gang() { 60.0 } else { 0.0 }
                         + if saves { job.spec.save_s } else { elapsed },
                 });
             }
             let open = !job.aborted
-                && !job.is_held()
+                && !job.awaits_dependencies()
                 && job.pause_until <= now.mono
-                && job.strays.is_empty();
+                && job.orphans.is_empty();
             let waiting = if open {
                 self.waiting_tasks(job, now.mono)
             } else {
                 Vec::new()
             };
             // A gang that lost its places by no fault of its own goes on with what it saved before others begin.
-            let lost =
-                job.is_gang() && job.placed == 0 && job.fails == 0 && job.highest_attempt() > 0;
+            let lost = job.is_gang()
+                && job.assigned == 0
+                && job.failures == 0
+                && job.highest_attempt() > 0;
             let latest = match lost {
-                true => Some(job.at),
+                true => Some(job.submitted_at),
                 false => self.latest_start(job, secs, now),
             };
             let todo = job.spec.tasks.saturating_sub(job.done) as f64;
@@ -296,16 +304,16 @@
                 service: job.is_service(),
                 order: latest.unwrap_or(job.ready_at),
                 aims: latest.is_some(),
-                running: job.placed,
+                running: job.assigned,
                 reserved_machines: job
-                    .kept
+                    .reserved_machines
                     .iter()
                     .filter_map(|m| index.get(m.as_str()).copied())
                     .collect(),
                 resting: job.is_resting(now.unix),
                 may_claim_limit: now.unix / 1000 % (CLAIM_S + CLAIM_PAUSE_S) < CLAIM_S,
                 overdue: {
-                    let begun = job.first_run.is_some() || job.placed > 0 || job.done > 0;
+                    let begun = job.first_run.is_some() || job.assigned > 0 || job.done > 0;
                     let age_s = now.unix.saturating_sub(job.ready_at) as f64 / 1000.0;
                     // What nobody waits for is never urgent: it would go before all that has an aim, for ever.
                     let soon = now.unix + (URGENT_S * 1000.0) as u64;
@@ -315,14 +323,14 @@
                 avoid: if job.seems_to_fail_everywhere() {
                     Vec::new()
                 } else {
-                    job.fail_machines
+                    job.failed_machines
                         .iter()
                         .filter_map(|m| index.get(m.as_str()).copied())
                         .collect()
                 },
             });
         }
-        Picture {
+        SchedulingSnapshot {
             view,
             jobs,
             machines,
@@ -334,10 +342,10 @@
     /// Tasks without a place, as many as one round can use.
     fn waiting_tasks(&self, job: &Job, now: u64) -> Vec<u32> {
         if job.is_gang() {
-            let halfway = job.placed > 0;
+            let halfway = job.assigned > 0;
             let unsure = job
-                .places()
-                .any(|(_, p)| p.stop.is_some() || matches!(p.stage, Stage::Recorded));
+                .assignments()
+                .any(|(_, p)| p.stop.is_some() || matches!(p.stage, AssignmentStage::Recorded));
             if halfway && (job.started || job.broken || unsure) {
                 return Vec::new();
             }
@@ -347,7 +355,7 @@
         let on_trial = job.seems_to_fail_everywhere() && !job.is_sound(now, |_| true);
         let most = match (job.is_gang(), on_trial) {
             (true, _) => usize::MAX,
-            (false, true) => usize::from(job.placed == 0),
+            (false, true) => usize::from(job.assigned == 0),
             // No more than what could be placed on an empty fleet, with a margin.
             (false, false) => 256,
         };
@@ -365,29 +373,29 @@
     }
 
     /// One round of decisions.
-    pub(super) fn plan(&mut self, mail: &mut Mail) {
-        let now = mail.now;
+    pub(super) fn plan(&mut self, effects: &mut Effects) {
+        let now = effects.now;
         let started = (self.stopwatch)();
         self.plan_due = false;
         self.rounds += 1;
-        self.pass_reach();
-        let picture = self.picture(now);
+        self.propagate_downstream_demand();
+        let scheduling_snapshot = self.scheduling_snapshot(now);
         let policy = self.operator.policy();
         let stopwatch = self.stopwatch;
-        let Picture {
+        let SchedulingSnapshot {
             view,
             jobs: names,
             machines,
             ..
-        } = picture;
+        } = scheduling_snapshot;
         let about: Vec<(usize, bool)> = view.jobs.iter().map(|j| (j.queue, j.sampling)).collect();
         let (waiting, running) = (
             view.jobs.iter().filter(|j| !j.waiting.is_empty()).count(),
             view.running.len(),
         );
         let mut round = Round::new(&policy, view);
-        let passed = std::mem::take(&mut self.passed);
-        round.exclude((0..names.len()).filter(|&j| passed.contains(&names[j])));
+        let skipped_jobs = std::mem::take(&mut self.skipped_jobs);
+        round.exclude((0..names.len()).filter(|&j| skipped_jobs.contains(&names[j])));
         let viewed = stopwatch();
         // The whole round is held to the budget; the decisions get their least share even so.
         let until = (started + ROUND_BUDGET_MS * 1000).max(viewed + ROUND_LEAST_MS * 1000);
@@ -397,11 +405,11 @@
             blocked,
         } = round.run(|| stopwatch() < until);
         let decided = stopwatch();
-        if !finished || !passed.is_empty() {
+        if !finished || !skipped_jobs.is_empty() {
             self.plan_due = true;
         }
         if !finished {
-            self.passed = blocked.into_iter().map(|j| names[j].clone()).collect();
+            self.skipped_jobs = blocked.into_iter().map(|j| names[j].clone()).collect();
         }
         let is_long = !finished || decided - started > ROUND_LEAST_MS * 1000;
         let level = match is_long {
@@ -420,16 +428,19 @@
                 decided - started
         );
         for job in self.jobs.values_mut() {
-            job.kept.clear();
+            job.reserved_machines.clear();
         }
         for decision in decisions {
             match decision {
                 Decision::Reserve {
                     job,
-                    machines: kept,
+                    machines: reserved_machines,
                 } => {
                     if let Some(job) = self.jobs.get_mut(&names[job]) {
-                        job.kept = kept.iter().map(|m| machines[*m].clone()).collect();
+                        job.reserved_machines = reserved_machines
+                            .iter()
+                            .map(|m| machines[*m].clone())
+                            .collect();
                     }
                 }
                 Decision::Place {
@@ -446,24 +457,24 @@
                         tasks.len(),
                         tasks.first().map(|(t, m)| (*t, &machines[*m]))
                     );
-                    self.place(id, &tasks, pilots, &machines, now.mono);
+                    self.assignment(id, &tasks, pilots, &machines, now.mono);
                 }
                 Decision::Stop { job, task, by } => {
                     let id = names[job].clone();
                     let grace = self.jobs.get(&id).map_or(0.0, |j| j.spec.save_s + 1.0);
                     log::info!("event=preempt task={id}/{task} by={}", names[by]);
-                    self.stop_task(&id, task, grace, super::reports::PREEMPTED, now);
+                    self.stop_task(&id, task, grace, super::worker_heartbeats::PREEMPTED, now);
                     self.next_housekeeping = now.mono;
                 }
             }
         }
         // Users and workers are served between rounds, however long those take.
-        let spent = (self.stopwatch)().saturating_sub(started) / 1000;
-        self.next_round = now.mono + spent + ROUND_EVERY_MS.max(spent * ROUND_REST);
-        self.settled = true;
+        let costs = (self.stopwatch)().saturating_sub(started) / 1000;
+        self.next_round = now.mono + costs + ROUND_EVERY_MS.max(costs * ROUND_REST);
+        self.has_new_decisions = true;
     }
 
-    fn place(
+    fn assignment(
         &mut self,
         id: &str,
         tasks: &[(u32, usize)],
@@ -476,7 +487,7 @@
         };
         let whole = job.highest_attempt();
         // Missing tasks of a gang that still gathers join its present attempt.
-        let joined = job.places().map(|(_, p)| p.attempt).max();
+        let joined = job.assignments().map(|(_, p)| p.attempt).max();
         for &(task, machine) in tasks {
             let attempt = if job.is_gang() {
                 joined.unwrap_or(whole + 1)
@@ -485,12 +496,12 @@
             };
             job.put(task, &machines[machine], attempt, pilot, now);
             if let Some(m) = self.machines.get_mut(&machines[machine]) {
-                m.places.insert((id.to_string(), task));
+                m.assignments.insert((id.to_string(), task));
             }
         }
         for (_, machine) in tasks {
-            self.unsettle(machines[*machine].clone());
+            self.note_pending_orders(machines[*machine].clone());
         }
-        self.mark(RecordId::Job(id.to_string()));
+        self.queue_write(RecordId::Job(id.to_string()));
     }
 }
--- a/crates/control/src/leader/tests.rs
+++ b/crates/control/src/leader/tests.rs
@@ -36,8 +36,8 @@
 "gpus":0,"mem_gb":1,"bundle":"i","pull_gb":1,"same_place":false,"apart":false,"loaners":true,"guess_s":1,
 "stow_every_s":0,"stow_s":0}"#;
 
-fn at(mono: u64) -> Mail {
-    Mail::new(Now { mono, unix: mono })
+fn at(mono: u64) -> Effects {
+    Effects::new(Now { mono, unix: mono })
 }
 
 fn leader() -> Leader {
@@ -48,35 +48,35 @@
 }
 
 /// An open job with places for the first so many tasks, none of them recorded yet.
-fn place(leader: &mut Leader, id: &str, tasks: u32) {
+fn assignment(leader: &mut Leader, id: &str, tasks: u32) {
     let record = JobRecord::new(serde_json::from_str(SUBMISSION).expect("submission"), 0);
     let mut job = Job::new(record, 5);
     job.split();
     (0..tasks).for_each(|t| job.put(t, &format!("vm-{t:06}"), 1, false, 0));
     leader.jobs.insert(id.to_string(), job);
-    leader.mark(RecordId::Job(id.to_string()));
+    leader.queue_write(RecordId::Job(id.to_string()));
 }
 
 /// Flushes, and answers every transaction well: their pages, by key.
 fn flush(leader: &mut Leader, now: u64) -> Vec<(String, PageRecord)> {
     let mut pages = Vec::new();
-    let mut mail = at(now);
-    leader.flush(&mut mail);
-    while !mail.state.is_empty() {
+    let mut effects = at(now);
+    leader.flush(&mut effects);
+    while !effects.state.is_empty() {
         let mut next = at(now);
-        for (_, op, tag) in std::mem::take(&mut mail.state) {
+        for (_, op, tag) in std::mem::take(&mut effects.state) {
             let (
-                StateOp::Txn(Txn { guards, writes }),
+                StateOp::Txn(Txn { compares, writes }),
                 StateTag::Leader(_, LeaderRequest::PendingTransaction(n)),
             ) = (op, tag)
             else {
                 panic!("only transactions");
             };
             assert!(
-                writes.len() <= 4 && guards.len() <= 16,
+                writes.len() <= 4 && compares.len() <= 16,
                 "{} {}",
                 writes.len(),
-                guards.len()
+                compares.len()
             );
             for write in writes {
                 if let Write::Put { key, value, .. } = write {
@@ -91,7 +91,7 @@
             let version = now;
             leader.on_transaction_reply(n, StateReply::Committed { version }, &mut next);
         }
-        mail = next;
+        effects = next;
     }
     pages
 }
@@ -104,9 +104,9 @@
 #[test]
 fn a_page_that_keeps_much_is_not_written_again_for_something_new() {
     let mut leader = leader();
-    place(&mut leader, "run-1", 30);
+    assignment(&mut leader, "run-1", 30);
     let first = flush(&mut leader, 10);
-    place(&mut leader, "run-2", 2);
+    assignment(&mut leader, "run-2", 2);
     let second = flush(&mut leader, 20);
     assert_eq!((first.len(), second.len()), (1, 1));
     assert_ne!(first[0].0, second[0].0);
@@ -115,7 +115,7 @@
         ["run-2"]
     );
     // Little is carried along rather than a page left for it.
-    place(&mut leader, "run-3", 2);
+    assignment(&mut leader, "run-3", 2);
     let third = flush(&mut leader, 30);
     assert_eq!(third[0].0, second[0].0);
     assert_eq!(jobs(&third[0].1).len(), 2);
@@ -125,30 +125,30 @@
 #[test]
 fn what_may_wait_rides_along_with_what_may_not_and_costs_no_change_of_its_own() {
     let mut leader = leader();
-    place(&mut leader, "run-1", 10);
-    place(&mut leader, "run-2", 40);
+    assignment(&mut leader, "run-1", 10);
+    assignment(&mut leader, "run-2", 40);
     flush(&mut leader, 10);
     leader
         .jobs
         .get_mut("run-1")
         .expect("job")
         .complete(3, Some(1.0));
-    leader.mark_lazily(RecordId::Job("run-1".into()), at(20).now);
+    leader.defer_write(RecordId::Job("run-1".into()), at(20).now);
     assert!(flush(&mut leader, 20).is_empty(), "nobody waits for it");
-    place(&mut leader, "run-3", 1);
+    assignment(&mut leader, "run-3", 1);
     let pages = flush(&mut leader, 30);
     assert_eq!(pages.len(), 1);
     assert!(jobs(&pages[0].1).contains("run-1"));
-    assert!(leader.lazy.is_empty());
+    assert!(leader.deferred_writes.is_empty());
     // Left alone it is written after a while.
     leader
         .jobs
         .get_mut("run-2")
         .expect("job")
         .complete(3, Some(1.0));
-    leader.mark_lazily(RecordId::Job("run-2".into()), at(40).now);
-    assert!(flush(&mut leader, 40 + LAZY_MS - 1_000).is_empty());
-    assert_eq!(flush(&mut leader, 40 + LAZY_MS + 1_000).len(), 1);
+    leader.defer_write(RecordId::Job("run-2".into()), at(40).now);
+    assert!(flush(&mut leader, 40 + DEFERRED_WRITE_MS - 1_000).is_empty());
+    assert_eq!(flush(&mut leader, 40 + DEFERRED_WRITE_MS + 1_000).len(), 1);
 }
 
 /// With sixteen conditions the jobs carried along on a page used to ask for more.
@@ -157,23 +157,23 @@
     let mut leader = leader();
     let mut written = BTreeMap::new();
     for n in 0..60 {
-        place(&mut leader, &format!("run-{n}"), 1 + n % 50);
+        assignment(&mut leader, &format!("run-{n}"), 1 + n % 50);
         if n % 7 == 0 {
             // The limits are checked in there.
             written.extend(flush(&mut leader, 100 + u64::from(n)));
         }
     }
     written.extend(flush(&mut leader, 900));
-    let open = |j: &Job| j.chunks.values().any(Chunk::dirty);
+    let open = |j: &Job| j.chunks.values().any(Chunk::is_unsaved);
     assert!(!leader.jobs.values().any(open), "all is recorded");
-    let places: usize = leader.jobs.values().map(|j| j.placed as usize).sum();
+    let assignments: usize = leader.jobs.values().map(|j| j.assigned as usize).sum();
     let mut seen: BTreeMap<(String, u32), (u64, usize)> = BTreeMap::new();
     for entry in written.values().flat_map(|p: &PageRecord| &p.small) {
         let chunk = entry.chunk.read().expect("readable");
         let part = seen.entry((entry.job.clone(), entry.part)).or_default();
         *part = (*part).max((entry.seq, chunk.at.len()));
     }
-    assert_eq!(seen.values().map(|(_, n)| n).sum::<usize>(), places);
+    assert_eq!(seen.values().map(|(_, n)| n).sum::<usize>(), assignments);
 }
 
 /// Of jobs read again page by page, one on the first page was cancelled before the last page came: going on from the
@@ -196,21 +196,28 @@
             revision,
         })
     };
-    let asked = |mail: &Mail| {
-        mail.state.iter().find_map(|(_, op, tag)| match (op, tag) {
-            (StateOp::List { .. }, StateTag::Leader(_, ask)) => Some(ask.clone()),
-            _ => None,
-        })
+    let asked = |effects: &Effects| {
+        effects
+            .state
+            .iter()
+            .find_map(|(_, op, tag)| match (op, tag) {
+                (StateOp::List { .. }, StateTag::Leader(_, ask)) => Some(ask.clone()),
+                _ => None,
+            })
     };
-    let mut mail = at(5_000);
-    leader.on_state(LeaderRequest::Watch(4_000), StateReply::TooOld, &mut mail);
-    let first = asked(&mail).expect("the first page");
-    let mut mail = at(5_100);
-    leader.on_state(first, page(20, true), &mut mail);
-    let second = asked(&mail).expect("the second page");
-    let mut mail = at(5_200);
-    leader.on_state(second, page(30, false), &mut mail);
-    let from = mail.state.iter().find_map(|(_, op, _)| match op {
+    let mut effects = at(5_000);
+    leader.on_state(
+        LeaderRequest::Watch(4_000),
+        StateReply::TooOld,
+        &mut effects,
+    );
+    let first = asked(&effects).expect("the first page");
+    let mut effects = at(5_100);
+    leader.on_state(first, page(20, true), &mut effects);
+    let second = asked(&effects).expect("the second page");
+    let mut effects = at(5_200);
+    leader.on_state(second, page(30, false), &mut effects);
+    let from = effects.state.iter().find_map(|(_, op, _)| match op {
         StateOp::Watch { from, .. } => Some(*from),
         _ => None,
     });
--- a/crates/control/src/leader/watch.rs
+++ b/crates/control/src/leader/watch.rs
@@ -1,16 +1,16 @@
 //! What happens without a report: leases that run out, notices, gangs that can't go on, stops that can't wait.
 
-use super::books::*;
-use super::reports::{stop, task_name, PREEMPTED};
+use super::model::*;
+use super::worker_heartbeats::{stop, task_name, PREEMPTED};
 use super::*;
-use crate::mail::{Output, Target};
+use crate::effects::{Output, Target};
 use wire::workers::DirectOrders;
 
 impl Leader {
     /// Machines that are silent, under notice, faulty or gone; gangs that can't go on.
-    pub(super) fn watch_machines(&mut self, active: bool, mail: &mut Mail) {
-        let now = mail.now;
-        let lapse_ms = self.lease_lapse_ms();
+    pub(super) fn watch_machines(&mut self, active: bool, effects: &mut Effects) {
+        let now = effects.now;
+        let expiry_ms = self.lease_expiry_ms();
         let mut free: Vec<(String, &'static str)> = Vec::new();
         let delegation = self.delegation.as_ref();
         for (name, m) in &mut self.machines {
@@ -18,14 +18,14 @@
                 delegation.is_some_and(|d| d.is_granted(permit.partition, now.mono))
             });
             let delegated_until = || delegation.and_then(|d| d.answers_until(name));
-            let lapsed = !is_delegated && m.lease_lapsed(now.mono, lapse_ms, delegated_until);
-            if lapsed {
-                m.ended_session = m.session;
+            let expired = !is_delegated && m.lease_expired(now.mono, expiry_ms, delegated_until);
+            if expired {
+                m.ended_incarnation = m.incarnation;
             }
-            if m.places.is_empty() && m.strays.is_empty() {
+            if m.assignments.is_empty() && m.orphans.is_empty() {
                 continue;
             }
-            let why = match (m.failed, lapsed) {
+            let why = match (m.failed, expired) {
                 (true, _) => Some("its machine failed"),
                 (_, true) => Some("its worker's lease ran out"),
                 _ => None,
@@ -37,9 +37,9 @@
         for (name, why) in free {
             self.free_machine(&name, why, now);
         }
-        self.mind_notices(now);
-        self.mind_gangs(now);
-        self.send_direct(active, mail);
+        self.drain_noticed_machines(now);
+        self.stop_broken_gangs(now);
+        self.send_direct(active, effects);
     }
 
     /// Frees all places of a machine on which certainly nothing runs.
@@ -47,25 +47,25 @@
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        let places: Vec<(String, u32)> = m.places.iter().cloned().collect();
-        let strays = std::mem::take(&mut m.strays);
-        for (id, task, _) in strays {
+        let assignments: Vec<(String, u32)> = m.assignments.iter().cloned().collect();
+        let orphans = std::mem::take(&mut m.orphans);
+        for (id, task, _) in orphans {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.strays.remove(&(task, name.to_string()));
+                job.orphans.remove(&(task, name.to_string()));
             }
-            self.mark_if_final(&id);
+            self.queue_write_if_final(&id);
         }
-        for (id, task) in places {
-            self.free_place(&id, task, why, now);
+        for (id, task) in assignments {
+            self.release_assignment(&id, task, why, now);
         }
         if let Some(m) = self.machines.get_mut(name) {
-            m.places.clear();
+            m.assignments.clear();
         }
-        self.unsettle(name.to_string());
+        self.note_pending_orders(name.to_string());
     }
 
     /// Under notice, tasks that can save do so in time; others run on in the hope of completing.
-    fn mind_notices(&mut self, now: Now) {
+    fn drain_noticed_machines(&mut self, now: Now) {
         let mut stops = Vec::new();
         for m in self.machines.values() {
             if m.returning {
@@ -77,12 +77,14 @@
                 (None, Some(_)) => f64::MAX,
                 _ => continue,
             };
-            for (id, task) in &m.places {
+            for (id, task) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
                 let saves = job.spec.checkpoint_s > 0.0;
-                let never_ran = job.place(*task).is_some_and(|p| p.running_since.is_none());
+                let never_ran = job
+                    .assignment(*task)
+                    .is_some_and(|p| p.running_since.is_none());
                 if saves || never_ran {
                     let grace = (job.spec.save_s + 1.0).min(left);
                     stops.push((id.clone(), *task, grace));
@@ -95,17 +97,17 @@
     }
 
     /// The rest of a gang that can't go on is stopped, so that it can start anew.
-    fn mind_gangs(&mut self, now: Now) {
+    fn stop_broken_gangs(&mut self, now: Now) {
         let mut stops = Vec::new();
         for (id, job) in &self.jobs {
-            if !job.is_gang() || job.placed == 0 || job.all_done() {
+            if !job.is_gang() || job.assigned == 0 || job.all_done() {
                 continue;
             }
-            let stopping = job.places().find_map(|(_, p)| p.stop);
+            let stopping = job.assignments().find_map(|(_, p)| p.stop);
             // A fetch that takes longer than the others wait must come to its end: given up, it would begin anew
             // with every attempt, and the gang would never start.
-            let fetches = |p: &Place| p.phase == Some(TaskPhase::Fetching);
-            if job.alone && stopping.is_none() && job.places().any(|(_, p)| fetches(p)) {
+            let fetches = |p: &Assignment| p.phase == Some(TaskPhase::Fetching);
+            if job.alone && stopping.is_none() && job.assignments().any(|(_, p)| fetches(p)) {
                 continue;
             }
             if job.broken || stopping.is_some() {
@@ -114,7 +116,7 @@
                     Some(s) if !job.broken => s.grace_s,
                     _ => 0.0,
                 };
-                for (task, p) in job.places().filter(|(_, p)| p.stop.is_none()) {
+                for (task, p) in job.assignments().filter(|(_, p)| p.stop.is_none()) {
                     let _ = p;
                     stops.push((id.clone(), task, grace));
                 }
@@ -130,8 +132,8 @@
     /// Without its lease a leader still ends what is known as cancelled: that is final, so it is right whoever leads,
     /// and a worker that has seen a newer term refuses it. Such a worker may reach no controller, or a hung one may go
     /// on within its lease.
-    fn send_direct(&mut self, active: bool, mail: &mut Mail) {
-        let now = mail.now.mono;
+    fn send_direct(&mut self, active: bool, effects: &mut Effects) {
+        let now = effects.now.mono;
         let report_ms = (self.settings.deployment.workers.report_s * 1250.0) as u64;
         let mut calls = Vec::new();
         for (name, m) in self.machines.iter_mut().filter(|(_, m)| m.stops) {
@@ -140,22 +142,23 @@
             };
             let mut orders = Vec::new();
             m.stops = false;
-            for (id, task) in &m.places {
+            for (id, task) in &m.assignments {
                 let Some(job) = self.jobs.get(id) else {
                     continue;
                 };
-                let Some((p, s)) = job.place(*task).and_then(|p| p.stop.map(|s| (p, s))) else {
+                let Some((p, s)) = job.assignment(*task).and_then(|p| p.stop.map(|s| (p, s)))
+                else {
                     continue;
                 };
                 m.stops = true;
                 let fresh = now < s.since + KILL_REPEAT_MS;
-                let unheard = m.last_report.is_none_or(|at| now > at + report_ms);
+                let undelivered_starts = m.last_heartbeat.is_none_or(|at| now > at + report_ms);
                 let gang = job.is_gang() && job.tasks() > 1 && fresh;
                 // Somebody waits for this room.
                 let preempted = s.why == PREEMPTED && fresh;
                 let decided = active && (gang || preempted);
-                let cancelled = job.aborted && (fresh || unheard);
-                if p.stage != Stage::Ready && (decided || cancelled) {
+                let cancelled = job.aborted && (fresh || undelivered_starts);
+                if p.stage != AssignmentStage::Ready && (decided || cancelled) {
                     orders.push(stop(&task_name(id, *task), p.attempt, s.grace_s));
                 }
             }
@@ -163,7 +166,7 @@
                 orders.truncate(ORDERS_PER_ANSWER);
                 let body = wire::encode(&DirectOrders {
                     term: self.term,
-                    session: m.session,
+                    incarnation: m.incarnation,
                     orders,
                 });
                 calls.push((name.clone(), addr.clone(), body));
@@ -173,7 +176,7 @@
             if let Some(m) = self.machines.get_mut(&name) {
                 m.direct_at = now;
             }
-            mail.direct.push((addr, body));
+            effects.direct.push((addr, body));
         }
     }
 }
--- a/crates/control/src/leader/reports.rs
+++ b/crates/control/src/leader/worker_heartbeats.rs
@@ -1,6 +1,6 @@
 //! Workers: what reports prove, what is answered, and when silence proves something too.
 
-use super::books::*;
+use super::model::*;
 use super::*;
 use wire::workers::*;
 
@@ -17,20 +17,20 @@
 pub(super) const PREEMPTED: &str = "preempted";
 
 /// What to do with an answer to a report.
-pub(crate) enum Heard {
+pub(crate) enum ReportOutcome {
     /// Answer with these orders.
-    Answer(ReportAnswer),
-    /// Answer later, when [`Leader::held_answer`] says so.
-    Hold(Held),
+    Answer(HeartbeatResponse),
+    /// Answer later, when [`Leader::deferred_answer`] says so.
+    Hold(DeferredAnswer),
     /// The worker knows a newer term: we are not the leader.
     Newer(u64),
 }
 
 /// A report whose answer waits for what is about to be decided.
 #[derive(Debug, Clone)]
-pub(crate) struct Held {
+pub(crate) struct DeferredAnswer {
     machine: String,
-    tasks: Vec<TaskReport>,
+    tasks: Vec<TaskStatus>,
     seq: (u64, u64),
     /// Number of the last round when room became free by this report: the next one may use it.
     round: Option<u64>,
@@ -40,7 +40,7 @@
     idle_until: u64,
 }
 
-impl Held {
+impl DeferredAnswer {
     /// The answer waits no longer for a task that may never come.
     pub fn do_not_idle(&mut self) {
         self.idle_until = 0;
@@ -49,17 +49,22 @@
 
 impl Leader {
     /// A worker's report. `active` tells whether starts may be sent.
-    pub fn on_report(&mut self, report: Report, active: bool, now: Now) -> Heard {
+    pub fn on_worker_heartbeat(
+        &mut self,
+        report: WorkerHeartbeat,
+        active: bool,
+        now: Now,
+    ) -> ReportOutcome {
         if report.term > self.term {
-            return Heard::Newer(report.term);
+            return ReportOutcome::Newer(report.term);
         }
         let term = self.term;
         let orders = Vec::new();
-        if self.gone.contains_key(&report.machine) {
+        if self.departed.contains_key(&report.machine) {
             // Sent before the machine went: it changes nothing.
-            return Heard::Answer(ReportAnswer { term, orders });
+            return ReportOutcome::Answer(HeartbeatResponse { term, orders });
         }
-        let lease_ms = self.lease_lapse_ms();
+        let lease_ms = self.lease_expiry_ms();
         let silent_ms = self.silent_ms();
         let m = self.machines.get(&report.machine);
         let watched = m.is_some_and(|m| self.is_watched_by_owner(m, now.mono));
@@ -68,10 +73,10 @@
             .machines
             .entry(report.machine.clone())
             .or_insert_with(|| Machine::new(now.mono));
-        // A report that a cut held back until its session had ended is news by its number alone: taken for news, it
-        // made tasks that are long gone strays, and a machine that is still cut off one that is reached.
-        if m.is_outdated(report.session, report.seq) {
-            return Heard::Answer(ReportAnswer { term, orders });
+        // A report that a cut held back until its session had ended looks new by its number alone: taken as current, it
+        // made tasks that are long gone orphans, and a machine that is still cut off one that is reached.
+        if m.is_outdated(report.incarnation, report.seq) {
+            return ReportOutcome::Answer(HeartbeatResponse { term, orders });
         }
         // Whatever is answered counts for when the worker's lease may have run out.
         let answered = m.last_answer.replace(now.mono);
@@ -82,43 +87,43 @@
             // report, with our term, says what is on the machine, or that it is there at all. But this answer renews
             // its lease, so what it says is there of cancelled jobs must not live on by it.
             let orders = self.cancelled_in(&report.tasks);
-            return Heard::Answer(ReportAnswer { term, orders });
+            return ReportOutcome::Answer(HeartbeatResponse { term, orders });
         }
-        if m.token_seen && report.session > m.session {
+        if m.token_seen && report.incarnation > m.incarnation {
             // A lease that runs out sooner than a lease after our last answer: that answer did not reach it. Once
             // may happen to any machine, when reports held up by a cut are answered late.
             let early = answered.is_some_and(|at| now.mono < at + own_lease_ms);
-            m.lapses = if early { m.lapses + 1 } else { 0 };
-            if m.lapses >= UNHEARD_SESSIONS {
-                m.doubt(now.mono, "its leases run out under our answers");
+            m.early_expiries = if early { m.early_expiries + 1 } else { 0 };
+            if m.early_expiries >= EARLY_EXPIRIES_MAX {
+                m.mark_unreachable(now.mono, "its leases run out under our answers");
             }
         }
-        if report.session > m.session {
-            m.session_since = now.mono;
+        if report.incarnation > m.incarnation {
+            m.incarnation_since = now.mono;
         }
-        if m.doubted
-            .is_some_and(|at| now.mono > at.max(m.session_since) + lease_ms)
+        if m.unreachable_since
+            .is_some_and(|at| now.mono > at.max(m.incarnation_since) + lease_ms)
         {
             // A session outlives a lease only if answers arrive.
-            m.doubted = None;
-            (m.unheard, m.lapses) = (0, 0);
+            m.unreachable_since = None;
+            (m.undelivered_starts, m.early_expiries) = (0, 0);
             self.plan_due = true;
-            log::info!("event=machine_hears machine={}", report.machine);
+            log::info!("event=machine_reachable machine={}", report.machine);
         }
-        (m.session, m.seq) = (report.session, report.seq);
+        (m.incarnation, m.seq) = (report.incarnation, report.seq);
         // Back from a cut or a hang, its room counts again.
-        if !watched && m.last_report.is_none_or(|at| now.mono > at + silent_ms) {
+        if !watched && m.last_heartbeat.is_none_or(|at| now.mono > at + silent_ms) {
             self.plan_due = true;
         }
-        m.last_report = Some(now.mono);
+        m.last_heartbeat = Some(now.mono);
         m.notice_at = report
             .notice_s
             .map(|s| now.mono + (s.max(0.0) * 1000.0) as u64);
         m.token_seen = true;
         m.held = false;
         let name = report.machine.clone();
-        let before = self.machines.get(&name).map_or(0, |m| m.places.len());
-        self.work_in(&report, now);
+        let before = self.machines.get(&name).map_or(0, |m| m.assignments.len());
+        self.reconcile_tasks(&report, now);
         let report_ms = (self.settings.deployment.workers.report_s * 1000.0) as u64;
         // An answer held is a lease renewed later: where something runs, only a small part of the lease is spent.
         let lease_ms = self.settings.deployment.workers.lease_s * 1000.0;
@@ -126,9 +131,9 @@
             true => IDLE_HOLD_MS.min(report_ms),
             false => IDLE_HOLD_MS.min((lease_ms * HOLD_LEASE_SHARE) as u64),
         };
-        let after = self.machines.get(&name).map_or(0, |m| m.places.len());
-        let held = Held {
-            seq: (report.session, report.seq),
+        let after = self.machines.get(&name).map_or(0, |m| m.assignments.len());
+        let held = DeferredAnswer {
+            seq: (report.incarnation, report.seq),
             round: (after < before).then_some(self.rounds),
             machine: name.clone(),
             tasks: report.tasks,
@@ -140,20 +145,20 @@
                     0
                 },
         };
-        match self.held_answer(&held, active, now) {
-            Some(answer) => Heard::Answer(answer),
+        match self.deferred_answer(&held, active, now) {
+            Some(answer) => ReportOutcome::Answer(answer),
             None => {
                 if let Some(m) = self.machines.get_mut(&name) {
                     m.held = true;
                 }
-                Heard::Hold(held)
+                ReportOutcome::Hold(held)
             }
         }
     }
 
     /// Orders to end what a report lists of jobs that are cancelled, or over: right whatever else is true of it.
-    fn cancelled_in(&self, listed: &[TaskReport]) -> Vec<Order> {
-        let over = |t: &&TaskReport| {
+    fn cancelled_in(&self, listed: &[TaskStatus]) -> Vec<Order> {
+        let over = |t: &&TaskStatus| {
             let job = split_task(&t.task).and_then(|(id, _)| self.jobs.get(id));
             t.phase != TaskPhase::Ended && job.is_none_or(|j| j.aborted)
         };
@@ -162,7 +167,7 @@
     }
 
     /// Milliseconds after our last answer at which a worker's lease has certainly run out.
-    pub(super) fn lease_lapse_ms(&self) -> u64 {
+    pub(super) fn lease_expiry_ms(&self) -> u64 {
         let lease_s = self.settings.deployment.workers.lease_s;
         (lease_s * 1000.0 * DRIFT) as u64 + LEASE_MARGIN_MS
     }
@@ -172,31 +177,36 @@
         let Some(m) = self.machines.get(name).filter(|m| m.draining.is_none()) else {
             return false;
         };
-        let mut types = self.types.want.iter().flatten();
+        let mut types = self.types.desired.iter().flatten();
         let Some(t) = types.find(|t| t.name == m.kind) else {
-            return m.places.is_empty();
+            return m.assignments.is_empty();
         };
-        let used = m.places.iter().filter_map(|(id, _)| self.jobs.get(id));
+        let used = m.assignments.iter().filter_map(|(id, _)| self.jobs.get(id));
         let (cpus, gpus) = used.fold((0.0, 0.0), |(c, g), j| (c + j.spec.cpus, g + j.spec.gpus));
         t.cpus - cpus >= 1.0 && (t.gpus <= 0.0 || t.gpus - gpus >= 1.0)
     }
 
     /// The answer to a held report, once there is nothing left to wait for.
-    pub fn held_answer(&mut self, held: &Held, active: bool, now: Now) -> Option<ReportAnswer> {
+    pub fn deferred_answer(
+        &mut self,
+        held: &DeferredAnswer,
+        active: bool,
+        now: Now,
+    ) -> Option<HeartbeatResponse> {
         let term = self.term;
-        let answer = |orders| Some(ReportAnswer { term, orders });
+        let answer = |orders| Some(HeartbeatResponse { term, orders });
         let Some(m) = self.machines.get(&held.machine) else {
             return answer(Vec::new());
         };
-        if (m.session, m.seq) != held.seq {
+        if (m.incarnation, m.seq) != held.seq {
             // The worker has given up on this report.
             return answer(Vec::new());
         }
         let starts = |recorded: bool| {
-            m.places.iter().any(|(job, task)| {
+            m.assignments.iter().any(|(job, task)| {
                 let job = self.jobs.get(job);
-                let place = job.and_then(|j| j.place(*task));
-                place.is_some_and(|p| p.stage == Stage::Ready)
+                let assignment = job.and_then(|j| j.assignment(*task));
+                assignment.is_some_and(|p| p.stage == AssignmentStage::Ready)
                     && job.is_some_and(|j| j.is_startable(*task) == recorded)
             })
         };
@@ -221,7 +231,7 @@
     }
 
     /// Takes over what a report with our term proves.
-    pub(super) fn work_in(&mut self, report: &Report, now: Now) {
+    pub(super) fn reconcile_tasks(&mut self, report: &WorkerHeartbeat, now: Now) {
         let name = report.machine.clone();
         let Some(m) = self.machines.get_mut(&name) else {
             return;
@@ -230,13 +240,18 @@
             m.synced = true;
             self.plan_due = true;
             let boot_s = now.mono.saturating_sub(m.first_known) as f64 / 1000.0;
-            let kind = self.types.want.iter().flatten().find(|t| t.name == m.kind);
+            let kind = self
+                .types
+                .desired
+                .iter()
+                .flatten()
+                .find(|t| t.name == m.kind);
             // Of those that take several times as long, nothing is learnt for the usual ones.
             if m.rented && kind.is_some_and(|t| boot_s < t.boot_s * BOOT_OVERDUE) {
                 self.boots.entry(m.kind.clone()).or_default().add(boot_s);
             }
             log::info!(
-                "event=worker_known machine={name} kind={} zone={} spot={} tasks={}",
+                "event=worker_registered machine={name} kind={} zone={} spot={} tasks={}",
                 report.kind,
                 report.zone,
                 report.spot,
@@ -247,11 +262,11 @@
             if m.draining.is_none() {
                 m.draining = Some("notice");
                 let left = at.saturating_sub(now.mono);
-                log::info!("event=notice machine={name} left_ms={left}");
+                log::info!("event=preemption_notice machine={name} left_ms={left}");
                 self.plan_due = true;
             }
         }
-        let mut listed: BTreeMap<(String, u32), &TaskReport> = BTreeMap::new();
+        let mut listed: BTreeMap<(String, u32), &TaskStatus> = BTreeMap::new();
         for t in &report.tasks {
             if let Some((job, task)) = split_task(&t.task) {
                 listed.insert((job.to_string(), task), t);
@@ -260,19 +275,19 @@
         let recorded: Vec<(String, u32)> = self
             .machines
             .get(&name)
-            .map(|m| m.places.iter().cloned().collect())
+            .map(|m| m.assignments.iter().cloned().collect())
             .unwrap_or_default();
         for (id, task) in &recorded {
-            let place = self.jobs.get(id).and_then(|j| j.place(*task));
-            let Some(place) = place.filter(|p| p.machine == name) else {
+            let assignment = self.jobs.get(id).and_then(|j| j.assignment(*task));
+            let Some(assignment) = assignment.filter(|p| p.machine == name) else {
                 if let Some(m) = self.machines.get_mut(&name) {
-                    m.places.remove(&(id.clone(), *task));
+                    m.assignments.remove(&(id.clone(), *task));
                 }
                 continue;
             };
             let entry = listed
                 .get(&(id.clone(), *task))
-                .filter(|t| t.attempt == place.attempt);
+                .filter(|t| t.attempt == assignment.attempt);
             match entry {
                 Some(t) if t.phase == TaskPhase::Ended => {
                     let cause = t.cause.unwrap_or(Cause::Other);
@@ -282,7 +297,7 @@
                 None => self.absent(id, *task, report, now),
             }
         }
-        self.find_strays(&name, &listed);
+        self.find_orphans(&name, &listed);
     }
 
     fn seen(&mut self, id: &str, task: u32, phase: TaskPhase, now: Now) {
@@ -290,35 +305,39 @@
             return;
         };
         let (image, gb) = (job.spec.image.clone(), job.spec.image_gb);
-        let Some(place) = job.place_mut(task) else {
+        let Some(assignment) = job.assignment_mut(task) else {
             return;
         };
         // Only a start that we have watched from its beginning can be timed.
-        let timed = place.stage != Stage::Recorded;
-        let placed_at = place.at;
-        if matches!(place.stage, Stage::Sent { .. }) {
-            if let Some(m) = self.machines.get_mut(&place.machine) {
-                m.unheard = 0;
+        let timed = assignment.stage != AssignmentStage::Recorded;
+        let assigned_at = assignment.at;
+        if matches!(assignment.stage, AssignmentStage::Sent { .. }) {
+            if let Some(m) = self.machines.get_mut(&assignment.machine) {
+                m.undelivered_starts = 0;
             }
-            self.lags.seen.add(now.mono.saturating_sub(placed_at));
+            self.start_latencies
+                .seen
+                .add(now.mono.saturating_sub(assigned_at));
         }
-        place.stage = Stage::Seen;
-        let new = place.phase != Some(phase);
+        assignment.stage = AssignmentStage::Seen;
+        let new = assignment.phase != Some(phase);
         if new && log::log_enabled!(log::Level::Debug) {
             log::debug!(
                 "event=task_phase task={id}/{task} try={} machine={} phase={phase:?}",
-                place.attempt,
-                place.machine
+                assignment.attempt,
+                assignment.machine
             );
         }
-        place.phase = Some(phase);
-        let machine = place.machine.clone();
+        assignment.phase = Some(phase);
+        let machine = assignment.machine.clone();
         let runs = matches!(phase, TaskPhase::Running | TaskPhase::Saving);
-        if runs && place.running_since.is_none() && timed {
-            place.running_since = Some(now.mono);
+        if runs && assignment.running_since.is_none() && timed {
+            assignment.running_since = Some(now.mono);
         }
-        if runs && place.running_since == Some(now.mono) {
-            self.lags.ran.add(now.mono.saturating_sub(placed_at));
+        if runs && assignment.running_since == Some(now.mono) {
+            self.start_latencies
+                .ran
+                .add(now.mono.saturating_sub(assigned_at));
         }
         if runs {
             job.started = true;
@@ -328,8 +347,8 @@
                     "event=job_started job={id} class={} tasks={} waited_s={:.1} placed_ago_s={:.1}",
                     job.spec.class,
                     job.spec.tasks,
-                    now.unix.saturating_sub(job.at) as f64 / 1000.0,
-                    now.mono.saturating_sub(placed_at) as f64 / 1000.0
+                    now.unix.saturating_sub(job.submitted_at) as f64 / 1000.0,
+                    now.mono.saturating_sub(assigned_at) as f64 / 1000.0
                 );
             }
         }
@@ -341,7 +360,7 @@
                 m.images.insert(image, (now.mono, gb));
                 let cache = self
                     .types
-                    .want
+                    .desired
                     .iter()
                     .flatten()
                     .find(|t| t.name == m.kind)
@@ -360,33 +379,40 @@
     }
 
     /// A recorded task that a report with our term does not list.
-    fn absent(&mut self, id: &str, task: u32, report: &Report, now: Now) {
-        let Some(place) = self.jobs.get_mut(id).and_then(|j| j.place_mut(task)) else {
+    fn absent(&mut self, id: &str, task: u32, report: &WorkerHeartbeat, now: Now) {
+        let Some(assignment) = self.jobs.get_mut(id).and_then(|j| j.assignment_mut(task)) else {
             return;
         };
-        match place.stage {
-            Stage::Ready => {}
-            Stage::Sent { session, seq } => {
-                if (report.session, report.seq) <= (session, seq) {
+        match assignment.stage {
+            AssignmentStage::Ready => {}
+            AssignmentStage::Sent { incarnation, seq } => {
+                if (report.incarnation, report.seq) <= (incarnation, seq) {
                     return;
                 }
                 // One report is in flight at a time, so this one was written after the answer with the
                 // `launch` was executed or dropped.
-                let unheard = self.machines.get_mut(&report.machine).is_some_and(|m| {
-                    m.unheard += 1;
-                    if m.unheard >= UNHEARD_MAX {
-                        m.doubt(now.mono, "starts do not reach it");
+                let undelivered_starts = self.machines.get_mut(&report.machine).is_some_and(|m| {
+                    m.undelivered_starts += 1;
+                    if m.undelivered_starts >= UNDELIVERED_STARTS_MAX {
+                        m.mark_unreachable(now.mono, "starts do not reach it");
                     }
-                    m.doubted.is_some()
+                    m.unreachable_since.is_some()
                 });
-                if session == report.session && place.stop.is_none() && !unheard {
-                    place.stage = Stage::Ready;
+                if incarnation == report.incarnation
+                    && assignment.stop.is_none()
+                    && !undelivered_starts
+                {
+                    assignment.stage = AssignmentStage::Ready;
                 } else {
-                    self.free_place(id, task, "the start never arrived", now);
+                    self.release_assignment(id, task, "the start never arrived", now);
                 }
             }
-            Stage::Recorded => self.free_place(id, task, "recorded but not on its machine", now),
-            Stage::Seen => self.free_place(id, task, "no longer on its machine", now),
+            AssignmentStage::Recorded => {
+                self.release_assignment(id, task, "recorded but not on its machine", now)
+            }
+            AssignmentStage::Seen => {
+                self.release_assignment(id, task, "no longer on its machine", now)
+            }
         }
     }
 
@@ -394,24 +420,24 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(place) = job.place(task).cloned() else {
+        let Some(assignment) = job.assignment(task).cloned() else {
             return;
         };
         log::info!(
             "event=task_ended task={id}/{task} try={} machine={machine} cause={cause:?} ran_ms={}",
-            place.attempt,
-            place.running_since.map_or(0, |t| now.mono - t)
+            assignment.attempt,
+            assignment.running_since.map_or(0, |t| now.mono - t)
         );
         let gang = job.is_gang();
         match cause {
             Cause::Done => {
-                let secs = place
+                let secs = assignment
                     .running_since
                     .map(|t| now.mono.saturating_sub(t) as f64 / 1000.0);
                 let (mean, timed) = job.sample();
-                job.fails = 0;
-                job.fruitless = false;
-                job.fail_machines.clear();
+                job.failures = 0;
+                job.failed_under_earlier_leaders = false;
+                job.failed_machines.clear();
                 if gang {
                     // A gang completes together: one done task proves all of them.
                     for t in 0..job.tasks() {
@@ -429,9 +455,9 @@
                 }
             }
             Cause::Error | Cause::Other => {
-                job.fails += 1;
+                job.failures += 1;
                 job.pause_until = now.mono + job.error_pause_ms();
-                job.fail_machines.insert(machine.to_string());
+                job.failed_machines.insert(machine.to_string());
                 // A job that fails on one machine after the other blames no machine.
                 let suspect = !job.seems_to_fail_everywhere();
                 if let (Some(m), true) = (self.machines.get_mut(machine), suspect) {
@@ -451,41 +477,41 @@
             let broken = job.started || cause != Cause::NoRoom;
             job.broken |= broken;
         }
-        self.free_place(id, task, "ended", now);
+        self.release_assignment(id, task, "ended", now);
     }
 
     /// Tasks on the machine that the records don't place there.
-    fn find_strays(&mut self, name: &str, listed: &BTreeMap<(String, u32), &TaskReport>) {
-        let mut strays = BTreeSet::new();
+    fn find_orphans(&mut self, name: &str, listed: &BTreeMap<(String, u32), &TaskStatus>) {
+        let mut orphans = BTreeSet::new();
         for ((id, task), t) in listed {
             let here = self
                 .jobs
                 .get(id)
-                .and_then(|j| j.place(*task))
+                .and_then(|j| j.assignment(*task))
                 .is_some_and(|p| p.machine == name && p.attempt == t.attempt);
             if !here && t.phase != TaskPhase::Ended {
-                strays.insert((id.clone(), *task, t.attempt));
+                orphans.insert((id.clone(), *task, t.attempt));
             }
         }
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        let old = std::mem::replace(&mut m.strays, strays.clone());
-        for (id, task, attempt) in strays.difference(&old) {
-            log::info!("event=stray task={id}/{task} try={attempt} machine={name}");
+        let old = std::mem::replace(&mut m.orphans, orphans.clone());
+        for (id, task, attempt) in orphans.difference(&old) {
+            log::info!("event=orphan_task task={id}/{task} try={attempt} machine={name}");
             if let Some(job) = self.jobs.get_mut(id) {
-                job.strays.insert((*task, name.to_string()));
+                job.orphans.insert((*task, name.to_string()));
             }
         }
-        for (id, task, _) in old.difference(&strays) {
-            if strays.iter().any(|(i, t, _)| i == id && t == task) {
+        for (id, task, _) in old.difference(&orphans) {
+            if orphans.iter().any(|(i, t, _)| i == id && t == task) {
                 continue;
             }
             if let Some(job) = self.jobs.get_mut(id) {
-                job.strays.remove(&(*task, name.to_string()));
+                job.orphans.remove(&(*task, name.to_string()));
             }
             self.plan_due = true;
-            self.mark_if_final(id);
+            self.queue_write_if_final(id);
         }
     }
 
@@ -493,7 +519,7 @@
     fn orders_for(
         &mut self,
         name: &str,
-        listed: &[TaskReport],
+        listed: &[TaskStatus],
         active: bool,
         now: Now,
     ) -> Vec<Order> {
@@ -501,7 +527,7 @@
         let Some(m) = self.machines.get(name) else {
             return orders;
         };
-        let (session, seq) = (m.session, m.seq);
+        let (incarnation, seq) = (m.incarnation, m.seq);
         let (draining, returning) = (m.draining.is_some(), m.returning);
         for t in listed {
             let (Some((id, task)), true) = (split_task(&t.task), orders.len() < ORDERS_PER_ANSWER)
@@ -509,10 +535,10 @@
                 continue;
             };
             let job = self.jobs.get(id);
-            let place = job
-                .and_then(|j| j.place(task))
+            let assignment = job
+                .and_then(|j| j.assignment(task))
                 .filter(|p| p.machine == name && p.attempt == t.attempt);
-            let order = match (t.phase, place) {
+            let order = match (t.phase, assignment) {
                 // The result of an ended task is forgotten only once it is recorded.
                 (TaskPhase::Ended, None) if job.is_none_or(|j| j.is_saved(task)) => Order::Forget {
                     task: t.task.clone(),
@@ -532,8 +558,8 @@
         if !active || draining || returning {
             return orders;
         }
-        let places: Vec<(String, u32)> = m.places.iter().cloned().collect();
-        for (id, task) in places {
+        let assignments: Vec<(String, u32)> = m.assignments.iter().cloned().collect();
+        for (id, task) in assignments {
             if orders.len() >= ORDERS_PER_ANSWER {
                 break;
             }
@@ -541,19 +567,24 @@
                 continue;
             };
             let saved = job.chunk(task).map_or(0, |c| c.saved);
-            let Some(place) = job.place_mut(task) else {
+            let Some(assignment) = job.assignment_mut(task) else {
                 continue;
             };
-            if place.stage == Stage::Ready && place.seq <= saved && place.stop.is_none() {
-                self.lags.sent.add(now.mono.saturating_sub(place.at));
+            if assignment.stage == AssignmentStage::Ready
+                && assignment.seq <= saved
+                && assignment.stop.is_none()
+            {
+                self.start_latencies
+                    .sent
+                    .add(now.mono.saturating_sub(assignment.at));
                 log::debug!(
                     "event=launch task={id}/{task} machine={name} after_ms={}",
-                    now.mono.saturating_sub(place.at)
+                    now.mono.saturating_sub(assignment.at)
                 );
-                place.stage = Stage::Sent { session, seq };
+                assignment.stage = AssignmentStage::Sent { incarnation, seq };
                 orders.push(Order::Start {
                     task: task_name(&id, task),
-                    attempt: place.attempt,
+                    attempt: assignment.attempt,
                 });
             }
         }
@@ -569,30 +600,30 @@
         why: &'static str,
         now: Now,
     ) {
-        let Some(place) = self.jobs.get_mut(id).and_then(|j| j.place_mut(task)) else {
+        let Some(assignment) = self.jobs.get_mut(id).and_then(|j| j.assignment_mut(task)) else {
             return;
         };
-        if place.stop.is_some() {
+        if assignment.stop.is_some() {
             return;
         }
-        if place.stage == Stage::Ready {
-            return self.free_place(id, task, why, now);
+        if assignment.stage == AssignmentStage::Ready {
+            return self.release_assignment(id, task, why, now);
         }
         let since = now.mono;
-        place.stop = Some(Stop {
+        assignment.stop = Some(Stop {
             since,
             grace_s,
             why,
         });
         log::info!(
             "event=stop task={id}/{task} machine={} grace_s={grace_s} why={why:?}",
-            place.machine
+            assignment.machine
         );
-        let machine = place.machine.clone();
+        let machine = assignment.machine.clone();
         if let Some(m) = self.machines.get_mut(&machine) {
             m.stops = true;
         }
-        self.unsettle(machine);
+        self.note_pending_orders(machine);
         self.plan_due = true;
     }
 }
--- a/crates/control/src/leadership_watch.rs
+++ b/crates/control/src/leadership_watch.rs
@@ -66,14 +66,14 @@
         if self.is_without_state_for_long(without_state, now) {
             return Some(ResignReason::PeerReachesState);
         }
-        let silent = lease_holds && leader.hears_nobody(now);
-        let unheard = lease_holds && leader.is_heard_by_nobody(now);
+        let silent = lease_holds && leader.no_worker_reports(now);
+        let unheard = lease_holds && leader.no_worker_receives(now);
         let peer_hears = peers.hear_workers(now);
         if self.is_without_workers_for_long(silent && peer_hears, now) {
             return Some(ResignReason::WorkersReachPeer);
         }
         let cut_off_ms = self.cut_off_ms(silent || unheard, now)?;
-        // Workers that stray from one node to the next are heard by a peer only now and then.
+        // Workers that move from one node to the next are heard by a peer only now and then.
         let told = peer_hears && cut_off_ms > WITHOUT_WORKERS_MS;
         // The peer that hears them may be the one that can't tell.
         let untold = silent && leader.knows_machines() && cut_off_ms > UNTOLD_MS;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,23 +1,23 @@
 //! The controller, without I/O: actors that own their state and are spoken to by messages.
 //!
 //! [`Node`] is the whole of one controller. It is fed [`Input`]s and the time, and yields [`Output`]s. Inside,
-//! the state client, the election, the gateway for users, upgrades, the leader's books and the cloud client each
-//! own what they know; `mail::Mail` carries what they say to each other. What a node does besides for its peers and for
+//! the state client, the election, the gateway for users, upgrades, the leader and the cloud client each
+//! own what they know; `effects::Effects` carries what they say to each other. What a node does besides for its peers and for
 //! workers is in modules of their own too: `forwarding`, `pending_reports`, `heartbeat`, `leadership_watch`.
 
 mod cloud;
+pub mod effects;
 mod election;
 mod forwarding;
 mod gateway;
-mod heartbeat;
 mod leader;
 mod leadership_watch;
 mod machine_types;
-pub mod mail;
 mod node;
 mod partitions;
+mod peer_heartbeats;
 mod peers;
-mod pending_reports;
+mod pending_heartbeats;
 mod recent_map;
 mod requests;
 mod rollout;
@@ -26,7 +26,7 @@
 mod token_bucket;
 
 pub use ::rollout::{ControllerStatus, RolloutStatus};
-pub use mail::{CallError, CallId, Input, Now, Output, RequestId, Target};
+pub use effects::{CallError, CallId, Input, Now, Output, RequestId, Target};
 pub use node::Node;
 pub use partitions::PartitionsStatus;
 pub use settings::{Operator, Settings};
--- a/crates/control/src/machine_types.rs
+++ b/crates/control/src/machine_types.rs
@@ -1,6 +1,6 @@
 //! Reading the machine types that a leader has recorded, for nodes that have not seen any yet.
 
-use crate::mail::{Mail, News};
+use crate::effects::{Effects, NodeEvent};
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use constants::LEADER_POLL_MS;
 use wire::records::TYPES;
@@ -20,23 +20,24 @@
     }
 
     /// Sends a read if one is due and the types are not known.
-    pub fn tick(&mut self, types_known: bool, mail: &mut Mail) {
-        if types_known || self.reading || mail.now.mono < self.next_read {
+    pub fn tick(&mut self, types_known: bool, effects: &mut Effects) {
+        if types_known || self.reading || effects.now.mono < self.next_read {
             return;
         }
         self.reading = true;
         let read = StateOp::Get(TYPES.into());
-        mail.state
+        effects
+            .state
             .push((Priority::Leadership, read, StateTag::Types));
     }
 
     /// Tells the node what was read.
-    pub fn on_reply(&mut self, reply: StateReply, mail: &mut Mail) {
+    pub fn on_reply(&mut self, reply: StateReply, effects: &mut Effects) {
         self.reading = false;
-        self.next_read = mail.now.mono + LEADER_POLL_MS;
+        self.next_read = effects.now.mono + LEADER_POLL_MS;
         if let StateReply::Item(item) = reply {
             if let Ok(types) = item.value.deserialized() {
-                mail.news.push(News::Types(types));
+                effects.events.push(NodeEvent::Types(types));
             }
         }
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -2,21 +2,21 @@
 
 mod partition_view;
 mod planned_stop;
-mod standstill;
-mod worker_reports;
+mod stall;
+mod worker_heartbeats;
 
 use crate::cloud::CloudClient;
+use crate::effects::*;
 use crate::election::{Election, ElectionRules};
 use crate::forwarding::{ForwardedRequests, HttpRequest, REPORT_PATH};
 use crate::gateway::Gateway;
-use crate::heartbeat::{process_base, Heartbeat};
 use crate::leader::{direct_call, Leader};
 use crate::leadership_watch::{LeaderProbe, LeadershipWatch};
 use crate::machine_types::MachineTypesReader;
-use crate::mail::*;
 use crate::partitions::Partitions;
+use crate::peer_heartbeats::{process_base, PeerHeartbeats};
 use crate::peers::{PeerState, Peers};
-use crate::pending_reports::{HeldAnswers, PendingReports};
+use crate::pending_heartbeats::{DeferredAnswers, PendingHeartbeats};
 use crate::requests::{CloudTag, StateReply, StateTag};
 use crate::rollout::Rollout;
 use crate::settings::{Operator, Settings};
@@ -41,12 +41,12 @@
     partitions: Option<Partitions>,
     planned_stop: Option<planned_stop::PlannedStop>,
     leader: Option<Leader>,
-    pending_reports: PendingReports,
-    held_answers: HeldAnswers,
+    pending_heartbeats: PendingHeartbeats,
+    deferred_answers: DeferredAnswers,
     leadership_watch: LeadershipWatch,
     leader_probe: LeaderProbe,
     peers: Peers,
-    heartbeat: Heartbeat,
+    heartbeat: PeerHeartbeats,
     next_call: CallId,
     out: VecDeque<Output>,
     machine_types: MachineTypesReader,
@@ -76,15 +76,15 @@
             partitions: partition_view::partitions(&settings, &operator, boot, now.mono),
             planned_stop: None,
             leader: None,
-            pending_reports: PendingReports::new(d.quota.max_connections),
-            held_answers: HeldAnswers::default(),
+            pending_heartbeats: PendingHeartbeats::new(d.quota.max_connections),
+            deferred_answers: DeferredAnswers::default(),
             leadership_watch: LeadershipWatch::default(),
             leader_probe: LeaderProbe::new(now.mono),
             peers: Peers::new(
                 settings.siblings.iter().map(|s| s.label.clone()),
                 process_base(boot),
             ),
-            heartbeat: Heartbeat::new(boot, now.mono),
+            heartbeat: PeerHeartbeats::new(boot, now.mono),
             next_call: 0,
             out: VecDeque::new(),
             machine_types: MachineTypesReader::new(now.mono),
@@ -132,8 +132,8 @@
             self.partitions.as_ref().map(Partitions::next_wake),
             self.stop_wake(),
             self.forwarded.next_wake(now),
-            self.pending_reports.next_wake(leader_is_ready, now),
-            self.held_answers.next_wake(),
+            self.pending_heartbeats.next_wake(leader_is_ready, now),
+            self.deferred_answers.next_wake(),
         ];
         let earliest = wakes.into_iter().flatten().min();
         // Bounded by the last tick, not the last input: under a flood there is an input at every moment, and renewals,
@@ -169,8 +169,8 @@
     }
 
     fn on_input(&mut self, now: Now, input: Input) {
-        let mut mail = Mail::new(now);
-        self.note_time(now, &mut mail);
+        let mut effects = Effects::new(now);
+        self.note_time(now, &mut effects);
         match input {
             Input::Request {
                 id,
@@ -184,48 +184,48 @@
                     target: &target,
                     body: &body,
                 };
-                self.on_request(request, &mut mail);
+                self.on_request(request, &mut effects);
             }
-            Input::Reply { call, result } => self.on_reply(call, &result, &mut mail),
-            Input::Peer { from, message } => self.on_peer(&from, message, &mut mail),
-            Input::PeerRefuses { from } => self.election.peer_refuses(&from, &mut mail),
+            Input::Reply { call, result } => self.on_reply(call, &result, &mut effects),
+            Input::Peer { from, message } => self.on_peer(&from, message, &mut effects),
+            Input::PeerRefuses { from } => self.election.peer_refuses(&from, &mut effects),
             Input::Stop => self.begin_stop(now),
         }
-        self.deliver(mail);
+        self.deliver(effects);
     }
 
     fn on_tick(&mut self, now: Now) {
         self.last_tick = now.mono;
-        let mut mail = Mail::new(now);
-        self.note_time(now, &mut mail);
+        let mut effects = Effects::new(now);
+        self.note_time(now, &mut effects);
         let leader = self.election.leader_label(now.mono).map(str::to_string);
-        self.rollout.tick(leader.as_deref(), &mut mail);
+        self.rollout.tick(leader.as_deref(), &mut effects);
         self.election.follow(self.election_rules(now.mono));
-        self.election.tick(&mut mail);
-        self.gateway.tick(&mut mail);
-        self.go_on_stopping(&mut mail);
+        self.election.tick(&mut effects);
+        self.gateway.tick(&mut effects);
+        self.go_on_stopping(&mut effects);
         if !self.rollout.is_admitted() {
             self.election
-                .resign("this build may not take part", &mut mail);
+                .resign("this build may not take part", &mut effects);
         }
         let active = self.active(now.mono);
         if let Some(leader) = &mut self.leader {
-            leader.tick(active, &mut mail);
+            leader.tick(active, &mut effects);
         }
-        self.tick_partitions(&mut mail);
-        self.watch_leadership(&mut mail);
+        self.tick_partitions(&mut effects);
+        self.watch_leadership(&mut effects);
         let types_known = self.gateway.knows_types();
-        self.machine_types.tick(types_known, &mut mail);
+        self.machine_types.tick(types_known, &mut effects);
         self.heartbeat.tick(
             &self.election,
             &self.state,
             &self.peers,
             self.leader.as_mut(),
             &mut self.gateway,
-            &mut mail,
+            &mut effects,
         );
-        self.forwarded.tick(&mut mail);
-        self.deliver(mail);
+        self.forwarded.tick(&mut effects);
+        self.deliver(effects);
     }
 
     /// Whether neither the state service nor a peer, through which users could be served, has been reached for a while.
@@ -286,49 +286,49 @@
         self.active(now) || self.informed_until().is_some_and(informed)
     }
 
-    fn watch_leadership(&mut self, mail: &mut Mail) {
+    fn watch_leadership(&mut self, effects: &mut Effects) {
         let reason = self.leadership_watch.reason_to_resign(
             self.leader.as_ref(),
             &self.election,
             &self.state,
             &self.peers,
-            mail.now.mono,
+            effects.now.mono,
         );
         if let Some(reason) = reason {
-            self.election.resign(reason.as_str(), mail);
+            self.election.resign(reason.as_str(), effects);
         }
     }
 
-    fn on_request(&mut self, request: HttpRequest, mail: &mut Mail) {
+    fn on_request(&mut self, request: HttpRequest, effects: &mut Effects) {
         let HttpRequest {
             id, method, body, ..
         } = request;
         let path = request.target.split('?').next().unwrap_or_default();
         match (method, path) {
-            ("GET", "/ready") if self.is_cut_off(mail.now.mono) => {
-                mail.refuse(id, 503, "neither the state service nor a peer is reached");
+            ("GET", "/ready") if self.is_cut_off(effects.now.mono) => {
+                effects.refuse(id, 503, "neither the state service nor a peer is reached");
             }
             ("GET", "/ready") if !self.takes_requests() => {
-                mail.refuse(id, 503, "this process stops, or may not take part");
+                effects.refuse(id, 503, "this process stops, or may not take part");
             }
-            ("GET", "/ready") => mail.respond(id, 200, Vec::new()),
-            ("POST", REPORT_PATH) => self.on_report(id, body, mail),
-            (_, "/ready" | REPORT_PATH) => mail.refuse(id, 405, "method not allowed"),
+            ("GET", "/ready") => effects.respond(id, 200, Vec::new()),
+            ("POST", REPORT_PATH) => self.on_worker_heartbeat(id, body, effects),
+            (_, "/ready" | REPORT_PATH) => effects.refuse(id, 405, "method not allowed"),
             _ if !self.takes_requests() => {
-                mail.refuse(id, 503, "this process stops, or may not take part");
+                effects.refuse(id, 503, "this process stops, or may not take part");
             }
             _ if path == "/submissions" || path.starts_with("/submissions/") => {
-                let now = mail.now.mono;
+                let now = effects.now.mono;
                 let up = self.state.is_up(now);
                 if !up && !ForwardedRequests::is_from_peer(id) {
                     if let Some(peer) = self.peers.with_state(now) {
                         let peer = peer.to_string();
-                        return self.forwarded.forward(request, peer, mail);
+                        return self.forwarded.forward(request, peer, effects);
                     }
                 }
-                self.gateway.on_request(id, method, path, body, up, mail);
+                self.gateway.on_request(id, method, path, body, up, effects);
             }
-            _ => mail.refuse(id, 404, "no such path"),
+            _ => effects.refuse(id, 404, "no such path"),
         }
     }
 
@@ -341,45 +341,45 @@
         &mut self,
         call: CallId,
         result: &Result<(u16, Vec<u8>), CallError>,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
-        if let Some((tag, reply)) = self.state.on_reply(mail.now, call, result) {
-            return self.state_replied(tag, reply, mail);
+        if let Some((tag, reply)) = self.state.on_reply(effects.now, call, result) {
+            return self.state_replied(tag, reply, effects);
         }
-        if let Some((tag, op, reply)) = self.cloud.on_reply(mail.now.mono, call, result) {
+        if let Some((tag, op, reply)) = self.cloud.on_reply(effects.now.mono, call, result) {
             let CloudTag::Leader(term, ask) = tag;
             if let Some(leader) = self.leader.as_mut().filter(|l| l.term == term) {
-                leader.on_cloud(ask, op, reply, mail);
+                leader.on_cloud(ask, op, reply, effects);
             }
         }
     }
 
-    fn state_replied(&mut self, tag: StateTag, reply: StateReply, mail: &mut Mail) {
+    fn state_replied(&mut self, tag: StateTag, reply: StateReply, effects: &mut Effects) {
         match tag {
-            StateTag::Election(step) => self.election.on_reply(step, reply, mail),
-            StateTag::User(number) => self.gateway.on_reply(number, reply, mail),
-            StateTag::Proof(number) => self.gateway.on_proof(number, reply, mail),
-            StateTag::Unheard(number) => self.gateway.on_unheard(number, reply, mail),
-            StateTag::Rollout(request) => self.rollout.on_reply(request, reply, mail),
+            StateTag::Election(step) => self.election.on_reply(step, reply, effects),
+            StateTag::User(number) => self.gateway.on_reply(number, reply, effects),
+            StateTag::Proof(number) => self.gateway.on_proof(number, reply, effects),
+            StateTag::UnknownIds(number) => self.gateway.on_unknown_ids(number, reply, effects),
+            StateTag::Rollout(request) => self.rollout.on_reply(request, reply, effects),
             StateTag::Partitions(term, number) => {
                 if let Some(partitions) = &mut self.partitions {
-                    partitions.on_state_reply(term, number, reply, mail.now.mono);
+                    partitions.on_state_reply(term, number, reply, effects.now.mono);
                 }
             }
-            StateTag::Types => self.machine_types.on_reply(reply, mail),
+            StateTag::Types => self.machine_types.on_reply(reply, effects),
             StateTag::Leader(term, ask) => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.term == term) {
-                    leader.on_state(ask, reply, mail);
+                    leader.on_state(ask, reply, effects);
                 }
             }
         }
     }
 
-    fn on_peer(&mut self, from: &str, message: PeerMessage, mail: &mut Mail) {
-        let now = mail.now.mono;
+    fn on_peer(&mut self, from: &str, message: PeerMessage, effects: &mut Effects) {
+        let now = effects.now.mono;
         match message {
             PeerMessage::Hello { .. } => {}
-            PeerMessage::Beat {
+            PeerMessage::Heartbeat {
                 term,
                 state_ago_ms,
                 worker_ago_ms,
@@ -398,15 +398,15 @@
                     boot,
                     aborts,
                 };
-                self.peers.on_beat(from, beat);
+                self.peers.on_heartbeat(from, beat);
                 self.rollout.on_heartbeat(from, boot, now);
-                self.election.heard_term(term, mail);
+                self.election.heard_term(term, effects);
             }
             PeerMessage::Aborted { number, job } => {
                 self.peers.on_abort(from, number);
                 self.gateway.remember_cancelled(&job);
                 if let Some(leader) = &mut self.leader {
-                    leader.abort_told(&job, mail.now);
+                    leader.on_cancellation_notice(&job, effects.now);
                 }
             }
             PeerMessage::Counts { term, jobs } => {
@@ -432,80 +432,80 @@
                     target: &target,
                     body: &body,
                 };
-                self.on_request(request, mail);
+                self.on_request(request, effects);
             }
             PeerMessage::Forwarded { call, status, body } => {
-                self.forwarded.on_answer(from, call, status, body, mail);
+                self.forwarded.on_answer(from, call, status, body, effects);
             }
-            PeerMessage::Handover { term } => self.election.on_handover(from, term, mail),
-            PeerMessage::Partitions(message) => self.on_partition_message(from, message, mail),
+            PeerMessage::Handover { term } => self.election.on_handover(from, term, effects),
+            PeerMessage::Partitions(message) => self.on_partition_message(from, message, effects),
         }
     }
 
     /// Answers held reports for which there is nothing left to wait for.
-    fn release_held_answers(&mut self, mail: &mut Mail) {
-        let now = mail.now.mono;
-        if !self.held_answers.is_due(self.leader.as_mut(), now) {
+    fn release_deferred_answers(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
+        if !self.deferred_answers.is_due(self.leader.as_mut(), now) {
             return;
         }
         let active = self.active(now);
         let may_answer = self.may_answer(now);
         let leader = self.leader.as_mut().filter(|_| may_answer);
-        self.held_answers.release(leader, active, mail);
+        self.deferred_answers.release(leader, active, effects);
     }
 
     /// Passes on what actors said until nobody has anything left to say.
-    fn deliver(&mut self, mut mail: Mail) {
-        let now = mail.now;
+    fn deliver(&mut self, mut effects: Effects) {
+        let now = effects.now;
         let mut expired = Vec::new();
         let mut pending_due = true;
         loop {
-            for (priority, op, tag) in std::mem::take(&mut mail.state) {
+            for (priority, op, tag) in std::mem::take(&mut effects.state) {
                 self.state.push(now, priority, op, tag);
             }
-            for (op, tag) in std::mem::take(&mut mail.cloud) {
+            for (op, tag) in std::mem::take(&mut effects.cloud) {
                 self.cloud.push(op, tag);
             }
-            for (addr, body) in std::mem::take(&mut mail.direct) {
+            for (addr, body) in std::mem::take(&mut effects.direct) {
                 self.next_call += 1;
-                mail.out.push(direct_call(self.next_call, addr, body));
+                effects.out.push(direct_call(self.next_call, addr, body));
             }
-            for news in std::mem::take(&mut mail.news) {
-                self.on_news(news, &mut mail);
+            for event in std::mem::take(&mut effects.events) {
+                self.on_event(event, &mut effects);
             }
             self.state
-                .pump(&mut self.next_call, &mut mail, &mut expired);
-            self.cloud.pump(&mut self.next_call, &mut mail);
+                .pump(&mut self.next_call, &mut effects, &mut expired);
+            self.cloud.pump(&mut self.next_call, &mut effects);
             for (tag, reply) in expired.drain(..) {
-                self.state_replied(tag, reply, &mut mail);
+                self.state_replied(tag, reply, &mut effects);
             }
-            for output in std::mem::take(&mut mail.out) {
+            for output in std::mem::take(&mut effects.out) {
                 self.out.extend(self.forwarded.route(output));
             }
-            let quiet = mail.state.is_empty()
-                && mail.cloud.is_empty()
-                && mail.direct.is_empty()
-                && mail.news.is_empty()
-                && mail.out.is_empty();
+            let quiet = effects.state.is_empty()
+                && effects.cloud.is_empty()
+                && effects.direct.is_empty()
+                && effects.events.is_empty()
+                && effects.out.is_empty();
             if quiet {
                 if std::mem::take(&mut pending_due) {
-                    self.handle_pending_reports(&mut mail);
+                    self.handle_pending_reports(&mut effects);
                 }
-                self.release_held_answers(&mut mail);
-                if mail.out.is_empty() {
+                self.release_deferred_answers(&mut effects);
+                if effects.out.is_empty() {
                     return;
                 }
             }
         }
     }
 
-    fn on_news(&mut self, news: News, mail: &mut Mail) {
-        self.gateway.on_news(&news);
-        match news {
-            News::Elected { term, version } => {
+    fn on_event(&mut self, event: NodeEvent, effects: &mut Effects) {
+        self.gateway.on_event(&event);
+        match event {
+            NodeEvent::Elected { term, version } => {
                 log::info!("event=elected term={term}");
                 self.cloud.clear();
-                self.state.drop_books();
+                self.state.drop_leader_requests();
                 let mut leader = Leader::new(
                     &self.settings,
                     &self.operator,
@@ -513,45 +513,45 @@
                     term,
                     version,
                     self.rollout.has_small_values(),
-                    mail.now,
+                    effects.now,
                 );
                 for job in self.gateway.known_cancelled() {
-                    leader.abort_told(job, mail.now);
+                    leader.on_cancellation_notice(job, effects.now);
                 }
-                leader.tick(false, mail);
+                leader.tick(false, effects);
                 self.leader = Some(leader);
                 if let Some(partitions) = &mut self.partitions {
-                    partitions.on_elected(term, version, mail.now);
+                    partitions.on_elected(term, version, effects.now);
                 }
             }
-            News::Deposed(why) => {
-                log::info!("event=deposed why={why:?}");
+            NodeEvent::SteppedDown(why) => {
+                log::info!("event=stepped_down why={why:?}");
                 self.leader = None;
                 if let Some(partitions) = &mut self.partitions {
-                    partitions.on_deposed();
+                    partitions.on_stepped_down();
                 }
                 self.cloud.clear();
-                self.state.drop_books();
-                self.election.fenced(mail);
+                self.state.drop_leader_requests();
+                self.election.fenced(effects);
             }
-            News::Aborted(job) => {
+            NodeEvent::Aborted(job) => {
                 if let Some(leader) = &mut self.leader {
-                    leader.abort_told(&job, mail.now);
+                    leader.on_cancellation_notice(&job, effects.now);
                 }
                 // Ahead of all that is still to be sent, the user's answer included.
                 self.out.push_back(self.heartbeat.on_cancellation(job));
             }
-            News::JobOver(job, end) => self.heartbeat.on_job_ended(job, end),
-            News::Proven(why) => self.rollout.proven(why, mail),
-            News::LevelChanged => self.rollout.read_anew(mail.now.mono),
-            News::Upgraded => {
+            NodeEvent::JobOver(job, end) => self.heartbeat.on_job_ended(job, end),
+            NodeEvent::Proven(why) => self.rollout.proven(why, effects),
+            NodeEvent::LevelChanged => self.rollout.read_anew(effects.now.mono),
+            NodeEvent::Upgraded => {
                 let least = self.settings.deployment.state.least();
                 self.state.hold_to(least.rps, least.write_rps);
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.upgraded(mail);
+                    leader.upgraded(effects);
                 }
             }
-            News::Types(_) => {}
+            NodeEvent::Types(_) => {}
         }
     }
 }
--- a/crates/control/src/node/partition_view.rs
+++ b/crates/control/src/node/partition_view.rs
@@ -1,7 +1,7 @@
 //! What a node tells its actor for partitions.
 
 use super::Node;
-use crate::mail::{Mail, Now};
+use crate::effects::{Effects, Now};
 use crate::partitions::{Partitions, PartitionsStatus, View};
 use crate::settings::{Operator, Settings};
 use constants::{DRIFT, GRANT_MS};
@@ -32,24 +32,24 @@
         GRANT_MS.min(left_ms as u64)
     }
 
-    pub(super) fn tick_partitions(&mut self, mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub(super) fn tick_partitions(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
         let grant_ms = self.grant_ms(now);
         let Some(partitions) = &mut self.partitions else {
             return;
         };
         let view = View::new(&self.rollout, &self.peers, &self.election, grant_ms, now);
-        partitions.tick(&view, self.leader.as_mut(), mail);
+        partitions.tick(&view, self.leader.as_mut(), effects);
     }
 
     pub(super) fn on_partition_message(
         &mut self,
         from: &str,
         message: PartitionMessage,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
-        let now = mail.now.mono;
-        self.election.heard_term(message.term, mail);
+        let now = effects.now.mono;
+        self.election.heard_term(message.term, effects);
         let grant_ms = self.grant_ms(now);
         let Some(partitions) = &mut self.partitions else {
             log::info!(
@@ -58,7 +58,7 @@
             return;
         };
         let view = View::new(&self.rollout, &self.peers, &self.election, grant_ms, now);
-        partitions.on_message(from, message, &view, self.leader.as_mut(), mail);
+        partitions.on_message(from, message, &view, self.leader.as_mut(), effects);
     }
 }
 
--- a/crates/control/src/node/planned_stop.rs
+++ b/crates/control/src/node/planned_stop.rs
@@ -1,6 +1,6 @@
 //! A process that is asked to stop: it takes nothing new, hands the lead over, and ends what it has in hand.
 
-use super::{Mail, Node, Now};
+use super::{Effects, Node, Now};
 use constants::{HANDOVER_DRAIN_MS, STOP_MS};
 use wire::peers::PeerMessage;
 
@@ -26,8 +26,8 @@
         };
         let idle = self.election.leads().is_none()
             && self.gateway.is_idle()
-            && self.held_answers.is_empty()
-            && self.pending_reports.is_empty()
+            && self.deferred_answers.is_empty()
+            && self.pending_heartbeats.is_empty()
             && now > stop.since;
         idle || now >= stop.since + STOP_MS
     }
@@ -36,11 +36,11 @@
     ///
     /// The lease is ended, and with it whatever of ours is still under way fails. So the hand-over is a loss of the lease
     /// like any other; naming a successor only saves the others' looking for one, and a wrong name costs an election.
-    pub(super) fn go_on_stopping(&mut self, mail: &mut Mail) {
+    pub(super) fn go_on_stopping(&mut self, effects: &mut Effects) {
         let (Some(stop), Some(term)) = (self.planned_stop, self.election.leads()) else {
             return;
         };
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         let is_busy = self
             .leader
             .as_ref()
@@ -53,12 +53,12 @@
         if let Some(to) = successor {
             let message = PeerMessage::Handover { term };
             // Ahead of the answers to workers, who look for the next leader at once.
-            self.out.push_back(crate::mail::Output::Peer {
+            self.out.push_back(crate::effects::Output::Peer {
                 to: Some(to),
                 message,
             });
         }
-        self.election.resign("a planned stop", mail);
+        self.election.resign("a planned stop", effects);
     }
 
     /// When [`Node::go_on_stopping`] has something to do.
--- a/crates/control/src/node/worker_reports.rs
+++ b/crates/control/src/node/worker_heartbeats.rs
@@ -1,45 +1,52 @@
 //! Workers' reports: who answers them, and where workers are sent that report to another node.
 
 use super::Node;
+use crate::effects::{Effects, RequestId};
 use crate::forwarding::{ForwardedRequests, HttpRequest, REPORT_PATH};
-use crate::leader::{AnsweredReport, Heard};
-use crate::mail::{Mail, RequestId};
-use crate::pending_reports::LeaderStatus;
-use constants::{PEER_BEAT_MS, REPORT_DROP_MS};
+use crate::leader::{AnsweredHeartbeat, ReportOutcome};
+use crate::pending_heartbeats::LeaderStatus;
+use constants::{PEER_HEARTBEAT_MS, REPORT_DROP_MS};
 use partitions::Decision;
-use wire::workers::{Elsewhere, Report, ReportAnswer};
+use wire::workers::{Elsewhere, HeartbeatResponse, WorkerHeartbeat};
 
 impl Node {
-    pub(super) fn on_report(&mut self, id: RequestId, body: &[u8], mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub(super) fn on_worker_heartbeat(
+        &mut self,
+        id: RequestId,
+        body: &[u8],
+        effects: &mut Effects,
+    ) {
+        let now = effects.now.mono;
         if !ForwardedRequests::is_from_peer(id) {
-            self.heartbeat.on_worker_report(now);
+            self.heartbeat.note_worker_heartbeat(now);
             if let Some(partitions) = &mut self.partitions {
                 partitions.load().add_report();
             }
         }
-        let report: Report = match wire::decode(body) {
+        let report: WorkerHeartbeat = match wire::decode(body) {
             Ok(report) => report,
-            Err(why) => return mail.refuse(id, 400, &why.to_string()),
+            Err(why) => return effects.refuse(id, 400, &why.to_string()),
         };
         let status = self.leader_status(now);
         let is_led_elsewhere = matches!(status, LeaderStatus::Elsewhere | LeaderStatus::Unknown);
-        if is_led_elsewhere && self.report_to_owner(id, &report, body, mail) {
+        if is_led_elsewhere && self.report_to_owner(id, &report, body, effects) {
             return;
         }
         // While the leader is loading, an answer would renew the leases of tasks that may be cancelled, for all it knows.
         let waits = matches!(status, LeaderStatus::Unknown | LeaderStatus::Loading);
-        if waits && self.pending_reports.has_room() {
-            return self.pending_reports.push(id, body, now);
+        if waits && self.pending_heartbeats.has_room() {
+            return self.pending_heartbeats.push(id, body, now);
         }
         match status {
             LeaderStatus::Ready | LeaderStatus::Loading => {
                 if let Some(owner) = self.owner_to_redirect_to(id, &report, now) {
-                    return send_to(Some(owner), id, mail);
+                    return send_to(Some(owner), id, effects);
                 }
-                self.report_to_leader(id, report, mail);
+                self.report_to_leader(id, report, effects);
+            }
+            LeaderStatus::Elsewhere | LeaderStatus::Unknown => {
+                self.pass_report_on(id, body, effects)
             }
-            LeaderStatus::Elsewhere | LeaderStatus::Unknown => self.pass_report_on(id, body, mail),
         }
     }
 
@@ -53,7 +60,12 @@
     }
 
     /// The owner that a worker which reports to this leader is to report to instead, if it is to.
-    fn owner_to_redirect_to(&mut self, id: RequestId, report: &Report, now: u64) -> Option<String> {
+    fn owner_to_redirect_to(
+        &mut self,
+        id: RequestId,
+        report: &WorkerHeartbeat,
+        now: u64,
+    ) -> Option<String> {
         if ForwardedRequests::is_from_peer(id) {
             return None;
         }
@@ -66,31 +78,31 @@
     fn report_to_owner(
         &mut self,
         id: RequestId,
-        report: &Report,
+        report: &WorkerHeartbeat,
         body: &[u8],
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) -> bool {
         let term = self.election.highest_term();
         let partitions = self.partitions.as_mut();
         let Some(partitions) = partitions.filter(|_| !ForwardedRequests::is_from_peer(id)) else {
             return false;
         };
-        match partitions.decide(report, term, mail.now.mono) {
+        match partitions.decide(report, term, effects.now.mono) {
             Decision::Answer { term } => {
                 let orders = Vec::new();
-                mail.respond(id, 200, wire::encode(&ReportAnswer { term, orders }));
+                effects.respond(id, 200, wire::encode(&HeartbeatResponse { term, orders }));
             }
-            Decision::PassOn => return self.pass_to_leader(id, body, mail),
-            Decision::Redirect(Some(owner)) => send_to(Some(owner), id, mail),
+            Decision::PassOn => return self.pass_to_leader(id, body, effects),
+            Decision::Redirect(Some(owner)) => send_to(Some(owner), id, effects),
             Decision::Redirect(None) => return false,
-            Decision::Outdated => mail.refuse(id, 503, "a late copy of a report"),
+            Decision::Outdated => effects.refuse(id, 503, "a late copy of a report"),
         }
         true
     }
 
     /// Passes a report on to the leader; false if none is heard.
-    fn pass_to_leader(&mut self, id: RequestId, body: &[u8], mail: &mut Mail) -> bool {
-        let now = mail.now.mono;
+    fn pass_to_leader(&mut self, id: RequestId, body: &[u8], effects: &mut Effects) -> bool {
+        let now = effects.now.mono;
         let known = self.election.leader_label(now);
         let term = self.election.highest_term();
         let partitions = self.partitions.as_ref();
@@ -105,22 +117,22 @@
             target: REPORT_PATH,
             body,
         };
-        self.forwarded.forward_report(report, leader, mail);
+        self.forwarded.forward_report(report, leader, effects);
         true
     }
 
-    fn report_to_leader(&mut self, id: RequestId, report: Report, mail: &mut Mail) {
-        let now = mail.now;
+    fn report_to_leader(&mut self, id: RequestId, report: WorkerHeartbeat, effects: &mut Effects) {
+        let now = effects.now;
         if !self.may_answer(now.mono) {
-            return mail.refuse(id, 503, "not entitled to answer workers");
+            return effects.refuse(id, 503, "not entitled to answer workers");
         }
         let active = self.active(now.mono);
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let about = AnsweredReport::new(&report);
-        match leader.on_report(report, active, now) {
-            Heard::Answer(answer) => {
+        let about = AnsweredHeartbeat::new(&report);
+        match leader.on_worker_heartbeat(report, active, now) {
+            ReportOutcome::Answer(answer) => {
                 if let Some(partitions) = self
                     .partitions
                     .as_mut()
@@ -130,32 +142,35 @@
                         partitions.on_answered(peer, &about, leader, now.mono);
                     }
                 }
-                mail.respond(id, 200, wire::encode(&answer));
+                effects.respond(id, 200, wire::encode(&answer));
             }
-            Heard::Hold(mut held) => {
+            ReportOutcome::Hold(mut held) => {
                 if self.is_crowded {
                     held.do_not_idle();
                 }
-                self.held_answers.push(id, held);
+                self.deferred_answers.push(id, held);
             }
-            Heard::Newer(term) => {
-                self.election.heard_term(term, mail);
-                mail.refuse(id, 503, "a newer leader exists");
+            ReportOutcome::Newer(term) => {
+                self.election.heard_term(term, effects);
+                effects.refuse(id, 503, "a newer leader exists");
             }
         }
     }
 
     /// Sends a worker to the leader, or passes its report on to a leader that lives but that no worker reaches: sent to
     /// it, the worker would lose another 4 s, and its lease before long.
-    fn pass_report_on(&mut self, id: RequestId, body: &[u8], mail: &mut Mail) {
-        let now = mail.now.mono;
-        let deaf_ms = (self.settings.deployment.workers.report_s * 1500.0) as u64 + PEER_BEAT_MS;
+    fn pass_report_on(&mut self, id: RequestId, body: &[u8], effects: &mut Effects) {
+        let now = effects.now.mono;
+        let unreached_ms =
+            (self.settings.deployment.workers.report_s * 1500.0) as u64 + PEER_HEARTBEAT_MS;
         let leader = self.election.leader_label(now).map(str::to_string);
-        let settled = now > self.election.known_since() + 2 * REPORT_DROP_MS;
-        let deaf = leader.filter(|l| settled && self.peers.is_deaf(l, deaf_ms, now));
+        let has_new_decisions = now > self.election.known_since() + 2 * REPORT_DROP_MS;
+        let unreached = leader.filter(|l| {
+            has_new_decisions && self.peers.is_unreached_by_workers(l, unreached_ms, now)
+        });
         // Now and then one worker is sent there all the same, to find out whether it is reached again.
-        let probe = deaf.is_some() && self.leader_probe.take_due(now);
-        let forward_to = deaf.filter(|_| !probe && !ForwardedRequests::is_from_peer(id));
+        let probe = unreached.is_some() && self.leader_probe.take_due(now);
+        let forward_to = unreached.filter(|_| !probe && !ForwardedRequests::is_from_peer(id));
         if let Some(leader) = forward_to {
             let report = HttpRequest {
                 id,
@@ -163,42 +178,42 @@
                 target: REPORT_PATH,
                 body,
             };
-            return self.forwarded.forward(report, leader, mail);
+            return self.forwarded.forward(report, leader, effects);
         }
-        self.send_elsewhere(id, mail);
+        self.send_elsewhere(id, effects);
     }
 
-    fn send_elsewhere(&self, id: RequestId, mail: &mut Mail) {
+    fn send_elsewhere(&self, id: RequestId, effects: &mut Effects) {
         let leader = self
             .election
-            .leader_label(mail.now.mono)
+            .leader_label(effects.now.mono)
             .filter(|l| *l != self.settings.label)
             .map(str::to_string);
-        send_to(leader, id, mail);
+        send_to(leader, id, effects);
     }
 
     /// Goes on with reports that came while no leader was known, or before this one had read its records.
-    pub(super) fn handle_pending_reports(&mut self, mail: &mut Mail) {
-        if self.pending_reports.is_empty() {
+    pub(super) fn handle_pending_reports(&mut self, effects: &mut Effects) {
+        if self.pending_heartbeats.is_empty() {
             return;
         }
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         let status = self.leader_status(now);
         // An owner passes those of its partitions on.
         let passes_on = status == LeaderStatus::Elsewhere && self.partitions.is_some();
         if status == LeaderStatus::Ready || passes_on {
-            for report in self.pending_reports.take_batch() {
-                self.on_report(report.id, &report.body, mail);
+            for report in self.pending_heartbeats.take_batch() {
+                self.on_worker_heartbeat(report.id, &report.body, effects);
             }
             return;
         }
-        for id in self.pending_reports.take_redirected(status, now) {
-            self.send_elsewhere(id, mail);
+        for id in self.pending_heartbeats.take_redirected(status, now) {
+            self.send_elsewhere(id, effects);
         }
     }
 }
 
 /// Sends a worker to a controller, or to the next one it knows.
-fn send_to(leader: Option<String>, id: RequestId, mail: &mut Mail) {
-    mail.respond(id, 421, wire::encode(&Elsewhere { leader }));
+fn send_to(leader: Option<String>, id: RequestId, effects: &mut Effects) {
+    effects.respond(id, 421, wire::encode(&Elsewhere { leader }));
 }
--- a/crates/control/src/partitions/leading.rs
+++ b/crates/control/src/partitions/leading.rs
@@ -2,8 +2,8 @@
 
 use super::redirects::Redirects;
 use super::{send, PartitionsStatus, View};
-use crate::leader::{AnsweredReport, Leader};
-use crate::mail::Mail;
+use crate::effects::Effects;
+use crate::leader::{AnsweredHeartbeat, Leader};
 use crate::peers::Peers;
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use ::partitions::rebalance::{Candidate, Pins, Rebalancer};
@@ -16,7 +16,7 @@
 use wire::partitions::{ControllerLoad, GrantRequest, PartitionBody, PartitionId, Permit};
 use wire::records::{PartitionsRecord, PARTITIONS};
 use wire::state::Page;
-use wire::workers::Report;
+use wire::workers::WorkerHeartbeat;
 
 /// What is known of an owner in this term.
 #[derive(Debug, Clone, Copy)]
@@ -116,15 +116,15 @@
         view: &View,
         own_load: ControllerLoad,
         leader: &mut Leader,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         self.own_load = own_load;
         if view.rollout.has_partitions() && leader.is_ready() {
             leader.begin_delegation();
         }
-        self.send_recalls(leader, mail);
-        self.send_permits(mail);
+        self.send_recalls(leader, effects);
+        self.send_permits(effects);
         if now < self.next_look {
             return;
         }
@@ -136,37 +136,37 @@
         if !view.rollout.has_partitions() || self.is_unusable {
             return;
         }
-        self.read_table(mail);
+        self.read_table(effects);
         self.plan_moves(now);
-        self.write_table(mail);
+        self.write_table(effects);
     }
 
-    fn read_table(&mut self, mail: &mut Mail) {
-        let is_due = self.handover.must_reload() && mail.now.mono >= self.next_request;
+    fn read_table(&mut self, effects: &mut Effects) {
+        let is_due = self.handover.must_reload() && effects.now.mono >= self.next_request;
         if is_due && self.pending.is_none() {
-            self.ask_for_page(String::new(), mail);
+            self.ask_for_page(String::new(), effects);
         }
     }
 
-    fn ask_for_page(&mut self, from: String, mail: &mut Mail) {
+    fn ask_for_page(&mut self, from: String, effects: &mut Effects) {
         let prefix = PARTITIONS;
-        self.ask(Pending::Read, StateOp::List { prefix, from }, mail);
+        self.ask(Pending::Read, StateOp::List { prefix, from }, effects);
     }
 
-    fn ask(&mut self, pending: Pending, op: StateOp, mail: &mut Mail) {
+    fn ask(&mut self, pending: Pending, op: StateOp, effects: &mut Effects) {
         self.request += 1;
         self.pending = Some(pending);
         let tag = StateTag::Partitions(self.term, self.request);
-        mail.state.push((Priority::Leadership, op, tag));
+        effects.state.push((Priority::Leadership, op, tag));
     }
 
-    fn write_table(&mut self, mail: &mut Mail) {
-        let now = mail.now.mono;
+    fn write_table(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
         if self.pending.is_some() || now < self.next_request {
             return;
         }
         if let Some(txn) = self.handover.next_write(self.leader_version, now) {
-            self.ask(Pending::Write, StateOp::Txn(txn), mail);
+            self.ask(Pending::Write, StateOp::Txn(txn), effects);
         }
     }
 
@@ -285,9 +285,9 @@
         request: &GrantRequest,
         view: &View,
         leader: &mut Leader,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         if let Some(why) = self.reason_to_refuse(from, term, request, view.peers, now) {
             log::info!("event=grant_request_refused from={from} term={term} why={why:?}");
             return;
@@ -299,7 +299,7 @@
         let entitled = self.handover.entitled(from);
         let grant = leader.on_grant_request(from, request, &entitled, view.grant_ms, now);
         match grant {
-            Ok(Some(grant)) => send(from, self.term, PartitionBody::Grant(grant), mail),
+            Ok(Some(grant)) => send(from, self.term, PartitionBody::Grant(grant), effects),
             Ok(None) => {}
             Err(why) => log::error!("event=grant_request_refused from={from} why=\"{why}\""),
         }
@@ -331,7 +331,12 @@
     }
 
     /// The owner that a worker which reported here is sent to, if it is to be.
-    pub fn redirect(&mut self, report: &Report, leader: &Leader, now: u64) -> Option<String> {
+    pub fn redirect(
+        &mut self,
+        report: &WorkerHeartbeat,
+        leader: &Leader,
+        now: u64,
+    ) -> Option<String> {
         let partition = partition_of(&report.machine);
         let owner = leader
             .holder_at(partition, now + REDIRECT_GRANT_MS)?
@@ -347,7 +352,7 @@
     pub fn on_answered(
         &mut self,
         peer: &str,
-        report: &AnsweredReport,
+        report: &AnsweredHeartbeat,
         leader: &mut Leader,
         now: u64,
     ) {
@@ -362,28 +367,28 @@
         self.permits.entry(key).or_default().push(permit);
     }
 
-    fn send_permits(&mut self, mail: &mut Mail) {
-        if mail.now.mono < self.next_permits {
+    fn send_permits(&mut self, effects: &mut Effects) {
+        if effects.now.mono < self.next_permits {
             return;
         }
         for ((owner, boot), permits) in std::mem::take(&mut self.permits) {
             for permits in permits.chunks(PERMITS_A_FRAME) {
                 let permits = permits.to_vec();
                 let body = PartitionBody::Permits { boot, permits };
-                send(&owner, self.term, body, mail);
+                send(&owner, self.term, body, effects);
             }
         }
     }
 
-    fn send_recalls(&mut self, leader: &mut Leader, mail: &mut Mail) {
+    fn send_recalls(&mut self, leader: &mut Leader, effects: &mut Effects) {
         for ((owner, boot), recalled) in leader.urgent_recalls() {
             // Permits that are still here must not arrive after their recall.
             self.next_permits = 0;
-            self.send_permits(mail);
+            self.send_permits(effects);
             for permits in recalled.chunks(PERMITS_A_FRAME) {
                 let permits = permits.to_vec();
                 let body = PartitionBody::Recall { boot, permits };
-                send(&owner, self.term, body, mail);
+                send(&owner, self.term, body, effects);
             }
         }
     }
--- a/crates/control/src/partitions/mod.rs
+++ b/crates/control/src/partitions/mod.rs
@@ -7,9 +7,9 @@
 mod load;
 mod redirects;
 
+use crate::effects::{Effects, Now, Output};
 use crate::election::Election;
-use crate::leader::{AnsweredReport, Leader};
-use crate::mail::{Mail, Now, Output};
+use crate::leader::{AnsweredHeartbeat, Leader};
 use crate::peers::Peers;
 use crate::requests::StateReply;
 use crate::rollout::Rollout;
@@ -21,7 +21,7 @@
 use load::LoadMeter;
 use wire::partitions::{PartitionBody, PartitionId, PartitionMessage};
 use wire::peers::PeerMessage;
-use wire::workers::Report;
+use wire::workers::WorkerHeartbeat;
 
 /// What a controller knows of partitions, for tests and measurements.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -123,7 +123,7 @@
     }
 
     /// This node leads no longer.
-    pub fn on_deposed(&mut self) {
+    pub fn on_stepped_down(&mut self) {
         self.leading = None;
     }
 
@@ -141,13 +141,18 @@
     }
 
     /// What to do with a worker's report at a node that does not lead.
-    pub fn decide(&mut self, report: &Report, term: u64, now: u64) -> Decision {
+    pub fn decide(&mut self, report: &WorkerHeartbeat, term: u64, now: u64) -> Decision {
         self.owner.on_term(term, now);
         self.owner.decide(report, now)
     }
 
     /// The owner that a worker is to report to instead of this leader, if it is to.
-    pub fn redirect(&mut self, report: &Report, leader: &Leader, now: u64) -> Option<String> {
+    pub fn redirect(
+        &mut self,
+        report: &WorkerHeartbeat,
+        leader: &Leader,
+        now: u64,
+    ) -> Option<String> {
         self.leading.as_mut()?.redirect(report, leader, now)
     }
 
@@ -155,7 +160,7 @@
     pub fn on_answered(
         &mut self,
         peer: &str,
-        report: &AnsweredReport,
+        report: &AnsweredHeartbeat,
         leader: &mut Leader,
         now: u64,
     ) {
@@ -171,21 +176,21 @@
         }
     }
 
-    pub fn tick(&mut self, view: &View, leader: Option<&mut Leader>, mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub fn tick(&mut self, view: &View, leader: Option<&mut Leader>, effects: &mut Effects) {
+        let now = effects.now.mono;
         self.owner.on_term(view.term, now);
         match (&mut self.leading, leader) {
             (Some(leading), Some(leader)) => {
-                leading.tick(view, self.load.measure(now), leader, mail);
+                leading.tick(view, self.load.measure(now), leader, effects);
             }
-            _ => self.ask_for_grant(view, mail),
+            _ => self.ask_for_grant(view, effects),
         }
         self.log_status(now);
     }
 
     /// Asks the leader for this node's partitions, if that is due and it knows of partitions.
-    fn ask_for_grant(&mut self, view: &View, mail: &mut Mail) {
-        let now = mail.now.mono;
+    fn ask_for_grant(&mut self, view: &View, effects: &mut Effects) {
+        let now = effects.now.mono;
         let load = self.load.measure(now);
         let Some(request) = self.owner.request(load, now) else {
             return;
@@ -200,7 +205,7 @@
             return;
         };
         let body = PartitionBody::Request(request);
-        send(leader, view.term, body, mail);
+        send(leader, view.term, body, effects);
     }
 
     /// A peer says something about partitions.
@@ -210,9 +215,9 @@
         message: PartitionMessage,
         view: &View,
         leader: Option<&mut Leader>,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         let PartitionMessage { term, body } = message;
         match body {
             PartitionBody::Request(request) => {
@@ -220,7 +225,7 @@
                     log::debug!("event=grant_request_refused from={from} why=\"does not lead\"");
                     return;
                 };
-                leading.on_request(from, term, &request, view, leader, mail);
+                leading.on_request(from, term, &request, view, leader, effects);
             }
             PartitionBody::Grant(grant) => {
                 let number = grant.number;
@@ -259,8 +264,8 @@
 }
 
 /// Sends a message about partitions to a peer.
-fn send(to: &str, term: u64, body: PartitionBody, mail: &mut Mail) {
-    mail.out.push(Output::Peer {
+fn send(to: &str, term: u64, body: PartitionBody, effects: &mut Effects) {
+    effects.out.push(Output::Peer {
         to: Some(to.to_string()),
         message: PeerMessage::Partitions(PartitionMessage { term, body }),
     });
--- a/crates/control/src/heartbeat.rs
+++ b/crates/control/src/peer_heartbeats.rs
@@ -3,13 +3,13 @@
 //! A heartbeat says how long ago the state service and a worker were heard, and how many cancellations this process has
 //! confirmed to users; it echoes the peer's clock, so that the peer knows up to when it has heard of all of them.
 
+use crate::effects::{Effects, Output};
 use crate::election::Election;
 use crate::gateway::Gateway;
 use crate::leader::Leader;
-use crate::mail::{Mail, Output};
 use crate::peers::Peers;
 use crate::state::StateClient;
-use constants::{COUNTS_MS, NEWS_MAX, PEER_BEAT_MS};
+use constants::{COUNTS_MS, JOB_UPDATES_MAX, PEER_HEARTBEAT_MS};
 use wire::peers::PeerMessage;
 use wire::records::Final;
 
@@ -20,7 +20,7 @@
 }
 
 /// Heartbeats and notices to peers.
-pub(crate) struct Heartbeat {
+pub(crate) struct PeerHeartbeats {
     /// Number of this process.
     boot: u64,
     /// Added to the clock in heartbeats.
@@ -35,10 +35,10 @@
     ended_jobs: Vec<(String, bool)>,
 }
 
-impl Heartbeat {
+impl PeerHeartbeats {
     /// `boot` is the number of this process.
     pub fn new(boot: u64, now: u64) -> Self {
-        Heartbeat {
+        PeerHeartbeats {
             boot,
             clock_base: process_base(boot),
             started_at: now,
@@ -61,7 +61,7 @@
     }
 
     /// A worker reported to this node directly.
-    pub fn on_worker_report(&mut self, now: u64) {
+    pub fn note_worker_heartbeat(&mut self, now: u64) {
         self.last_worker_report = Some(now);
     }
 
@@ -89,20 +89,20 @@
         peers: &Peers,
         leader: Option<&mut Leader>,
         gateway: &mut Gateway,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         if now < self.next_heartbeat {
             return;
         }
-        self.next_heartbeat = now + PEER_BEAT_MS;
-        self.send_heartbeats(election, state, peers, mail);
+        self.next_heartbeat = now + PEER_HEARTBEAT_MS;
+        self.send_heartbeats(election, state, peers, effects);
         let leader = leader.filter(|l| l.is_ready());
         if let Some(leader) = leader.filter(|_| now >= self.next_open_jobs) {
             self.next_open_jobs = now + COUNTS_MS;
-            send_open_jobs(leader, gateway, mail);
+            send_open_jobs(leader, gateway, effects);
         }
-        self.send_ended_jobs(mail);
+        self.send_ended_jobs(effects);
     }
 
     fn send_heartbeats(
@@ -110,18 +110,18 @@
         election: &Election,
         state: &StateClient,
         peers: &Peers,
-        mail: &mut Mail,
+        effects: &mut Effects,
     ) {
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         let ago = |at: u64| now.saturating_sub(at);
         let state_ago_ms = match state.last_good() {
             0 => ago(self.started_at),
             at => ago(at),
         };
         for (label, echo) in peers.echoes() {
-            mail.out.push(Output::Peer {
+            effects.out.push(Output::Peer {
                 to: Some(label.clone()),
-                message: PeerMessage::Beat {
+                message: PeerMessage::Heartbeat {
                     term: election.highest_term(),
                     state_ago_ms,
                     leads: election.leads().is_some(),
@@ -135,12 +135,12 @@
         }
     }
 
-    fn send_ended_jobs(&mut self, mail: &mut Mail) {
+    fn send_ended_jobs(&mut self, effects: &mut Effects) {
         let ended = std::mem::take(&mut self.ended_jobs);
         // A message beyond the size of a frame would not be sent at all.
-        for jobs in ended.chunks(NEWS_MAX) {
+        for jobs in ended.chunks(JOB_UPDATES_MAX) {
             let jobs = jobs.to_vec();
-            mail.out.push(Output::Peer {
+            effects.out.push(Output::Peer {
                 to: None,
                 message: PeerMessage::Over { jobs },
             });
@@ -149,11 +149,11 @@
 }
 
 /// Tells all gateways, ours included, which jobs are open.
-fn send_open_jobs(leader: &mut Leader, gateway: &mut Gateway, mail: &mut Mail) {
-    let jobs = leader.next_news();
+fn send_open_jobs(leader: &mut Leader, gateway: &mut Gateway, effects: &mut Effects) {
+    let jobs = leader.next_job_updates();
     gateway.hear(&jobs);
     let term = leader.term;
-    mail.out.push(Output::Peer {
+    effects.out.push(Output::Peer {
         to: None,
         message: PeerMessage::Counts { term, jobs },
     });
--- a/crates/control/src/heartbeat/tests.rs
+++ b/crates/control/src/peer_heartbeats/tests.rs
@@ -1,21 +1,21 @@
 //! Notices of jobs that have ended.
 
 use super::*;
-use crate::mail::Now;
+use crate::effects::Now;
 use wire::peers::encode_frame;
 
 /// A message beyond the size of a frame is not sent at all.
 #[test]
 fn any_number_of_ended_jobs_goes_in_messages_that_fit_a_frame() {
-    let mut heartbeat = Heartbeat::new(1, 0);
+    let mut heartbeat = PeerHeartbeats::new(1, 0);
     let ids: Vec<String> = (0..12_000).map(|n| format!("run-{n:06}")).collect();
     for id in &ids {
         heartbeat.on_job_ended(id.clone(), Final::Done);
     }
-    let mut mail = Mail::new(Now::default());
-    heartbeat.send_ended_jobs(&mut mail);
+    let mut effects = Effects::new(Now::default());
+    heartbeat.send_ended_jobs(&mut effects);
     let mut told = Vec::new();
-    for output in mail.out {
+    for output in effects.out {
         let Output::Peer { message, .. } = output else {
             continue;
         };
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -24,7 +24,7 @@
 
 /// Cancellations heard from a peer's process, without a gap since a moment of ours.
 #[derive(Debug, Clone, Copy, Default)]
-struct Heard {
+struct ReportOutcome {
     boot: u64,
     aborts: u64,
     since: u64,
@@ -34,7 +34,7 @@
 #[derive(Default)]
 pub(crate) struct Peers {
     known: BTreeMap<String, PeerState>,
-    heard: BTreeMap<String, Heard>,
+    heard: BTreeMap<String, ReportOutcome>,
     /// What this process adds to its clock in beats.
     base: u64,
 }
@@ -48,7 +48,7 @@
         }
     }
 
-    pub fn on_beat(&mut self, from: &str, beat: PeerState) {
+    pub fn on_heartbeat(&mut self, from: &str, beat: PeerState) {
         let Some(p) = self.known.get_mut(from) else {
             return;
         };
@@ -56,7 +56,7 @@
         if heard.boot != beat.boot || heard.aborts != beat.aborts {
             // Another process, or a notice went missing with a broken connection: count anew from here.
             let (boot, aborts, since) = (beat.boot, beat.aborts, beat.at);
-            *heard = Heard {
+            *heard = ReportOutcome {
                 boot,
                 aborts,
                 since,
@@ -135,7 +135,7 @@
     }
 
     /// Whether a peer lives but no worker has reached it directly for `ms`.
-    pub fn is_deaf(&self, label: &str, ms: u64, now: u64) -> bool {
+    pub fn is_unreached_by_workers(&self, label: &str, ms: u64, now: u64) -> bool {
         let mut fresh = self.fresh(now);
         let peer = fresh.find(|(l, _)| l.as_str() == label);
         peer.is_some_and(|(_, p)| p.worker_ago_ms.is_none_or(|ago| ago > ms))
--- a/crates/control/src/pending_reports.rs
+++ b/crates/control/src/pending_heartbeats.rs
@@ -1,14 +1,14 @@
 //! Workers' reports whose answers wait.
 //!
-//! [`PendingReports`] have not been handled yet: no leader is known, or this node leads and has yet to read its
-//! records. [`HeldAnswers`] belong to reports that the leader has taken in; it answers them once it has decided, so that
+//! [`PendingHeartbeats`] have not been handled yet: no leader is known, or this node leads and has yet to read its
+//! records. [`DeferredAnswers`] belong to reports that the leader has taken in; it answers them once it has decided, so that
 //! what it decides need not wait for the next report.
 
-use crate::leader::{Held, Leader};
-use crate::mail::{Mail, RequestId};
+use crate::effects::{Effects, RequestId};
+use crate::leader::{DeferredAnswer, Leader};
 use constants::{
-    PENDING_REPORTS_A_TURN, PENDING_REPORTS_CHECK_MS, PENDING_REPORT_LOADING_MS, PENDING_REPORT_MS,
-    PENDING_WAKE_MS, RELEASE_MS,
+    PENDING_HEARTBEATS_PER_TURN, PENDING_REPORTS_CHECK_MS, PENDING_REPORT_LOADING_MS,
+    PENDING_REPORT_MS, PENDING_WAKE_MS, RELEASE_MS,
 };
 
 /// What a node knows of the leader, as far as pending reports are concerned.
@@ -25,23 +25,23 @@
 }
 
 /// A report as it came.
-pub(crate) struct PendingReport {
+pub(crate) struct PendingHeartbeat {
     pub id: RequestId,
     pub body: Vec<u8>,
     received_at: u64,
 }
 
 /// Reports that came while no leader was known, or before this one had read its records.
-pub(crate) struct PendingReports {
-    reports: Vec<PendingReport>,
+pub(crate) struct PendingHeartbeats {
+    reports: Vec<PendingHeartbeat>,
     capacity: usize,
     next_check: u64,
 }
 
-impl PendingReports {
+impl PendingHeartbeats {
     /// At most `capacity` reports: as many as workers may be connected.
     pub fn new(capacity: usize) -> Self {
-        PendingReports {
+        PendingHeartbeats {
             reports: Vec::new(),
             capacity,
             next_check: 0,
@@ -57,7 +57,7 @@
     }
 
     pub fn push(&mut self, id: RequestId, body: &[u8], now: u64) {
-        self.reports.push(PendingReport {
+        self.reports.push(PendingHeartbeat {
             id,
             body: body.to_vec(),
             received_at: now,
@@ -74,8 +74,8 @@
     }
 
     /// The next reports for a leader that is ready: a few at a time, the oldest first.
-    pub fn take_batch(&mut self) -> Vec<PendingReport> {
-        let count = PENDING_REPORTS_A_TURN.min(self.reports.len());
+    pub fn take_batch(&mut self) -> Vec<PendingHeartbeat> {
+        let count = PENDING_HEARTBEATS_PER_TURN.min(self.reports.len());
         self.reports.drain(..count).collect()
     }
 
@@ -104,22 +104,22 @@
 }
 
 /// A report whose answer the leader holds back.
-struct HeldAnswer {
+struct QueuedAnswer {
     id: RequestId,
-    held: Held,
+    held: DeferredAnswer,
 }
 
 /// Answers that wait for what the leader is about to decide.
 #[derive(Default)]
-pub(crate) struct HeldAnswers {
-    answers: Vec<HeldAnswer>,
+pub(crate) struct DeferredAnswers {
+    answers: Vec<QueuedAnswer>,
     /// When they are looked at again even though nothing was decided.
     next_check: u64,
 }
 
-impl HeldAnswers {
-    pub fn push(&mut self, id: RequestId, held: Held) {
-        self.answers.push(HeldAnswer { id, held });
+impl DeferredAnswers {
+    pub fn push(&mut self, id: RequestId, held: DeferredAnswer) {
+        self.answers.push(QueuedAnswer { id, held });
     }
 
     pub fn is_empty(&self) -> bool {
@@ -138,24 +138,29 @@
         if self.answers.is_empty() {
             return false;
         }
-        let settled = leader.is_none_or(|l| std::mem::take(&mut l.settled));
-        settled || now >= self.next_check
+        let has_new_decisions = leader.is_none_or(|l| std::mem::take(&mut l.has_new_decisions));
+        has_new_decisions || now >= self.next_check
     }
 
     /// Sends the answers for which there is nothing left to wait for. `leader` is the leader if it may answer workers;
     /// without one all are refused.
-    pub fn release(&mut self, mut leader: Option<&mut Leader>, active: bool, mail: &mut Mail) {
-        let now = mail.now;
+    pub fn release(
+        &mut self,
+        mut leader: Option<&mut Leader>,
+        active: bool,
+        effects: &mut Effects,
+    ) {
+        let now = effects.now;
         self.next_check = now.mono + RELEASE_MS;
-        self.answers.retain(|HeldAnswer { id, held }| {
+        self.answers.retain(|QueuedAnswer { id, held }| {
             let Some(leader) = leader.as_mut() else {
-                mail.refuse(*id, 503, "not entitled to answer workers");
+                effects.refuse(*id, 503, "not entitled to answer workers");
                 return false;
             };
-            let Some(answer) = leader.held_answer(held, active, now) else {
+            let Some(answer) = leader.deferred_answer(held, active, now) else {
                 return true;
             };
-            mail.respond(*id, 200, wire::encode(&answer));
+            effects.respond(*id, 200, wire::encode(&answer));
             false
         });
     }
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -14,7 +14,7 @@
     /// What has to be read for a submission or a cancellation.
     ChangeRead,
     /// The leader's records.
-    Books,
+    LeaderRecords,
     /// Transactions that answer many questions at once.
     Proof,
     /// What has to be read for a single question.
@@ -26,14 +26,14 @@
         Priority::Leadership,
         Priority::Change,
         Priority::ChangeRead,
-        Priority::Books,
+        Priority::LeaderRecords,
         Priority::Proof,
         Priority::Question,
     ];
 
     /// Whether a user waits for the answer.
     pub fn is_for_user(self) -> bool {
-        !matches!(self, Priority::Leadership | Priority::Books)
+        !matches!(self, Priority::Leadership | Priority::LeaderRecords)
     }
 }
 
@@ -108,7 +108,7 @@
     /// Proof of many answers at once.
     Proof(u64),
     /// Search for many ids at once that nothing is known of.
-    Unheard(u64),
+    UnknownIds(u64),
     Types,
     /// The upgrade, with the number of its request.
     Rollout(u64),
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,7 +1,7 @@
 //! Upgrades of the controllers: drives the state machines of the `rollout` crate with the state service, heartbeats and
 //! what users' requests prove, and tells the node which features are open.
 
-use crate::mail::{Mail, News};
+use crate::effects::{Effects, NodeEvent};
 use crate::peers::Peers;
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use crate::settings::{Finalization, RolloutSettings, Settings};
@@ -10,7 +10,7 @@
     Event, Feature, Gates, GenerationMachine, Identity, LevelRange, Output, Policy, Reply, Request,
     RolloutMachine, RolloutStatus,
 };
-use wire::state::Guard;
+use wire::state::Compare;
 
 /// Version of this build, as it is announced.
 const BUILD: &str = env!("CARGO_PKG_VERSION");
@@ -114,7 +114,7 @@
 
     /// Conditions of being elected: nothing has become final since this process was admitted, and the level that its
     /// record names is still active.
-    pub fn election_conditions(&self) -> Vec<Guard> {
+    pub fn election_conditions(&self) -> Vec<Compare> {
         let Some(machine) = self.levels() else {
             return Vec::new();
         };
@@ -162,33 +162,33 @@
     }
 
     /// Something happened that happens only when every controller runs generation 1.
-    pub fn proven(&mut self, why: &'static str, mail: &mut Mail) {
+    pub fn proven(&mut self, why: &'static str, effects: &mut Effects) {
         if self.has_small_values() {
             return;
         }
-        log::info!("event=upgrade_proven why={why:?}");
+        log::info!("event=upgrade_confirmed why={why:?}");
         match &mut self.machine {
-            Machine::Generation(machine) => machine.proven(why, mail.now.mono),
-            Machine::Levels(machine) => machine.proven(why, mail.now.mono),
+            Machine::Generation(machine) => machine.proven(why, effects.now.mono),
+            Machine::Levels(machine) => machine.proven(why, effects.now.mono),
         }
-        self.tell_small_values(mail);
+        self.tell_small_values(effects);
     }
 
-    pub fn tick(&mut self, leader: Option<&str>, mail: &mut Mail) {
-        let now = mail.now.mono;
+    pub fn tick(&mut self, leader: Option<&str>, effects: &mut Effects) {
+        let now = effects.now.mono;
         let output = match &mut self.machine {
             Machine::Generation(machine) => machine.tick(now),
             Machine::Levels(machine) => machine.tick(now, leader),
         };
-        self.carry_out(output, mail);
+        self.carry_out(output, effects);
         self.log_status(now);
     }
 
-    pub fn on_reply(&mut self, request: u64, reply: StateReply, mail: &mut Mail) {
+    pub fn on_reply(&mut self, request: u64, reply: StateReply, effects: &mut Effects) {
         if request != self.request {
             return;
         }
-        let now = mail.now;
+        let now = effects.now;
         let reply = match reply {
             StateReply::Page(page) => Reply::Page(page),
             StateReply::Item(item) => Reply::Item(item),
@@ -200,14 +200,14 @@
             Machine::Generation(machine) => machine.on_reply(reply, now.mono),
             Machine::Levels(machine) => machine.on_reply(reply, now.mono, now.unix),
         };
-        self.carry_out(output, mail);
+        self.carry_out(output, effects);
     }
 
-    fn carry_out(&mut self, output: Output, mail: &mut Mail) {
+    fn carry_out(&mut self, output: Output, effects: &mut Effects) {
         for event in output.events {
             log_event(&event);
         }
-        self.tell_small_values(mail);
+        self.tell_small_values(effects);
         let Some(request) = output.request else {
             return;
         };
@@ -218,14 +218,14 @@
         };
         self.request += 1;
         let tag = StateTag::Rollout(self.request);
-        mail.state.push((Priority::Leadership, op, tag));
+        effects.state.push((Priority::Leadership, op, tag));
     }
 
     /// Tells the node once that small values may be written.
-    fn tell_small_values(&mut self, mail: &mut Mail) {
+    fn tell_small_values(&mut self, effects: &mut Effects) {
         if !self.small_values_told && self.has_small_values() {
             self.small_values_told = true;
-            mail.news.push(News::Upgraded);
+            effects.events.push(NodeEvent::Upgraded);
         }
     }
 
@@ -313,9 +313,9 @@
         Event::Unreadable { key } => {
             log::error!("event=record_unreadable key={key} why=\"not as this build writes it\"");
         }
-        Event::GenerationTold => log::info!("event=generation_told generation=1"),
+        Event::GenerationTold => log::info!("event=generation_announced generation=1"),
         Event::MarkRaised { missing, proof } => {
-            log::info!("event=mark_raised generation=1 missing={missing} proof={proof:?}");
+            log::info!("event=generation_raised generation=1 missing={missing} proof={proof:?}");
         }
         Event::MarkSeen { generation } => log::info!("event=upgraded generation={generation}"),
     }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -295,8 +295,8 @@
     ///
     /// The platform's file restates only the aims at start and at finish, so an aim about money can't be read
     /// there. What can be read is whether guarantees are to be met at once: that takes machines that stand
-    /// ready, and then thrift would cost what was asked for. Without it, idle machines are waste.
-    pub fn thrifty(&self) -> bool {
+    /// ready, and then saving would cost what was asked for. Without it, idle machines are waste.
+    pub fn minimizes_cost(&self) -> bool {
         let has = |kind: &str| self.deployment.objectives.iter().any(|o| o.kind == kind);
         has("price") || has("useful") || !has("guarantee")
     }
@@ -408,7 +408,7 @@
     Automatic,
     /// Not at all: every upgrade stays reversible.
     #[default]
-    Held,
+    DeferredAnswer,
 }
 
 /// How staged upgrades go.
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,6 +1,6 @@
 //! Client of the state service: budgets, priorities, and answers told apart.
 
-use crate::mail::{CallError, CallId, Mail, Now, Output, Target};
+use crate::effects::{CallError, CallId, Effects, Now, Output, Target};
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use crate::token_bucket::TokenBucket;
 use constants::*;
@@ -20,12 +20,12 @@
     change_reads: TokenBucket,
     questions: TokenBucket,
     user_writes: TokenBucket,
-    book_writes: TokenBucket,
+    leader_writes: TokenBucket,
     queues: [VecDeque<Waiting>; Priority::ALL.len()],
-    inflight: HashMap<CallId, (StateOp, StateTag)>,
+    in_flight: HashMap<CallId, (StateOp, StateTag)>,
     paused_until: u64,
-    /// Rate and burst that bookkeeping may have, what share of the rate it takes, and when that was reckoned.
-    books: (f64, f64),
+    /// Rate and burst that the leader's records may have, what share of the rate it takes, and when that was reckoned.
+    leader_rate: (f64, f64),
     strain: (f64, u64),
     /// Of the two that share the rate of questions, a single reading goes next: the last one was a proof.
     reading_is_next: bool,
@@ -40,7 +40,7 @@
     change_reads: (f64, f64),
     questions: (f64, f64),
     user_writes: (f64, f64),
-    book_writes: (f64, f64),
+    leader_writes: (f64, f64),
 }
 
 impl Shares {
@@ -48,13 +48,13 @@
         let requests = rps * STATE_RPS_SHARE;
         let change_reads = rps * CHANGE_READ_SHARE / nodes as f64;
         let questions = rps * QUESTION_SHARE / nodes as f64;
-        let books = write_rps * STATE_WRITE_SHARE;
+        let leader_rate = write_rps * STATE_WRITE_SHARE;
         Shares {
             requests: (requests, requests * 0.5),
             change_reads: (change_reads, change_reads * CHANGE_READ_BURST_S),
             questions: (questions, questions * QUESTION_BURST_S),
             user_writes: (write_rps * USER_WRITE_SHARE, write_rps * USER_WRITE_BURST),
-            book_writes: (books, books * 0.5),
+            leader_writes: (leader_rate, leader_rate * 0.5),
         }
     }
 }
@@ -77,11 +77,11 @@
             change_reads: bucket(shares.change_reads),
             questions: bucket(shares.questions),
             user_writes: bucket(shares.user_writes),
-            book_writes: bucket(shares.book_writes),
+            leader_writes: bucket(shares.leader_writes),
             queues: Default::default(),
-            inflight: HashMap::new(),
+            in_flight: HashMap::new(),
             paused_until: 0,
-            books: shares.book_writes,
+            leader_rate: shares.leader_writes,
             strain: (1.0, 0),
             reading_is_next: false,
             wake: None,
@@ -99,12 +99,13 @@
         self.questions.set(shares.questions.0, shares.questions.1);
         self.user_writes
             .set(shares.user_writes.0, shares.user_writes.1);
-        self.books = shares.book_writes;
-        let books = self.books;
-        self.book_writes.set(books.0 * self.strain.0, books.1);
+        self.leader_rate = shares.leader_writes;
+        let leader_rate = self.leader_rate;
+        self.leader_writes
+            .set(leader_rate.0 * self.strain.0, leader_rate.1);
     }
 
-    /// The rate limit was hit, which nodes share and which may have fallen without notice: bookkeeping takes less for
+    /// The rate limit was hit, which nodes share and which may have fallen without notice: the leader's records take less for
     /// a while.
     fn ease(&mut self, now: u64, hit: bool) {
         let (share, at) = self.strain;
@@ -116,7 +117,8 @@
             return;
         }
         self.strain = (next, now);
-        self.book_writes.set(self.books.0 * next, self.books.1);
+        self.leader_writes
+            .set(self.leader_rate.0 * next, self.leader_rate.1);
     }
 
     /// Whether requests have lately been answered well.
@@ -135,19 +137,19 @@
         self.queues[priority as usize].push_back(Waiting { op, tag, since });
     }
 
-    /// Forgets what a former leader's books still wanted.
-    pub fn drop_books(&mut self) {
-        self.queues[Priority::Books as usize].clear();
+    /// Forgets what a former leader still wanted to write.
+    pub fn drop_leader_requests(&mut self) {
+        self.queues[Priority::LeaderRecords as usize].clear();
     }
 
     /// Sends what the budget allows. Requests that waited too long come back as refused.
     pub fn pump(
         &mut self,
         next_call: &mut CallId,
-        mail: &mut Mail,
+        effects: &mut Effects,
         expired: &mut Vec<(StateTag, StateReply)>,
     ) {
-        let now = mail.now.mono;
+        let now = effects.now.mono;
         self.wake = None;
         self.ease(now, false);
         for priority in self.order() {
@@ -180,8 +182,8 @@
                 };
                 if let Some(w) = self.queues[queue].pop_front() {
                     *next_call += 1;
-                    mail.out.push(call_of(&w.op, *next_call));
-                    self.inflight.insert(*next_call, (w.op, w.tag));
+                    effects.out.push(call_of(&w.op, *next_call));
+                    self.in_flight.insert(*next_call, (w.op, w.tag));
                 }
             }
         }
@@ -201,11 +203,11 @@
 
     /// The rate that a priority has to itself, and what a request takes of it.
     ///
-    /// With one rate for all, users' questions, which go before the books, left the books nothing during a flood, and
+    /// With one rate for all, users' questions, which go before the leader's records, left those nothing during a flood, and
     /// submissions waited behind questions until they were refused.
     fn own_bucket(&mut self, priority: Priority, writes: f64) -> (&mut TokenBucket, f64) {
         match priority {
-            Priority::Leadership | Priority::Books => (&mut self.book_writes, writes),
+            Priority::Leadership | Priority::LeaderRecords => (&mut self.leader_writes, writes),
             Priority::Change => (&mut self.user_writes, writes),
             Priority::ChangeRead => (&mut self.change_reads, 1.0),
             Priority::Proof | Priority::Question => (&mut self.questions, 1.0),
@@ -236,7 +238,7 @@
         call: CallId,
         result: &Result<(u16, Vec<u8>), CallError>,
     ) -> Option<(StateTag, StateReply)> {
-        let (op, tag) = self.inflight.remove(&call)?;
+        let (op, tag) = self.in_flight.remove(&call)?;
         let reply = read_reply(&op, result);
         match &reply {
             StateReply::Refused | StateReply::Unknown => {
--- a/crates/control/src/state/tests.rs
+++ b/crates/control/src/state/tests.rs
@@ -2,33 +2,33 @@
 
 use super::*;
 
-/// At a limit that has fallen unannounced, bookkeeping and users would go on turning each other away.
+/// At a limit that has fallen unannounced, the leader and users would go on turning each other away.
 #[test]
 fn bookkeeping_takes_less_when_the_rate_limit_is_hit_and_more_again_later() {
     let mut client = StateClient::new(100.0, 50.0, 3);
-    let full = client.book_writes.rate();
+    let full = client.leader_writes.rate();
     let txn = |client: &mut StateClient, at: u64, status: u16| {
         let op = StateOp::Txn(Txn {
-            guards: vec![],
+            compares: vec![],
             writes: vec![Write::delete("k")],
         });
-        client.inflight.insert(1, (op, StateTag::Types));
+        client.in_flight.insert(1, (op, StateTag::Types));
         let now = Now { mono: at, unix: at };
         client.on_reply(now, 1, &Ok((status, vec![])));
     };
     for n in 1..40 {
         txn(&mut client, n * 100, 429);
     }
-    assert!(client.book_writes.rate() < 0.7 * full);
-    assert!(client.book_writes.rate() > 0.45 * full);
+    assert!(client.leader_writes.rate() < 0.7 * full);
+    assert!(client.leader_writes.rate() > 0.45 * full);
     // Seen as an outage it is not: users are not turned away for it.
     assert_eq!(client.last_bad, 0);
-    let mut mail = Mail::new(Now {
+    let mut effects = Effects::new(Now {
         mono: 60_000,
         unix: 60_000,
     });
-    client.pump(&mut 1, &mut mail, &mut Vec::new());
-    assert!((client.book_writes.rate() - full).abs() < 1e-6);
+    client.pump(&mut 1, &mut effects, &mut Vec::new());
+    assert!((client.leader_writes.rate() - full).abs() < 1e-6);
 }
 
 fn read() -> StateOp {
@@ -46,10 +46,10 @@
     }
     let mut next_call = 0;
     for mono in (10_000..11_000).step_by(10) {
-        client.pump(&mut next_call, &mut Mail::new(at(mono)), &mut Vec::new());
+        client.pump(&mut next_call, &mut Effects::new(at(mono)), &mut Vec::new());
     }
     let mut sent = vec![0; waiting.len()];
-    for (_, tag) in client.inflight.values() {
+    for (_, tag) in client.in_flight.values() {
         if let StateTag::User(number) = tag {
             sent[*number as usize / 1_000] += 1;
         }
@@ -57,25 +57,25 @@
     sent
 }
 
-/// Questions and users' changes went before the books at one rate for all: the books got nothing of it.
+/// Questions and users' changes went before the leader's records at one rate for all: those got nothing of it.
 #[test]
 fn users_of_every_kind_together_leave_the_books_their_rate() {
     let write = StateOp::Txn(Txn {
-        guards: vec![],
+        compares: vec![],
         writes: vec![Write::delete("k")],
     });
     let waiting = [
         (Priority::Change, write.clone()),
         (Priority::ChangeRead, read()),
-        (Priority::Books, write),
+        (Priority::LeaderRecords, write),
         (Priority::Proof, read()),
         (Priority::Question, read()),
     ];
     for (rps, write_rps) in [(150.0, 50.0), (100.0, 25.0)] {
         let mut client = StateClient::new(rps, write_rps, 3);
         let sent = sent_in_a_second(&mut client, &waiting);
-        let books = write_rps * STATE_WRITE_SHARE;
-        assert!(sent[2] as f64 >= books, "{rps}: {sent:?}");
+        let leader_rate = write_rps * STATE_WRITE_SHARE;
+        assert!(sent[2] as f64 >= leader_rate, "{rps}: {sent:?}");
         assert!(sent[0] as f64 >= write_rps * USER_WRITE_SHARE, "{sent:?}");
         assert!(sent[1] > 0 && sent[3] > 0, "{sent:?}");
         assert!((sent.iter().sum::<usize>() as f64) < rps, "{sent:?}");
@@ -102,9 +102,9 @@
             let reading = StateOp::Get("j/run-1".into());
             client.push(now, Priority::Question, reading, StateTag::User(step));
         }
-        let mut mail = Mail::new(now);
-        client.pump(&mut call, &mut mail, &mut expired);
-        for output in mail.out {
+        let mut effects = Effects::new(now);
+        client.pump(&mut call, &mut effects, &mut expired);
+        for output in effects.out {
             match output {
                 Output::Call { method: "GET", .. } => readings += 1,
                 Output::Call { .. } => proofs += 1,
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the stories share: settings, a world that is up, and what is looked at again and again.
+//! What the scenarios share: settings, a world that is up, and what is looked at again and again.
 
-#![allow(dead_code)] // Each file of stories uses some of it.
+#![allow(dead_code)] // Each file of scenarios uses some of it.
 
 use fakes::{Behaviour, World};
 use vetchmount_control::settings::{NextLimits, Team};
--- a/crates/control/tests/four_thousand_machines.rs
+++ b/crates/control/tests/four_thousand_machines.rs
@@ -76,7 +76,7 @@
         pages_of_records < 120,
         "{pages_of_records} pages of records"
     );
-    let sessions: u64 = w.workers.values().map(|m| m.session).sum();
+    let incarnations: u64 = w.workers.values().map(|m| m.incarnation).sum();
     let started = starts(&w);
     // All workers find their connection broken at once, and report to whoever is there.
     for m in w.workers.values_mut() {
@@ -95,8 +95,8 @@
         told(&w),
         w.now - crashed_at
     );
-    let after: u64 = w.workers.values().map(|m| m.session).sum();
-    assert_eq!(after, sessions, "no lease has ended");
+    let after: u64 = w.workers.values().map(|m| m.incarnation).sum();
+    assert_eq!(after, incarnations, "no lease has ended");
     assert_eq!(starts(&w), started, "no task was started again");
     assert_eq!(tasks_on(&w), RUNNING_JOBS * TASKS_A_JOB as usize);
     let requests = w.state.requests - requests;
--- a/crates/control/tests/meetings.rs
+++ b/crates/control/tests/meetings.rs
@@ -1,5 +1,5 @@
 //! Troubles that meet: for a seed, a few simulated minutes of work on which troubles are drawn at random, then time to
-//! heal. The world checks the protocol's rules at every step; the story only brings the troubles.
+//! heal. The world checks the protocol's rules at every step; the scenario only brings the troubles.
 //!
 //! `SEEDS=200` plays more seeds than the few by default, `SEED=17` a single one, `FROM=1000` begins there.
 
@@ -53,7 +53,7 @@
     looked: (bool, Option<Phase>),
 }
 
-struct Story {
+struct Scenario {
     w: World,
     rng: fastrand::Rng,
     nodes: usize,
@@ -68,7 +68,7 @@
     next_new: u64,
 }
 
-impl Story {
+impl Scenario {
     fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let nodes = rng.usize(3..=5);
@@ -95,7 +95,7 @@
         }
         assert!(w.until(6_000, |w| w.leader().is_some()), "a leader");
         w.run(4_000);
-        Story {
+        Scenario {
             w,
             rng,
             nodes,
@@ -305,7 +305,7 @@
     fn machine_trouble(&mut self) {
         let (now, ms) = (self.w.now, self.between(2_000, 25_000));
         let (names, kind) = (self.machines(), self.rng.u8(..5));
-        let what = ["deaf", "mute", "hung", "cut", "held"][usize::from(kind)];
+        let what = ["unreached", "mute", "hung", "cut", "held"][usize::from(kind)];
         self.note(&format!("{what} for {ms} ms: {names:?}"));
         for name in &names {
             let Some(w) = self.w.workers.get_mut(name) else {
@@ -657,20 +657,20 @@
 
 /// What went wrong with a seed.
 fn play(seed: u64) -> Option<String> {
-    let mut story = Story::new(seed);
-    story.play();
-    let unfinished = story.unfinished();
-    let (broken, late) = (&story.w.broken, &story.w.rules.late_starts);
+    let mut scenario = Scenario::new(seed);
+    scenario.play();
+    let unfinished = scenario.unfinished();
+    let (broken, late) = (&scenario.w.broken, &scenario.w.rules.late_starts);
     if std::env::var("SEED").is_ok() {
         let count = |is: &dyn Fn(&str) -> bool| {
-            let ids = story.jobs.iter().map(|j| j.spec.id.as_str());
+            let ids = scenario.jobs.iter().map(|j| j.spec.id.as_str());
             ids.filter(|id| is(id)).count()
         };
-        let r = &story.w.rules;
+        let r = &scenario.w.rules;
         println!(
             "{}{} jobs, {} accepted, {} done, {} cancelled, late starts {late:?}",
-            story.log,
-            story.jobs.len(),
+            scenario.log,
+            scenario.jobs.len(),
             count(&|id| r.is_accepted(id)),
             count(&|id| r.end(id) == Some(Phase::Done)),
             count(&|id| r.end(id) == Some(Phase::Aborted)),
@@ -711,9 +711,9 @@
 #[test]
 fn a_seed_replays_exactly() {
     let prints = [(); 2].map(|()| {
-        let mut story = Story::new(5);
-        story.play();
-        (story.fingerprint(), story.log, story.w.broken)
+        let mut scenario = Scenario::new(5);
+        scenario.play();
+        (scenario.fingerprint(), scenario.log, scenario.w.broken)
     });
     assert_eq!(prints[0], prints[1]);
 }
--- a/crates/control/tests/node_wakeup.rs
+++ b/crates/control/tests/node_wakeup.rs
@@ -231,13 +231,13 @@
             w.silent_peers.insert(leader);
         }
         if workers_cut {
-            w.deaf.insert(leader);
+            w.unreached.insert(leader);
         }
         w.run(64_500);
         w.state_down = false;
         w.run(3_500);
         w.silent_peers.clear();
-        w.deaf.clear();
+        w.unreached.clear();
         w.run(20_000);
         let at = format!("{freeze_ms} ms, {peers_cut} {workers_cut}");
         assert_eq!(machine_names(&w), before, "{at}");
--- a/crates/control/tests/operations.rs
+++ b/crates/control/tests/operations.rs
@@ -5,7 +5,7 @@
 use common::*;
 use fakes::{array, KIND};
 use wire::users::{Phase, Submission};
-use wire::workers::ReportAnswer;
+use wire::workers::HeartbeatResponse;
 
 /// Work without any aim was taken for urgent at all times, went before everything with a deadline, and kept the whole
 /// fleet for minutes.
@@ -52,7 +52,7 @@
 }
 
 /// A cut that outlasts a lease delivers, at its end, what was sent before the lease ran out. By its number such a report
-/// is newer than all others: its tasks, long started elsewhere, were taken for strays and stopped, and the machine for
+/// is newer than all others: its tasks, long started elsewhere, were taken for orphans and stopped, and the machine for
 /// one that is reached.
 #[test]
 fn a_report_held_back_until_its_session_has_ended_changes_nothing() {
@@ -74,7 +74,7 @@
     let leader = w.leader().expect("leader");
     let (status, body) = w.ask(leader, "POST", "/v1/report", wire::encode(&held_back));
     assert_eq!(status, 200);
-    let answer: ReportAnswer = wire::decode(&body).expect("answer");
+    let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
     assert_eq!(answer.orders, vec![], "nothing to stop");
     // The other machine is full of what was started again.
     assert_eq!(w.submit(0, &array("run-2", 1), runs(1_000)), 201);
--- a/crates/control/tests/partitions.rs
+++ b/crates/control/tests/partitions.rs
@@ -22,7 +22,7 @@
 
 fn operator(pins: Vec<PinSettings>) -> Operator {
     let rollout = RolloutSettings {
-        finalize: Finalization::Held,
+        finalize: Finalization::DeferredAnswer,
         ..RolloutSettings::default()
     };
     Operator {
@@ -247,10 +247,13 @@
 #[test]
 fn owners_answer_steady_machines_and_no_lease_ends() {
     let mut w = busy(3);
-    let sessions: u64 = w.workers.values().map(|m| m.session).sum();
+    let incarnations: u64 = w.workers.values().map(|m| m.incarnation).sum();
     let leader = w.leader().expect("a leader");
     w.run(60_000);
-    assert_eq!(w.workers.values().map(|m| m.session).sum::<u64>(), sessions);
+    assert_eq!(
+        w.workers.values().map(|m| m.incarnation).sum::<u64>(),
+        incarnations
+    );
     assert_eq!(w.leader(), Some(leader));
     let at_leader = w.workers.values().filter(|m| m.node == leader).count();
     assert!(at_leader < MACHINES / 2, "{at_leader} report to the leader");
@@ -370,12 +373,12 @@
     for (from, to) in [(owner, leader), (leader, owner)] {
         w.troubles.lost_frames.insert((from, to), w.now + 60_000);
     }
-    let sessions: u64 = w.workers.values().map(|m| m.session).sum();
+    let incarnations: u64 = w.workers.values().map(|m| m.incarnation).sum();
     w.run(45_000);
     assert_eq!(granted(&w, owner), 0);
     assert_eq!(
-        w.workers.values().map(|m| m.session).sum::<u64>(),
-        sessions,
+        w.workers.values().map(|m| m.incarnation).sum::<u64>(),
+        incarnations,
         "no lease ended"
     );
     assert!(!shares(&w).contains_key(&label(owner)), "{:?}", shares(&w));
@@ -388,11 +391,11 @@
     w.troubles
         .cuts
         .insert((owner, Party::Workers, Cut::Refused));
-    let sessions: u64 = w.workers.values().map(|m| m.session).sum();
+    let incarnations: u64 = w.workers.values().map(|m| m.incarnation).sum();
     w.run(60_000);
     assert_eq!(
-        w.workers.values().map(|m| m.session).sum::<u64>(),
-        sessions,
+        w.workers.values().map(|m| m.incarnation).sum::<u64>(),
+        incarnations,
         "no lease ended"
     );
     ends_well(&mut w, &["run-1"], &[]);
@@ -617,14 +620,14 @@
     let mut w = busy(3);
     let machine = owned_machine(&w);
     let (partition, a, b) = partition_and_other(&w, &machine);
-    let sessions: u64 = w.workers.values().map(|m| m.session).sum();
+    let incarnations: u64 = w.workers.values().map(|m| m.incarnation).sum();
     for turn in 0..40 {
         w.move_partition(partition, if turn % 2 == 0 { b } else { a });
         w.run(3_000);
     }
     assert_eq!(
-        w.workers.values().map(|m| m.session).sum::<u64>(),
-        sessions,
+        w.workers.values().map(|m| m.incarnation).sum::<u64>(),
+        incarnations,
         "no lease ended"
     );
     let most = w.workers.values().map(|m| m.most_redirects).max();
@@ -664,7 +667,7 @@
 /// Machines of an owner that do not hear answers, or go silent: found, and nothing is started twice.
 #[test]
 fn deaf_and_silent_machines_of_an_owner_are_found() {
-    for (deaf, owner_goes) in [(true, false), (false, false), (false, true)] {
+    for (unreached, owner_goes) in [(true, false), (false, false), (false, true)] {
         let mut w = busy(3);
         let machine = owned_machine(&w);
         let (_, owner, _) = partition_and_other(&w, &machine);
@@ -676,7 +679,7 @@
         let lost = tasks(&w);
         assert_eq!(lost.len(), 4);
         let worker = w.workers.get_mut(&machine).expect("the machine");
-        match deaf {
+        match unreached {
             true => worker.one_way = true,
             false => worker.cut_until = u64::MAX,
         }
@@ -695,7 +698,7 @@
         // A lease after the last answer, the grant, and time to place.
         assert!(
             w.until(32_000, elsewhere),
-            "deaf {deaf}, without owner {owner_goes}"
+            "unreached {unreached}, without owner {owner_goes}"
         );
         ends_well(&mut w, &["run-1"], &[]);
     }
@@ -719,7 +722,7 @@
     let table = recorded(&w);
     w.run(120_000);
     assert_eq!(recorded(&w), table);
-    assert_eq!(w.workers.values().filter(|m| m.session > 1).count(), 0);
+    assert_eq!(w.workers.values().filter(|m| m.incarnation > 1).count(), 0);
     jobs_end_well(&mut w, &["run-1"], &[]);
     assert_eq!(most_starts(&w), 1);
 }
@@ -798,7 +801,7 @@
     w.run(60_000);
     assert_eq!(w.state.version(&key), version);
     assert!((0..3).all(|n| granted(&w, n) == 0));
-    assert_eq!(w.workers.values().filter(|m| m.session > 1).count(), 0);
+    assert_eq!(w.workers.values().filter(|m| m.incarnation > 1).count(), 0);
     clean(&w);
 }
 
--- a/crates/control/tests/pipelines.rs
+++ b/crates/control/tests/pipelines.rs
@@ -1,4 +1,4 @@
-//! Stories of jobs that need others. The world itself checks at every step that nothing starts too early, and at
+//! Scenarios of jobs that need others. The world itself checks at every step that nothing starts too early, and at
 //! every answer that nothing behind a cancelled job is still called open.
 
 mod common;
--- a/crates/control/tests/question_floods.rs
+++ b/crates/control/tests/question_floods.rs
@@ -224,7 +224,7 @@
     }
 }
 
-/// Questions and changes were counted together, and shared one queue and one rate, which left the books nothing. Of more
+/// Questions and changes were counted together, and shared one queue and one rate, which left the leader's records nothing. Of more
 /// jobs than fit into the leader's message each node had to read the same ones again and again.
 #[test]
 fn thousands_of_open_jobs_asked_eight_times_as_often_cost_few_requests_and_starve_nothing() {
--- a/crates/control/tests/stories.rs
+++ b/crates/control/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Short stories: a whole small world in memory, with something going wrong in each.
+//! Short scenarios: a whole small world in memory, with something going wrong in each.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use fakes::{array, gang, Behaviour, World};
 use wire::records::*;
 use wire::users::{Phase, Shape};
-use wire::workers::{Cause, ReportAnswer, TaskPhase, TaskReport};
+use wire::workers::{Cause, HeartbeatResponse, TaskPhase, TaskStatus};
 
 #[test]
 fn a_job_runs_and_stays_done_for_every_node_and_after_every_restart() {
@@ -237,7 +237,7 @@
     old.seq = 1;
     for (tasks, cause) in [(1, Cause::Done), (0, Cause::Error)] {
         old.tasks = vec![
-            TaskReport {
+            TaskStatus {
                 task: task.clone(),
                 attempt,
                 phase: TaskPhase::Ended,
@@ -247,7 +247,7 @@
             tasks
         ];
         let (status, body) = w.ask(0, "POST", "/v1/report", wire::encode(&old));
-        let answer: ReportAnswer = wire::decode(&body).expect("answer");
+        let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
         assert_eq!((status, answer.orders.len()), (200, 0));
     }
     w.run(1_000);
@@ -361,7 +361,7 @@
     w.run(4_000);
     let placed = w.on_machines("run-25");
     assert_eq!(placed.len(), 4);
-    w.deaf.insert(leader);
+    w.unreached.insert(leader);
     w.run(30_000);
     assert_eq!(w.on_machines("run-25"), placed, "no lease ran out");
     assert_eq!(w.leader(), Some(leader));
@@ -784,7 +784,7 @@
     for _ in 0..40 {
         w.run(1_000);
         let (status, body) = w.ask(leader, "POST", "/v1/report", copy.clone());
-        let answer: ReportAnswer = wire::decode(&body).expect("answer");
+        let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
         assert_eq!((status, answer.orders.len()), (200, 0), "no work for it");
     }
     assert!(w.until(60_000, |w| w.phase(leader, "run-43") == Some(Phase::Done)));
--- a/crates/control/tests/staged_upgrades.rs
+++ b/crates/control/tests/staged_upgrades.rs
@@ -33,7 +33,7 @@
 }
 
 fn held(level: u32) -> Operator {
-    staged(level, Finalization::Held)
+    staged(level, Finalization::DeferredAnswer)
 }
 
 fn automatic(level: u32) -> Operator {
--- a/crates/control/tests/troubles.rs
+++ b/crates/control/tests/troubles.rs
@@ -1,4 +1,4 @@
-//! Two troubles that meet, a story for each such meeting. The world checks every rule at every step.
+//! Two troubles that meet, a scenario for each such meeting. The world checks every rule at every step.
 
 mod common;
 
@@ -336,13 +336,13 @@
 
 #[test]
 fn a_leader_ends_while_machines_with_long_tasks_can_not_be_reached_or_hear_nothing() {
-    for (deaf, away_ms) in [(false, 0), (false, 4_000), (true, 0), (true, 4_000)] {
+    for (unreached, away_ms) in [(false, 0), (false, 4_000), (true, 0), (true, 4_000)] {
         let mut w = world(3, 4, 0.0);
         assert_eq!(w.submit(0, &array("run-1", 4), runs(25_000)), 201);
         assert!(w.until(10_000, |w| w.on_machines("run-1").len() == 4));
         let until = w.now + 30_000;
         for worker in w.workers.values_mut().take(2) {
-            match deaf {
+            match unreached {
                 true => worker.one_way = true,
                 false => worker.cut_until = until,
             }
@@ -686,7 +686,7 @@
 }
 
 /// A copy that tells of a machine as it was before a task began there reaches the next leader first, while the machine
-/// can't be reached: taken for news it would free the task's place.
+/// can't be reached: taken as current it would free the task's place.
 #[test]
 fn an_old_report_that_is_the_first_of_its_machine_frees_nothing() {
     for pause in [0, 400, 1_200] {
@@ -863,13 +863,14 @@
         .get_mut(&from)
         .and_then(|m| m.tasks.remove(&(task.clone(), attempt)));
     let free = |m: &&mut fakes::FakeWorker| m.tasks.is_empty() && m.name != from;
-    let deaf = w.workers.values_mut().find(free).expect("a free machine");
-    deaf.tasks
+    let unreached = w.workers.values_mut().find(free).expect("a free machine");
+    unreached
+        .tasks
         .insert((task, attempt + 8), moved.expect("it was there"));
-    deaf.one_way = true;
+    unreached.one_way = true;
     // It tells of the task before the other machine tells that it is gone.
-    (deaf.in_flight, deaf.report_at) = (None, w.now);
-    let name = deaf.name.clone();
+    (unreached.in_flight, unreached.report_at) = (None, w.now);
+    let name = unreached.name.clone();
     let now = w.now;
     let left = w.workers.get_mut(&from).expect("worker");
     (left.in_flight, left.report_at) = (None, now + 1_500);
--- a/crates/control/tests/upgrade.rs
+++ b/crates/control/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Stories of the upgrade: the version before the pipelines and this one side by side, the mark that ends it, and the
+//! Scenarios of the upgrade: the version before the pipelines and this one side by side, the mark that ends it, and the
 //! limits that fall some time after it.
 //!
 //! The old version is a frozen one: it reads with the types it had, leads, writes every place again in its own layout
--- a/crates/fakes/examples/partition_load.rs
+++ b/crates/fakes/examples/partition_load.rs
@@ -144,7 +144,8 @@
         let turns = turns.iter().filter(|t| counts(t));
         turns.map(|t| t.took_us).sum::<u64>()
     };
-    let is_about_reports = |t: &Turn| matches!(t.about, TurnAbout::Report | TurnAbout::Partitions);
+    let is_about_reports =
+        |t: &Turn| matches!(t.about, TurnAbout::WorkerHeartbeat | TurnAbout::Partitions);
     Measured {
         leader_us: us(&|t| t.node == leader),
         leader_reports_us: us(&|t| t.node == leader && is_about_reports(t)),
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -64,9 +64,9 @@
                     continue;
                 }
                 let cut = troubles.is_cut(w.node, Party::Workers, Cut::Requests);
-                let deaf = self.deaf.contains(&w.node) || w.mute || cut;
+                let unreached = self.unreached.contains(&w.node) || w.mute || cut;
                 let only = |n: Option<usize>| n.is_none_or(|n| n == w.node);
-                if now >= w.cut_until && !deaf && only(stuck) && only(w.only) {
+                if now >= w.cut_until && !unreached && only(stuck) && only(w.only) {
                     reports.push((w.name.clone(), w.node, w.seq, report));
                 }
             }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,4 +1,4 @@
-//! A small world in memory for story tests: state service, cloud, workers, users, and a network that can be cut,
+//! A small world in memory for scenario tests: state service, cloud, workers, users, and a network that can be cut,
 //! all in simulated time. It checks the rules that matter most at every step.
 
 mod checks;
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TurnAbout {
     /// A worker's report, directly or passed on by a peer, or the answer to one that was passed on.
-    Report,
+    WorkerHeartbeat,
     /// Partitions: grants, permits, recalls.
     Partitions,
     /// Another message, reply or request.
@@ -82,10 +82,12 @@
 impl TurnAbout {
     fn of(input: &Input) -> Self {
         match input {
-            Input::Request { target, .. } if target == REPORT_PATH => TurnAbout::Report,
+            Input::Request { target, .. } if target == REPORT_PATH => TurnAbout::WorkerHeartbeat,
             Input::Peer { message, .. } => match message {
-                PeerMessage::Forward { target, .. } if target == REPORT_PATH => TurnAbout::Report,
-                PeerMessage::Forwarded { .. } => TurnAbout::Report,
+                PeerMessage::Forward { target, .. } if target == REPORT_PATH => {
+                    TurnAbout::WorkerHeartbeat
+                }
+                PeerMessage::Forwarded { .. } => TurnAbout::WorkerHeartbeat,
                 PeerMessage::Partitions(_) => TurnAbout::Partitions,
                 _ => TurnAbout::Other,
             },
@@ -130,7 +132,7 @@
     /// Nodes that hear nothing from their peers and are not heard.
     pub silent_peers: BTreeSet<usize>,
     /// Nodes that no worker reaches.
-    pub deaf: BTreeSet<usize>,
+    pub unreached: BTreeSet<usize>,
     /// The only node that workers reach.
     pub stuck_workers: Option<usize>,
     /// Nodes whose transactions are executed, but late by this much, and not answered.
@@ -245,7 +247,7 @@
             state_down: false,
             refused: BTreeSet::new(),
             silent_peers: BTreeSet::new(),
-            deaf: BTreeSet::new(),
+            unreached: BTreeSet::new(),
             stuck_workers: None,
             late_txns: BTreeMap::new(),
             lose_txns: 0,
@@ -529,7 +531,7 @@
         self.state_down = false;
         self.refused.clear();
         self.silent_peers.clear();
-        self.deaf.clear();
+        self.unreached.clear();
         self.stuck_workers = None;
         self.late_txns.clear();
         self.lose_txns = 0;
--- a/crates/fakes/src/network.rs
+++ b/crates/fakes/src/network.rs
@@ -240,7 +240,7 @@
         };
         let reached = self.stuck_workers.is_none() && w.only.is_none_or(|n| n == from);
         let heard = reached && now >= w.cut_until && !w.one_way;
-        if heard && direct.term >= w.term && direct.session == w.session {
+        if heard && direct.term >= w.term && direct.incarnation == w.incarnation {
             w.term = direct.term;
             let fresh = w.execute(&direct.orders, |t| behave(jobs, t), now);
             for (task, attempt) in fresh {
@@ -266,7 +266,7 @@
         }
         w.in_flight = None;
         if status == 200 {
-            if let Ok(answer) = wire::decode::<ReportAnswer>(body) {
+            if let Ok(answer) = wire::decode::<HeartbeatResponse>(body) {
                 if answer.term >= w.term {
                     if answer.term > w.term {
                         w.report_at = w.report_at.min(now + 500);
--- a/crates/fakes/src/state.rs
+++ b/crates/fakes/src/state.rs
@@ -150,7 +150,7 @@
         let key = key.to_string();
         let writes = vec![Write::Put { key, value, lease }];
         self.commit(Txn {
-            guards: Vec::new(),
+            compares: Vec::new(),
             writes,
         });
     }
@@ -163,7 +163,7 @@
     /// Removes a key past all conditions.
     pub fn erase(&mut self, key: &str) {
         self.commit(Txn {
-            guards: Vec::new(),
+            compares: Vec::new(),
             writes: vec![Write::delete(key)],
         });
     }
@@ -333,7 +333,7 @@
             Write::Put { value, .. } => wire::json_bytes(value) > limits.value_bytes,
             Write::Delete { .. } => false,
         };
-        let many = txn.writes.len() > limits.txn_ops || txn.guards.len() > 4 * limits.txn_ops;
+        let many = txn.writes.len() > limits.txn_ops || txn.compares.len() > 4 * limits.txn_ops;
         if many || txn.writes.iter().any(large) {
             self.too_large += 1;
             return Some(400);
@@ -347,7 +347,7 @@
     fn commit(&mut self, txn: Txn) -> (u16, Vec<u8>) {
         let version = |key: &str| self.entries.get(key).map_or(0, |e| e.version);
         let failed: Vec<String> = txn
-            .guards
+            .compares
             .iter()
             .filter(|g| version(&g.key) != g.version)
             .map(|g| g.key.clone())
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -51,7 +51,7 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Session.
-    pub session: u64,
+    pub incarnation: u64,
     /// Number of the last message.
     pub seq: u64,
     /// Highest token seen.
@@ -101,7 +101,7 @@
             name: name.to_string(),
             zone: zone.to_string(),
             spot,
-            session: 1,
+            incarnation: 1,
             seq: 0,
             term: 0,
             tasks: BTreeMap::new(),
@@ -151,15 +151,15 @@
     }
 
     /// Its present report, numbered anew.
-    pub fn report(&mut self, kind: &str, now: u64) -> Report {
+    pub fn report(&mut self, kind: &str, now: u64) -> WorkerHeartbeat {
         self.seq += 1;
-        Report {
+        WorkerHeartbeat {
             machine: self.name.clone(),
             addr: format!("{}:1", self.name),
             kind: kind.to_string(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            incarnation: self.incarnation,
             seq: self.seq,
             term: self.term,
             notice_s: self
@@ -168,7 +168,7 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskReport {
+                .map(|((task, attempt), t)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     phase: t.phase,
@@ -269,7 +269,7 @@
     pub fn wake(&mut self, now: u64, lease_ms: u64) {
         if now > self.lease_from + lease_ms {
             self.tasks.clear();
-            self.session += 1;
+            self.incarnation += 1;
             self.lease_from = now;
             self.in_flight = None;
         }
--- a/crates/fakes/tests/checks.rs
+++ b/crates/fakes/tests/checks.rs
@@ -379,7 +379,7 @@
         write_rps: 5.0,
     });
     let write = |n: u64| wire::state::Txn {
-        guards: vec![],
+        compares: vec![],
         writes: vec![wire::state::Write::delete(format!("k/{n}"))],
     };
     let mut statuses = Vec::new();
--- a/crates/partitions/src/delegation.rs
+++ b/crates/partitions/src/delegation.rs
@@ -359,7 +359,7 @@
         &mut self,
         owner: &str,
         machine: &str,
-        (session, seq): (u64, u64),
+        (incarnation, seq): (u64, u64),
         now: u64,
     ) -> Option<(u64, Permit)> {
         let partition = partition_of(machine);
@@ -382,7 +382,7 @@
             machine: machine.to_string(),
             partition: PartitionEpoch { partition, epoch },
             number,
-            session,
+            incarnation,
             seq,
         };
         Some((grant.holder.boot, permit))
--- a/crates/partitions/src/handover.rs
+++ b/crates/partitions/src/handover.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use wire::partitions::{PartitionEpoch, PartitionId};
 use wire::records::{PartitionsRecord, LEADER};
-use wire::state::{Guard, Txn, Write};
+use wire::state::{Compare, Txn, Write};
 
 /// A move under way.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -145,9 +145,9 @@
             moves,
         });
         Some(Txn {
-            guards: vec![
-                Guard::new(LEADER, leader_version),
-                Guard::new(key.clone(), version),
+            compares: vec![
+                Compare::new(LEADER, leader_version),
+                Compare::new(key.clone(), version),
             ],
             writes: vec![Write::put(key, &value)],
         })
--- a/crates/partitions/src/owner.rs
+++ b/crates/partitions/src/owner.rs
@@ -7,7 +7,7 @@
 };
 use std::collections::{BTreeMap, HashMap};
 use wire::partitions::*;
-use wire::workers::Report;
+use wire::workers::WorkerHeartbeat;
 
 /// What an owner does with a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     permit: u64,
     since: u64,
     /// The report that later ones must repeat; its number is that of the last one answered.
-    report: Report,
+    report: WorkerHeartbeat,
     heard_at: u64,
     answered_at: Option<u64>,
 }
@@ -69,7 +69,7 @@
     steady: HashMap<String, SteadyMachine>,
     over: BTreeMap<String, Over>,
     /// The last report that was passed on of each machine, for the permit that may follow.
-    passed_on: HashMap<String, Report>,
+    passed_on: HashMap<String, WorkerHeartbeat>,
     elsewhere: HashMap<PartitionId, String>,
     /// When machines were last sent to another owner.
     redirected: HashMap<String, u64>,
@@ -260,8 +260,9 @@
                 continue;
             }
             self.permit_floor = permit.number;
-            let follows =
-                |report: &Report| (report.session, report.seq) == (permit.session, permit.seq);
+            let follows = |report: &WorkerHeartbeat| {
+                (report.incarnation, report.seq) == (permit.incarnation, permit.seq)
+            };
             let Some(report) = self.passed_on.remove(&permit.machine).filter(follows) else {
                 continue;
             };
@@ -293,7 +294,7 @@
     }
 
     /// What to do with a report.
-    pub fn decide(&mut self, report: &Report, now: u64) -> Decision {
+    pub fn decide(&mut self, report: &WorkerHeartbeat, now: u64) -> Decision {
         let partition = partition_of(&report.machine);
         let held = self.grant.as_ref().filter(|grant| now < grant.ends_at);
         let epoch = held.and_then(|grant| grant.partitions.get(&partition).copied());
@@ -302,8 +303,8 @@
         };
         let refresh_ms = self.report_ms * STEADY_REPORTS;
         if let Some(steady) = self.steady.get_mut(&report.machine) {
-            let last = (steady.report.session, steady.report.seq);
-            if (report.session, report.seq) <= last {
+            let last = (steady.report.incarnation, steady.report.seq);
+            if (report.incarnation, report.seq) <= last {
                 return Decision::Outdated;
             }
             let is_current = steady.partition == PartitionEpoch { partition, epoch }
@@ -323,7 +324,7 @@
 
     fn decide_without_grant(
         &mut self,
-        report: &Report,
+        report: &WorkerHeartbeat,
         partition: PartitionId,
         now: u64,
     ) -> Decision {
@@ -356,7 +357,7 @@
     }
 
     /// A report leaves for the leader: what it said of the machine is no longer known to hold.
-    fn pass_on(&mut self, report: &Report) {
+    fn pass_on(&mut self, report: &WorkerHeartbeat) {
         self.give_up(&report.machine);
         self.passed_on
             .insert(report.machine.clone(), report.clone());
@@ -364,8 +365,8 @@
 }
 
 /// Whether a report says what an earlier one said, but for its number.
-fn repeats(report: &Report, earlier: &Report) -> bool {
-    let renumbered = (report.session, report.term) == (earlier.session, earlier.term);
+fn repeats(report: &WorkerHeartbeat, earlier: &WorkerHeartbeat) -> bool {
+    let renumbered = (report.incarnation, report.term) == (earlier.incarnation, earlier.term);
     renumbered
         && report.notice_s.is_none()
         && earlier.notice_s.is_none()
--- a/crates/partitions/tests/model.rs
+++ b/crates/partitions/tests/model.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use vetchmount_partitions::{partition_of, Decision, Delegation, Owner};
 use wire::partitions::*;
-use wire::workers::{Report, TaskPhase, TaskReport};
+use wire::workers::{TaskPhase, TaskStatus, WorkerHeartbeat};
 
 const OWNERS: usize = 3;
 const MACHINES: usize = 3;
@@ -46,7 +46,7 @@
     /// A message is lost.
     Lose(usize),
     /// A machine reports to a controller.
-    Report { machine: usize, owner: usize },
+    WorkerHeartbeat { machine: usize, owner: usize },
     /// Something is pending for a machine, or no longer.
     Touch(usize),
     /// A partition gets its next owner.
@@ -63,7 +63,7 @@
         10 => (0..3usize).prop_map(Step::Deliver),
         1 => (0..3usize).prop_map(Step::Repeat),
         1 => (0..3usize).prop_map(Step::Lose),
-        8 => (0..MACHINES, 0..OWNERS).prop_map(|(machine, owner)| Step::Report { machine, owner }),
+        8 => (0..MACHINES, 0..OWNERS).prop_map(|(machine, owner)| Step::WorkerHeartbeat { machine, owner }),
         2 => (0..MACHINES).prop_map(Step::Touch),
         1 => (0..MACHINES, 0..OWNERS).prop_map(|(machine, to)| Step::Move { machine, to }),
         1 => (0..OWNERS).prop_map(Step::Restart),
@@ -78,7 +78,7 @@
     Permits(usize, u64, Vec<Permit>),
     Recall(usize, u64, Vec<RecalledPermit>),
     /// A report that an owner passed on.
-    Report(usize, Report),
+    WorkerHeartbeat(usize, WorkerHeartbeat),
 }
 
 struct Process {
@@ -113,18 +113,18 @@
     format!("vm-{number:06}")
 }
 
-fn report(name: &str, seq: u64) -> Report {
-    Report {
+fn report(name: &str, seq: u64) -> WorkerHeartbeat {
+    WorkerHeartbeat {
         machine: name.to_string(),
         addr: "10.0.0.1:1".into(),
         kind: "g4".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        incarnation: 1,
         seq,
         term: TERM,
         notice_s: None,
-        tasks: vec![TaskReport {
+        tasks: vec![TaskStatus {
             task: "run-1/0".into(),
             attempt: 1,
             phase: TaskPhase::Running,
@@ -193,7 +193,7 @@
                 self.wire.remove(place.min(self.wire.len() - 1));
             }
             Step::Deliver(_) | Step::Repeat(_) | Step::Lose(_) => {}
-            Step::Report { machine, owner } => return self.report(machine, owner),
+            Step::WorkerHeartbeat { machine, owner } => return self.report(machine, owner),
             Step::Touch(machine) => {
                 self.touched[machine] = !self.touched[machine];
                 self.send_recalls();
@@ -230,7 +230,7 @@
                 self.check_answer(&name, owner)?;
                 self.answered.insert(name, self.now);
             }
-            Decision::PassOn => self.wire.push(Message::Report(owner, report)),
+            Decision::PassOn => self.wire.push(Message::WorkerHeartbeat(owner, report)),
             Decision::Redirect(_) | Decision::Outdated => {}
         }
         Ok(())
@@ -304,12 +304,12 @@
             Message::Recall(owner, boot, permits) => {
                 self.processes[owner].owner.on_recall(TERM, boot, &permits);
             }
-            Message::Report(owner, report) => {
+            Message::WorkerHeartbeat(owner, report) => {
                 let touched = self.touched;
                 if !Self::is_steady(&touched, &report.machine) {
                     return;
                 }
-                let seq = (report.session, report.seq);
+                let seq = (report.incarnation, report.seq);
                 let permit = self
                     .leader
                     .permit(&label(owner), &report.machine, seq, self.now);
--- a/crates/partitions/tests/owner.rs
+++ b/crates/partitions/tests/owner.rs
@@ -2,25 +2,25 @@
 
 use vetchmount_partitions::{partition_of, Decision, Delegation, Owner, RequestError};
 use wire::partitions::*;
-use wire::workers::{Report, TaskPhase, TaskReport};
+use wire::workers::{TaskPhase, TaskStatus, WorkerHeartbeat};
 
 const REPORT_MS: u64 = 2_000;
 const BOOT: u64 = 5;
 const TERM: u64 = 3;
 const MACHINE: &str = "vm-000007";
 
-fn report(seq: u64) -> Report {
-    Report {
+fn report(seq: u64) -> WorkerHeartbeat {
+    WorkerHeartbeat {
         machine: MACHINE.into(),
         addr: "10.0.0.1:1".into(),
         kind: "g4".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
+        incarnation: 1,
         seq,
         term: TERM,
         notice_s: None,
-        tasks: vec![TaskReport {
+        tasks: vec![TaskStatus {
             task: "run-1/0".into(),
             attempt: 1,
             phase: TaskPhase::Running,
@@ -53,7 +53,7 @@
         machine: MACHINE.into(),
         partition: partition(1),
         number,
-        session: 1,
+        incarnation: 1,
         seq,
     }
 }
@@ -73,8 +73,8 @@
 #[test]
 fn it_answers_reports_that_repeat_the_last_one_and_passes_all_others_on() {
     assert_eq!(answering().decide(&report(2), 2_000), ANSWER);
-    let changes: [&dyn Fn(&mut Report); 7] = [
-        &|r| r.session = 2,
+    let changes: [&dyn Fn(&mut WorkerHeartbeat); 7] = [
+        &|r| r.incarnation = 2,
         &|r| r.term = TERM + 1,
         &|r| r.notice_s = Some(20.0),
         &|r| r.addr = "10.0.0.2:1".into(),
--- a/crates/partitions/tests/table.rs
+++ b/crates/partitions/tests/table.rs
@@ -45,7 +45,11 @@
 
 impl Store {
     fn commit(&mut self, txn: &Txn) -> Option<u64> {
-        for guard in txn.guards.iter().filter(|g| g.key.starts_with(PARTITIONS)) {
+        for guard in txn
+            .compares
+            .iter()
+            .filter(|g| g.key.starts_with(PARTITIONS))
+        {
             let version = self.records.get(&guard.key).map_or(0, |(_, v)| *v);
             if version != guard.version {
                 return None;
--- a/crates/rollout/src/gates.rs
+++ b/crates/rollout/src/gates.rs
@@ -2,7 +2,7 @@
 
 use crate::levels::{Feature, GateKind, Level, LevelRange, BASE, GENERATION_1};
 use wire::records::LEVEL;
-use wire::state::Guard;
+use wire::state::Compare;
 
 /// Which features a controller may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -63,8 +63,8 @@
     /// built under an open gate fails if the level has changed since, however late it is executed.
     ///
     /// Nothing if the gate is closed. What is final needs no condition: it never becomes less.
-    pub fn condition(&self, feature: Feature) -> Option<(Level, Guard)> {
+    pub fn condition(&self, feature: Feature) -> Option<(Level, Compare)> {
         let version = self.version.filter(|_| self.is_open(feature))?;
-        Some((self.active, Guard::new(LEVEL, version)))
+        Some((self.active, Compare::new(LEVEL, version)))
     }
 }
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -14,7 +14,7 @@
 use constants::GENERATION_POLL_MS;
 use std::collections::BTreeMap;
 use wire::records::{node_key, GenerationRecord, UnknownFields, GENERATIONS, MARK};
-use wire::state::{Guard, Item, Txn, Write};
+use wire::state::{Compare, Item, Txn, Write};
 
 /// Labels that are conditions of raising the mark: the conditions of the smallest transaction allowed are sixteen.
 const GUARDED_LABELS: usize = 14;
@@ -158,30 +158,30 @@
         if missing > 0 && self.proof.is_none() {
             return Output::default();
         }
-        let guards = match self.proof {
+        let compares = match self.proof {
             Some(_) => Vec::new(),
             None => {
                 let told = nodes.into_iter().take(GUARDED_LABELS);
-                told.map(|(key, read)| Guard::new(key, read.version))
+                told.map(|(key, read)| Compare::new(key, read.version))
                     .collect()
             }
         };
         let proof = self.proof.unwrap_or("every node has told");
-        let request = raise(MARK.to_string(), mark, guards);
+        let request = raise(MARK.to_string(), mark, compares);
         self.ask(request, vec![Event::MarkRaised { missing, proof }])
     }
 }
 
 /// Writes generation 1 under a key, as it was read and under further conditions.
-fn raise(key: String, read: Read, mut further: Vec<Guard>) -> Request {
+fn raise(key: String, read: Read, mut further: Vec<Compare>) -> Request {
     let record = GenerationRecord {
         generation: GENERATION_1,
         unknown: read.unknown,
     };
-    let mut guards = vec![Guard::new(key.clone(), read.version)];
-    guards.append(&mut further);
+    let mut compares = vec![Compare::new(key.clone(), read.version)];
+    compares.append(&mut further);
     Request::Commit(Txn {
-        guards,
+        compares,
         writes: vec![Write::put(key, &record)],
     })
 }
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -12,7 +12,7 @@
 use constants::{ELECTION_DEFER_MS, GENERATION_POLL_MS, LEVEL_POLL_MS};
 use serde::de::DeserializeOwned;
 use wire::records::{Phase, LEADER, LEVEL, MARK, MEMBERS, ROLLOUT, TERM};
-use wire::state::{Guard, Item};
+use wire::state::{Compare, Item};
 
 /// Whether a process may take part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -113,7 +113,7 @@
     }
 
     /// The condition that nothing has become final since this process was admitted.
-    pub fn admission_guard(&self) -> Option<Guard> {
+    pub fn admission_guard(&self) -> Option<Compare> {
         let snapshot = self.snapshot.as_ref()?;
         Some(plan::admission_guard(snapshot))
     }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -12,7 +12,7 @@
     member_key, GenerationRecord, LevelRecord, MemberRecord, PauseReason, Phase, TermRecord, LEVEL,
     MARK, TERM,
 };
-use wire::state::{Guard, Txn, Write};
+use wire::state::{Compare, Txn, Write};
 
 /// Whether a build with this range may take part: it can run what is final, and what is active is not behind it.
 pub fn is_admitted(range: LevelRange, snapshot: &Snapshot) -> bool {
@@ -21,8 +21,8 @@
 
 /// The condition that nothing has become final since a snapshot was read. Part of each election: a process that was
 /// admitted once, and then stood still, is not elected on the strength of that.
-pub fn admission_guard(snapshot: &Snapshot) -> Guard {
-    Guard::new(MARK, snapshot.mark.version())
+pub fn admission_guard(snapshot: &Snapshot) -> Compare {
+    Compare::new(MARK, snapshot.mark.version())
 }
 
 /// The announcement of a process, if it is not stored yet. The active level goes back with it to what it can run, in the
@@ -54,10 +54,10 @@
     }
     let level = announced_level(identity, snapshot, unix);
     Some(Txn {
-        guards: vec![
-            Guard::new(LEVEL, snapshot.level.version()),
-            Guard::new(MARK, snapshot.mark.version()),
-            Guard::new(key.clone(), stored.map_or(0, Stored::version)),
+        compares: vec![
+            Compare::new(LEVEL, snapshot.level.version()),
+            Compare::new(MARK, snapshot.mark.version()),
+            Compare::new(key.clone(), stored.map_or(0, Stored::version)),
         ],
         writes: vec![Write::put(key, &member), Write::put(LEVEL, &level)],
     })
@@ -302,9 +302,9 @@
 /// rollouts from leading, if the level has it; `None` if the term can't be read.
 pub fn transaction(snapshot: &Snapshot, step: &Transition) -> Option<Txn> {
     let mut txn = Txn {
-        guards: vec![
-            Guard::new(LEVEL, snapshot.level.version()),
-            Guard::new(MARK, snapshot.mark.version()),
+        compares: vec![
+            Compare::new(LEVEL, snapshot.level.version()),
+            Compare::new(MARK, snapshot.mark.version()),
         ],
         writes: vec![Write::put(LEVEL, &step.level)],
     };
@@ -312,7 +312,8 @@
         step.level.phase == Phase::Finalized && step.level.active > snapshot.finalized();
     if finalizes {
         let term = snapshot.term.record()?;
-        txn.guards.push(Guard::new(TERM, snapshot.term.version()));
+        txn.compares
+            .push(Compare::new(TERM, snapshot.term.version()));
         txn.writes
             .push(Write::put(MARK, &raised_mark(snapshot, step.level.active)));
         if Feature::FencedTerm.is_in(step.level.active) && !term.fenced {
@@ -329,7 +330,7 @@
 /// The transaction that makes a level final by proof, whoever has announced what.
 pub fn proven(snapshot: &Snapshot, level: Level) -> Txn {
     Txn {
-        guards: vec![Guard::new(MARK, snapshot.mark.version())],
+        compares: vec![Compare::new(MARK, snapshot.mark.version())],
         writes: vec![Write::put(MARK, &raised_mark(snapshot, level))],
     }
 }
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -14,7 +14,7 @@
 use vetchmount_rollout::plan::{self, Controller, View};
 use vetchmount_rollout::{Identity, LevelRange, Liveness, Snapshot, Stored};
 use wire::records::*;
-use wire::state::{Guard, Txn, Write};
+use wire::state::{Compare, Txn, Write};
 
 const LABELS: [&str; 2] = ["a", "b"];
 /// Revisions of the store up to which states are explored; the environment variable of this name explores further (10
@@ -96,8 +96,8 @@
     }
 
     fn commit(&mut self, txn: &Txn) {
-        let holds = |guard: &Guard| self.version(&guard.key) == guard.version;
-        if !txn.guards.iter().all(holds) {
+        let holds = |guard: &Compare| self.version(&guard.key) == guard.version;
+        if !txn.compares.iter().all(holds) {
             return;
         }
         self.revision += 1;
@@ -128,7 +128,7 @@
     fn first(scripts: [Vec<Build>; 2]) -> State {
         let mut store = Store::default();
         store.commit(&Txn {
-            guards: Vec::new(),
+            compares: Vec::new(),
             writes: vec![Write::put(TERM, &TermRecord::new(1))],
         });
         let mut scripts: Vec<Vec<Build>> = scripts.into();
@@ -187,7 +187,7 @@
             None => self.transition(&snapshot)?,
         };
         if let Fault::WithoutGuard(key) = fault {
-            txn.guards.retain(|guard| guard.key != key);
+            txn.compares.retain(|guard| guard.key != key);
         }
         Some(txn)
     }
@@ -228,17 +228,17 @@
         let process = &self.processes[number];
         let term: Stored<TermRecord> = self.store.get(TERM);
         let record = term.record()?;
-        let mut guards = vec![
-            Guard::new(LEADER, self.store.version(LEADER)),
-            Guard::new(TERM, term.version()),
+        let mut compares = vec![
+            Compare::new(LEADER, self.store.version(LEADER)),
+            Compare::new(TERM, term.version()),
         ];
         match process.build {
             Build::Unaware if record.fenced => return None,
             Build::Unaware => {}
             Build::Levels(_) => {
-                let guard = Guard::new(MARK, process.admitted_by?);
+                let guard = Compare::new(MARK, process.admitted_by?);
                 if fault != Fault::ElectionWithoutMark {
-                    guards.push(guard);
+                    compares.push(guard);
                 }
             }
         }
@@ -253,7 +253,7 @@
             ..record.clone()
         };
         let writes = vec![Write::put(LEADER, &leader), Write::put(TERM, &next)];
-        Some(Txn { guards, writes })
+        Some(Txn { compares, writes })
     }
 
     fn leads(&self, number: usize) -> bool {
--- a/crates/sched/src/fleet.rs
+++ b/crates/sched/src/fleet.rs
@@ -31,14 +31,14 @@
     /// Machines on their way, by offer.
     pub coming: Vec<u32>,
     /// Whether the objectives ask about money.
-    pub thrifty: bool,
+    pub minimizes_cost: bool,
     /// Seconds until a machine rented now could run a task.
     pub horizon_s: f64,
 }
 
 /// Machines to ask for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RentWish {
+pub struct RentRequest {
     /// Offer.
     pub offer: usize,
     /// How many.
@@ -84,8 +84,8 @@
 /// Waiting tasks are packed into free and coming room; what is left over is packed into new machines, each task
 /// on the offer with the lowest price for the task. Where money does not count, every open offer is asked for
 /// as much as one request may: capacity shows only in what the cloud refuses.
-pub fn plan_fleet(snapshot: &ClusterSnapshot, fleet: &FleetSnapshot) -> Vec<RentWish> {
-    if !fleet.thrifty {
+pub fn plan_fleet(snapshot: &ClusterSnapshot, fleet: &FleetSnapshot) -> Vec<RentRequest> {
+    if !fleet.minimizes_cost {
         let all = |offer: &Offer| if offer.open { RENT_MAX } else { 0 };
         return to_list(fleet.offers.iter().map(all).collect());
     }
@@ -101,12 +101,12 @@
         smallest_task,
         rooms: available_rooms(snapshot, fleet, &smallest_task),
         teams: snapshot.teams.clone(),
-        wishes: vec![0; fleet.offers.len()],
+        requests_by_offer: vec![0; fleet.offers.len()],
     };
     for job in waiting {
         packing.pack(job);
     }
-    to_list(packing.wishes)
+    to_list(packing.requests_by_offer)
 }
 
 /// Room on machines that are there or coming. Room that running tasks leave before a new machine could be up is as good
@@ -152,7 +152,7 @@
     /// With what has been packed counted as used.
     teams: Vec<TeamSnapshot>,
     /// Machines to rent, by offer.
-    wishes: Vec<u32>,
+    requests_by_offer: Vec<u32>,
 }
 
 /// Where tasks of one job may be packed.
@@ -235,7 +235,7 @@
         let (number, cheapest) = offers
             .filter(|(_, offer)| suits(offer))
             .min_by(|(_, a), (_, b)| price(a).total_cmp(&price(b)))?;
-        self.wishes[number] += 1;
+        self.requests_by_offer[number] += 1;
         Some(Room::of_offer(cheapest, 1))
     }
 
@@ -299,12 +299,12 @@
     best.map(|(z, ..)| *z)
 }
 
-fn to_list(wishes: Vec<u32>) -> Vec<RentWish> {
-    wishes
+fn to_list(requests_by_offer: Vec<u32>) -> Vec<RentRequest> {
+    requests_by_offer
         .into_iter()
         .enumerate()
         .filter(|(_, n)| *n > 0)
-        .map(|(offer, count)| RentWish { offer, count })
+        .map(|(offer, count)| RentRequest { offer, count })
         .collect()
 }
 
@@ -313,7 +313,7 @@
     use super::*;
     use crate::MachineSnapshot;
 
-    /// Found by a story: room in two zones counted as enough for a gang that must stay in one, and machines were
+    /// Found by a scenario: room in two zones counted as enough for a gang that must stay in one, and machines were
     /// rented in a zone that its other tasks ruled out.
     #[test]
     fn a_gang_of_one_zone_is_given_machines_in_its_zone() {
@@ -376,7 +376,7 @@
         let fleet = FleetSnapshot {
             offers: vec![offer(0), offer(1)],
             coming: vec![0, 0],
-            thrifty: true,
+            minimizes_cost: true,
             horizon_s: 0.0,
         };
         let snapshot = |job: &JobSnapshot, machines| ClusterSnapshot {
@@ -386,10 +386,10 @@
             running: vec![],
         };
         let one_each = plan_fleet(&snapshot(&job, vec![machine(0), machine(1)]), &fleet);
-        assert_eq!(one_each, vec![RentWish { offer: 0, count: 1 }]);
+        assert_eq!(one_each, vec![RentRequest { offer: 0, count: 1 }]);
         job.zones_used = vec![(1, 1)];
         job.waiting = vec![1];
         let rest = plan_fleet(&snapshot(&job, vec![machine(0)]), &fleet);
-        assert_eq!(rest, vec![RentWish { offer: 1, count: 1 }]);
+        assert_eq!(rest, vec![RentRequest { offer: 1, count: 1 }]);
     }
 }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -10,7 +10,7 @@
 mod sampling;
 mod snapshot;
 
-pub use fleet::{plan_fleet, FleetSnapshot, Offer, RentWish};
+pub use fleet::{plan_fleet, FleetSnapshot, Offer, RentRequest};
 pub use ranges::RangeSet;
 pub use resources::{ResourceBounds, Resources};
 pub use round::{Decision, Outcome, Round};
