--- a/crates/standins/src/workers.rs
+++ b/crates/standins/src/workers.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use wire::workers::{Elsewhere, ReportAnswer};
+use wire::workers::{Elsewhere, HeartbeatResponse};
 
 /// How long a worker waits for an answer.
 const PATIENCE: Duration = Duration::from_secs(4);
@@ -33,9 +33,9 @@
 
 fn step(shared: &Shared, worker: &mut FakeWorker, client: &mut Client) {
     let now = shared.now_ms();
-    let session = worker.session;
+    let incarnation = worker.incarnation;
     worker.wake(now, LEASE_MS);
-    if worker.session != session {
+    if worker.incarnation != incarnation {
         lock(&shared.history).lapsed();
     }
     let done = worker.advance(
@@ -61,7 +61,7 @@
     let nodes = shared.controllers.len();
     match answer {
         Ok((200, body)) => {
-            if let Ok(answer) = wire::decode::<ReportAnswer>(&body) {
+            if let Ok(answer) = wire::decode::<HeartbeatResponse>(&body) {
                 execute(shared, worker, now, &answer);
             }
         }
@@ -85,7 +85,7 @@
     worker.report_at = now + 1_000;
 }
 
-fn execute(shared: &Shared, worker: &mut FakeWorker, sent: u64, answer: &ReportAnswer) {
+fn execute(shared: &Shared, worker: &mut FakeWorker, sent: u64, answer: &HeartbeatResponse) {
     if answer.term < worker.term {
         return;
     }
--- a/crates/wire/src/partitions.rs
+++ b/crates/wire/src/partitions.rs
@@ -108,7 +108,7 @@
     /// Number of the permit within the term.
     pub number: u64,
     /// Session of the report that it follows.
-    pub session: u64,
+    pub incarnation: u64,
     /// Number of that report.
     pub seq: u64,
 }
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -6,7 +6,7 @@
 
 /// What the leader tells of an open job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobNews {
+pub struct JobUpdate {
     /// Job.
     pub id: String,
     /// Tasks done.
@@ -28,7 +28,7 @@
         node: String,
     },
     /// Regular sign of life.
-    Beat {
+    Heartbeat {
         /// Highest term the node knows.
         term: u64,
         /// Milliseconds since the state service last answered it well.
@@ -59,7 +59,7 @@
         /// Term of the leader.
         term: u64,
         /// Jobs.
-        jobs: Vec<JobNews>,
+        jobs: Vec<JobUpdate>,
     },
     /// Jobs that have just been filed away for good: (job, whether done; else cancelled).
     Over {
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -35,7 +35,7 @@
 
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Compare {
     /// Key.
     #[serde(rename = "path")]
     pub key: String,
@@ -44,7 +44,7 @@
     pub version: u64,
 }
 
-impl Guard {
+impl Compare {
     /// The key must have this version.
     pub fn new(key: impl Into<String>, version: u64) -> Self {
         let key = key.into();
@@ -102,7 +102,7 @@
 pub struct Txn {
     /// Conditions.
     #[serde(rename = "guards")]
-    pub guards: Vec<Guard>,
+    pub compares: Vec<Compare>,
     /// Changes.
     #[serde(rename = "writes")]
     pub writes: Vec<Write>,
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -49,7 +49,7 @@
 
 /// A task on a machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// Name of the task, `job/number`.
     #[serde(rename = "shard")]
     pub task: String,
@@ -68,7 +68,7 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     /// Machine name.
     #[serde(rename = "host")]
     pub machine: String,
@@ -86,7 +86,7 @@
     pub spot: bool,
     /// Session; grows whenever the worker's lease runs out.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Number of the message within all of the worker's.
     #[serde(rename = "tick")]
     pub seq: u64,
@@ -98,7 +98,7 @@
     pub notice_s: Option<f64>,
     /// Tasks on the machine.
     #[serde(rename = "shards", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
@@ -142,7 +142,7 @@
 
 /// Answer to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// Our term.
     #[serde(rename = "mandate")]
     pub term: u64,
@@ -158,7 +158,7 @@
     pub term: u64,
     /// Session they are meant for.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Commands.
     pub orders: Vec<Order>,
 }
--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -3,7 +3,7 @@
 
 use constants::{MAX_FRAME_BYTES, PEER_VERSION};
 use vetchmount_wire as wire;
-use wire::peers::{decode_frame, encode_frame, JobNews, PeerMessage};
+use wire::peers::{decode_frame, encode_frame, JobUpdate, PeerMessage};
 use wire::records::*;
 use wire::users::{Priority, Shape, Submission};
 
@@ -87,7 +87,7 @@
         pub term: u64,
     }
     #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-    pub struct JobNews {
+    pub struct JobUpdate {
         pub id: String,
         pub done: u32,
         pub running: u32,
@@ -99,7 +99,7 @@
         Hello {
             node: String,
         },
-        Beat {
+        Heartbeat {
             term: u64,
             state_ago_ms: u64,
             leads: bool,
@@ -115,7 +115,7 @@
         },
         Counts {
             term: u64,
-            jobs: Vec<JobNews>,
+            jobs: Vec<JobUpdate>,
         },
         Over {
             jobs: Vec<(String, bool)>,
@@ -196,7 +196,7 @@
         ("Hello", PeerMessage::Hello { node: "n".into() }),
         (
             "Beat",
-            PeerMessage::Beat {
+            PeerMessage::Heartbeat {
                 term: 300,
                 state_ago_ms: 5,
                 leads: true,
@@ -218,7 +218,7 @@
             "Counts",
             PeerMessage::Counts {
                 term: 41,
-                jobs: vec![JobNews {
+                jobs: vec![JobUpdate {
                     id: "run-1".into(),
                     done: 1,
                     running: 2,
