--- /dev/null
+++ b/crates/control/src/leader/loading.rs
@@ -0,0 +1,212 @@
+//! Loading the records after an election.
+//!
+//! Open jobs come first, then what else belongs to them, then rentals and machine types. Each prefix is read page by
+//! page. Nothing is decided before all have been read.
+
+use super::model::{Job, Machine, RecordCell};
+use super::rental::Rental;
+use super::Leader;
+use crate::effects::{Effects, NodeEvent};
+use crate::requests::{LeaderRequest, Priority, StateOp, StateReply};
+use constants::{HOUSEKEEPING_MS, STATE_RETRY_MS};
+use wire::cloud::MachineType;
+use wire::records::{
+    JobRecord, MoreRecord, PageRecord, RentalRecord, JOBS, MORE, PAGES, RENTALS, TYPES,
+};
+use wire::state::Item;
+
+/// How far loading has come.
+#[derive(Debug, Clone, PartialEq)]
+pub(super) enum Loading {
+    /// The records under a prefix are being read.
+    Pages {
+        /// The prefix.
+        prefix: &'static str,
+        /// Key to continue from.
+        from: String,
+    },
+    /// All records have been read.
+    Ready,
+}
+
+impl Loading {
+    /// Loading that has yet to begin.
+    pub fn start() -> Self {
+        Loading::prefix(JOBS)
+    }
+
+    fn prefix(prefix: &'static str) -> Self {
+        Loading::Pages {
+            prefix,
+            from: String::new(),
+        }
+    }
+
+    /// What follows after everything under `prefix` has been read. The order matters: the records of a job are taken
+    /// in only if the job is known.
+    fn after(prefix: &'static str) -> Self {
+        match prefix {
+            JOBS => Loading::prefix(MORE),
+            MORE => Loading::prefix(PAGES),
+            PAGES => Loading::prefix(RENTALS),
+            RENTALS => Loading::prefix(TYPES),
+            _ => Loading::Ready,
+        }
+    }
+}
+
+impl Leader {
+    /// Requests the next page of records, unless one is under way or the backoff after a failure lasts.
+    pub(super) fn load_next_page(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
+        let Loading::Pages { prefix, from } = self.loading.clone() else {
+            return;
+        };
+        if self.load_in_flight || now < self.load_retry_at {
+            return;
+        }
+        self.load_in_flight = true;
+        if self.job_watch.revision == 0 {
+            self.job_watch.informed_until = now;
+        }
+        self.send_state_request(
+            Priority::Leadership,
+            StateOp::List { prefix, from },
+            LeaderRequest::Load(prefix),
+            effects,
+        );
+    }
+
+    /// A page of records has arrived, or the request for it has failed.
+    pub(super) fn on_load(
+        &mut self,
+        prefix: &'static str,
+        reply: StateReply,
+        effects: &mut Effects,
+    ) {
+        self.load_in_flight = false;
+        let now = effects.now.mono;
+        let StateReply::Page(page) = reply else {
+            self.load_retry_at = now + STATE_RETRY_MS;
+            return;
+        };
+        if prefix == JOBS && self.job_watch.revision == 0 {
+            self.job_watch.revision = page.revision.max(1);
+        }
+        let last_key = page.items.last().map(|item| item.key.clone());
+        for item in page.items {
+            self.load_item(prefix, item, now);
+        }
+        let next = match last_key {
+            Some(from) if page.more => Loading::Pages { prefix, from },
+            _ => Loading::after(prefix),
+        };
+        if next == Loading::Ready {
+            return self.finish_loading(effects);
+        }
+        self.loading = next;
+        self.tick(false, effects);
+    }
+
+    fn load_item(&mut self, prefix: &'static str, item: Item, now: u64) {
+        let key = item.key;
+        let value = item.value;
+        let version = item.version;
+        let name = key.strip_prefix(prefix).unwrap_or_default();
+        let loaded = match prefix {
+            JOBS => value.deserialized::<JobRecord>().map(|record| {
+                let job = Job::new(record, version);
+                self.jobs.insert(name.to_string(), job);
+            }),
+            MORE => value
+                .deserialized::<MoreRecord>()
+                .map(|record| self.load_more_record(name, record)),
+            PAGES => value.deserialized::<PageRecord>().map(|record| {
+                if let Ok(number) = name.parse::<u32>() {
+                    self.load_page(number, record, version);
+                }
+            }),
+            RENTALS => value.deserialized::<RentalRecord>().map(|record| {
+                let rental = Rental::recorded(record, version, now);
+                self.rentals.insert(name.to_string(), rental);
+            }),
+            _ if key == TYPES => value.deserialized::<Vec<MachineType>>().map(|types| {
+                self.types = RecordCell::new(Some(types), version);
+            }),
+            _ => Ok(()),
+        };
+        if let Err(why) = loaded {
+            log::error!("event=record_unreadable key={key} why={why}");
+        }
+    }
+
+    /// Adds what did not fit into a job's own record. `name` is the job's id and the number of the further record.
+    fn load_more_record(&mut self, name: &str, record: MoreRecord) {
+        let Some((id, _)) = name.split_once('/') else {
+            return;
+        };
+        if let Some(job) = self.jobs.get_mut(id).filter(|job| job.more > 0) {
+            let types = job.spec.types.get_or_insert_with(Vec::new);
+            types.extend(record.types);
+        }
+    }
+
+    fn finish_loading(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
+        self.loading = Loading::Ready;
+        self.ready_at = now;
+        self.next_housekeeping = now + HOUSEKEEPING_MS;
+        if let Some(types) = &self.types.saved {
+            effects.events.push(NodeEvent::Types(types.clone()));
+        }
+        self.settle_copies();
+        self.apply_cancellation_notices();
+        self.index_assignments(now);
+        self.register_loaded_jobs(effects);
+        log::info!(
+            "event=leader_state_loaded term={} jobs={} pages={} machines={} rentals={} took_ms={}",
+            self.term,
+            self.jobs.len(),
+            self.pages.len(),
+            self.machines.len(),
+            self.rentals.len(),
+            now.saturating_sub(self.since)
+        );
+        self.plan_due = true;
+        self.tick(false, effects);
+    }
+
+    /// Marks loaded jobs as cancelled if a notice of that came while they were being read.
+    fn apply_cancellation_notices(&mut self) {
+        for (id, job) in &mut self.jobs {
+            job.aborted |= self.cancellation_notices.contains(id);
+        }
+    }
+
+    /// Adds the loaded assignments to their machines, which become known by them.
+    fn index_assignments(&mut self, now: u64) {
+        for (id, job) in &self.jobs {
+            for (task, assignment) in job.assignments() {
+                let machine = self
+                    .machines
+                    .entry(assignment.machine.clone())
+                    .or_insert_with(|| Machine::new(now));
+                machine.assignments.insert((id.clone(), task));
+            }
+        }
+    }
+
+    /// Tracks the dependencies of all loaded jobs, then stops what is cancelled and archives what is over.
+    fn register_loaded_jobs(&mut self, effects: &Effects) {
+        let ids: Vec<String> = self.jobs.keys().cloned().collect();
+        for id in &ids {
+            self.track_dependencies(id, effects.now);
+        }
+        for id in &ids {
+            if self.jobs.get(id).is_some_and(|job| job.aborted) {
+                self.cancel_assignments(id, effects.now);
+            }
+            self.queue_write_if_final(id);
+        }
+    }
+}
--- a/crates/control/src/leader/model/machine.rs
+++ b/crates/control/src/leader/model/machine.rs
@@ -15,7 +15,7 @@
     pub zone: String,
     /// Whether it is a spot instance.
     pub spot: bool,
-    /// Whether type, zone and kind are known yet.
+    /// Whether the three above are known yet.
     pub known: bool,
     /// Address of its worker, for direct calls.
     pub addr: Option<String>,
@@ -35,7 +35,7 @@
     pub last_heartbeat: Option<u64>,
     /// When this leader last answered a heartbeat of the worker.
     pub last_answer: Option<u64>,
-    /// When this leader first knew of the machine.
+    /// When the machine came into being: by its age in the cloud's list, or else when this leader first knew of it.
     pub first_known: u64,
     /// When the cloud takes the machine away, if it has announced that.
     pub notice_at: Option<u64>,
