--- /dev/null
+++ b/crates/control/src/leader/pages/encoding.rs
@@ -0,0 +1,80 @@
+//! Encodes drafts of pages as writes of a transaction.
+
+use super::copies::{copies_in, PartCopy};
+use super::draft::{PageDraft, PageDrafts};
+use crate::leader::Leader;
+use wire::records::{job_key, page_key, PageEntry, PageRecord, SmallEntry, SmallPart};
+use wire::state::{Compare, Write};
+
+/// The rewrite of one page, ready to be put into a transaction.
+pub(in crate::leader) struct PageWrite {
+    /// Number of the page.
+    pub number: u32,
+    /// Guards against the cancellation of jobs whose new assignments the page records.
+    pub job_compares: Vec<Compare>,
+    /// Guard of the page's own record.
+    pub compare: Compare,
+    /// The write itself.
+    pub write: Write,
+    /// Copies of parts that the page holds once it is written.
+    pub copies: Vec<PartCopy>,
+}
+
+impl Leader {
+    /// Encodes drafts as writes and marks their pages as in flight.
+    pub(in crate::leader) fn write_pages(&mut self, drafts: PageDrafts) -> Vec<PageWrite> {
+        drafts
+            .into_iter()
+            .map(|draft| self.write_page(&draft))
+            .collect()
+    }
+
+    fn write_page(&mut self, draft: &PageDraft) -> PageWrite {
+        let record = self.page_record(draft);
+        let job_compares = draft
+            .guarded_jobs()
+            .map(|id| {
+                let version = self.jobs.get(id).map_or(0, |job| job.version);
+                Compare::new(job_key(id), version)
+            })
+            .collect();
+        let number = draft.number();
+        let page = self.pages.entry(number).or_default();
+        page.in_flight = true;
+        let key = page_key(number);
+        PageWrite {
+            number,
+            job_compares,
+            compare: Compare::new(key.clone(), page.version),
+            write: Write::put(key, &record),
+            copies: copies_in(&record),
+        }
+    }
+
+    fn page_record(&self, draft: &PageDraft) -> PageRecord {
+        let mut record = PageRecord::default();
+        for id in draft.parts() {
+            let Some(chunk) = self.part_chunk(id) else {
+                continue;
+            };
+            let (job, part, seq) = (id.job.clone(), id.number, chunk.seq);
+            let chunk = chunk.record();
+            if self.dense {
+                record.small.push(SmallEntry {
+                    job,
+                    part,
+                    seq,
+                    chunk: SmallPart::from(&chunk),
+                });
+            } else {
+                record.parts.push(PageEntry {
+                    job,
+                    part,
+                    seq,
+                    chunk,
+                });
+            }
+        }
+        record
+    }
+}
--- /dev/null
+++ b/crates/control/src/leader/store/saved.rs
@@ -0,0 +1,103 @@
+//! What follows once a change is known to be recorded.
+
+use super::transaction::RecordChange;
+use crate::effects::{Effects, NodeEvent};
+use crate::leader::model::Job;
+use crate::leader::Leader;
+use crate::requests::RecordId;
+use wire::cloud::MachineType;
+use wire::records::{Final, RentalRecord};
+
+/// Milliseconds of a second, for times in the log.
+const MS_PER_SECOND: f64 = 1000.0;
+
+impl Leader {
+    /// A change is known to be recorded.
+    pub(super) fn on_saved(&mut self, change: RecordChange, version: u64, effects: &mut Effects) {
+        self.set_in_flight(&change.record_id(), false);
+        match change {
+            RecordChange::WritePage { number, copies } => {
+                self.page_holds(number, version, &copies);
+            }
+            RecordChange::DeletePage(number) => {
+                self.pages.remove(&number);
+            }
+            RecordChange::ArchiveJob { id, outcome } => self.on_archived(&id, outcome, effects),
+            RecordChange::Rental { name, record } => {
+                self.on_rental_saved(name, record, version, effects);
+            }
+            RecordChange::MachineTypes(types) => self.on_types_saved(types, version),
+        }
+    }
+
+    /// The cloud is asked for machines only once the request is recorded.
+    fn on_rental_saved(
+        &mut self,
+        name: String,
+        record: Option<RentalRecord>,
+        version: u64,
+        effects: &mut Effects,
+    ) {
+        let Some(rental) = self.rentals.get_mut(&name) else {
+            return;
+        };
+        let cell = &mut rental.record;
+        cell.version = if record.is_some() { version } else { 0 };
+        cell.saved = record;
+        if cell.is_unsaved() {
+            self.queue_write(RecordId::Rental(name));
+        } else if cell.saved.is_none() {
+            self.rentals.remove(&name);
+        } else {
+            self.send_rental(&name, effects);
+        }
+    }
+
+    fn on_types_saved(&mut self, types: Vec<MachineType>, version: u64) {
+        self.types.version = version;
+        self.types.saved = Some(types);
+        if self.types.is_unsaved() {
+            self.queue_write(RecordId::Types);
+        }
+    }
+
+    /// A finished job is recorded as final: it is removed from everything that knows it as open.
+    fn on_archived(&mut self, id: &str, outcome: Final, effects: &mut Effects) {
+        let Some(job) = self.jobs.remove(id) else {
+            return;
+        };
+        let age_ms = effects.now.unix.saturating_sub(job.submitted_at) as f64;
+        log::info!(
+            "event=job_finished job={id} end={outcome:?} took_s={:.1} class={}",
+            age_ms / MS_PER_SECOND,
+            job.spec.class
+        );
+        self.remove_from_machines(id, &job);
+        self.leave_pages(id, &job);
+        if outcome == Final::Aborted {
+            self.forget_failures(id, &job);
+        }
+        self.plan_due = true;
+        for dependency in &job.needs {
+            self.remove_dependent(dependency, id);
+        }
+        self.over(id, outcome, effects.now);
+        let event = NodeEvent::JobOver(id.to_string(), outcome);
+        effects.events.push(event);
+        self.cancellation_notices.remove(id);
+        self.archived.insert(id.to_string(), outcome);
+    }
+
+    fn remove_from_machines(&mut self, id: &str, job: &Job) {
+        for (task, assignment) in job.assignments() {
+            if let Some(machine) = self.machines.get_mut(&assignment.machine) {
+                machine.assignments.remove(&(id.to_string(), task));
+            }
+        }
+    }
+
+    /// How a job ended that was archived in this term. The watch may still report a change of it.
+    pub(in crate::leader) fn archived_as(&self, id: &str) -> Option<Final> {
+        self.archived.get(id).copied()
+    }
+}
