--- a/crates/control/src/cloud.rs
+++ b/crates/control/src/cloud.rs
@@ -1,24 +1,42 @@
-//! Client of the cloud: within its call rate, returns ahead of rentals ahead of listings.
+//! Client of the cloud: stays within its call rate and sends returns ahead of rentals ahead of listings.
 
-use crate::effects::{CallError, CallId, Effects, Output, Target};
+mod calls;
+
+use crate::effects::{CallError, CallId, Effects};
 use crate::requests::{CloudOp, CloudReply, CloudTag};
 use crate::token_bucket::TokenBucket;
-use constants::*;
+use calls::{decode_reply, encode_call};
 use std::collections::{HashMap, VecDeque};
-use wire::cloud::*;
 
+/// Share of the cloud's call rate that is used. The burst is one second's worth of the full rate.
+const CALL_RATE_SHARE: f64 = 0.8;
+/// Milliseconds without calls after one that was refused or whose outcome is unknown.
+const RETRY_PAUSE_MS: u64 = 1000;
+/// Milliseconds to wait at least when the call rate is used up.
+const MIN_WAIT_MS: u64 = 10;
+/// Tokens that a call takes.
+const ONE_CALL: f64 = 1.0;
+/// Number of queues, one for each kind of call.
+const QUEUES: usize = 4;
+
+/// What a call came to: status and body, or why there is no reply.
+type CallResult = Result<(u16, Vec<u8>), CallError>;
+
+/// Sends the requests of the leader to the cloud.
 pub(crate) struct CloudClient {
     bucket: TokenBucket,
-    queues: [VecDeque<(CloudOp, CloudTag)>; 4],
+    /// Queues in the order in which they are served.
+    queues: [VecDeque<(CloudOp, CloudTag)>; QUEUES],
     in_flight: HashMap<CallId, (CloudOp, CloudTag)>,
     paused_until: u64,
     wake: Option<u64>,
 }
 
 impl CloudClient {
+    /// A client of a cloud that allows so many calls a second.
     pub fn new(rps: f64) -> Self {
         CloudClient {
-            bucket: TokenBucket::new(rps * 0.8, rps),
+            bucket: TokenBucket::new(rps * CALL_RATE_SHARE, rps),
             queues: Default::default(),
             in_flight: HashMap::new(),
             paused_until: 0,
@@ -26,101 +44,63 @@
         }
     }
 
+    /// Queues a request. It is sent by [`CloudClient::pump`].
     pub fn push(&mut self, op: CloudOp, tag: CloudTag) {
-        let queue = match op {
-            CloudOp::Return(_) => 0,
-            CloudOp::Rent(_) => 1,
-            CloudOp::List { .. } => 2,
-            CloudOp::Types => 3,
-        };
-        self.queues[queue].push_back((op, tag));
+        self.queues[queue_of(&op)].push_back((op, tag));
     }
 
+    /// Drops all queued requests.
     pub fn clear(&mut self) {
         self.queues = Default::default();
     }
 
+    /// Sends what the call rate allows.
     pub fn pump(&mut self, next_call: &mut CallId, effects: &mut Effects) {
         let now = effects.now.mono;
         self.wake = None;
         for queue in &mut self.queues {
             while !queue.is_empty() {
-                if now < self.paused_until || !self.bucket.take(now, 1.0) {
-                    let at = self.paused_until.max(now + self.bucket.wait(1.0).max(10));
-                    self.wake = Some(at);
+                if now < self.paused_until || !self.bucket.take(now, ONE_CALL) {
+                    let wait_ms = self.bucket.wait(ONE_CALL).max(MIN_WAIT_MS);
+                    self.wake = Some(self.paused_until.max(now + wait_ms));
                     return;
                 }
                 if let Some((op, tag)) = queue.pop_front() {
                     *next_call += 1;
-                    effects.out.push(call_of(&op, *next_call));
+                    effects.out.push(encode_call(&op, *next_call));
                     self.in_flight.insert(*next_call, (op, tag));
                 }
             }
         }
     }
 
+    /// When [`CloudClient::pump`] has to be called again for requests that wait.
     pub fn next_wake(&self) -> Option<u64> {
         self.wake
     }
 
+    /// Takes a reply if the call was one of this client's.
     pub fn on_reply(
         &mut self,
         now: u64,
         call: CallId,
-        result: &Result<(u16, Vec<u8>), CallError>,
+        result: &CallResult,
     ) -> Option<(CloudTag, CloudOp, CloudReply)> {
         let (op, tag) = self.in_flight.remove(&call)?;
-        let reply = read_reply(&op, result);
+        let reply = decode_reply(&op, result);
         if matches!(reply, CloudReply::Refused | CloudReply::Unknown) {
-            self.paused_until = now + 1000;
+            self.paused_until = now + RETRY_PAUSE_MS;
         }
         Some((tag, op, reply))
     }
 }
 
-fn call_of(op: &CloudOp, call: CallId) -> Output {
-    let (method, path, body) = match op {
-        CloudOp::Return(names) => {
-            let machines = names.clone();
-            let body = wire::encode(&MachineNames { machines });
-            ("POST", "/hosts/return".to_string(), body)
-        }
-        CloudOp::Rent(rent) => ("POST", "/hosts".to_string(), wire::encode(rent)),
-        CloudOp::List { from } if from.is_empty() => ("GET", "/hosts?limit=500".into(), vec![]),
-        CloudOp::List { from } => ("GET", format!("/hosts?from={from}&limit=500"), vec![]),
-        CloudOp::Types => ("GET", "/machine_types".to_string(), vec![]),
-    };
-    Output::Call {
-        call,
-        target: Target::Cloud,
-        method,
-        path,
-        body,
-        timeout_ms: CLOUD_TIMEOUT_MS,
+/// Index of the queue for a request.
+fn queue_of(op: &CloudOp) -> usize {
+    match op {
+        CloudOp::Return(_) => 0,
+        CloudOp::Rent(_) => 1,
+        CloudOp::List { .. } => 2,
+        CloudOp::Types => 3,
     }
 }
-
-fn read_reply(op: &CloudOp, result: &Result<(u16, Vec<u8>), CallError>) -> CloudReply {
-    let (status, body) = match result {
-        Err(CallError::NotSent) => return CloudReply::Refused,
-        Err(CallError::Unknown) => return CloudReply::Unknown,
-        Ok((status, body)) => (*status, body.as_slice()),
-    };
-    let read = match (op, status) {
-        (CloudOp::Return(_), 200) => Ok(CloudReply::Returned),
-        (CloudOp::Rent(_), 200) => {
-            wire::decode(body).map(|n: MachineNames| CloudReply::Rented(n.machines))
-        }
-        (CloudOp::Rent(_), 503) if String::from_utf8_lossy(body).contains("no capacity") => {
-            Ok(CloudReply::NoCapacity)
-        }
-        (CloudOp::List { .. }, 200) => wire::decode(body).map(CloudReply::Listed),
-        (CloudOp::Types, 200) => {
-            wire::decode(body).map(|t: MachineTypes| CloudReply::Types(t.types))
-        }
-        (_, 429 | 503) => Ok(CloudReply::Refused),
-        (_, 400..=499) => Ok(CloudReply::Invalid),
-        _ => Ok(CloudReply::Unknown),
-    };
-    read.unwrap_or(CloudReply::Unknown)
-}
--- /dev/null
+++ b/crates/control/src/cloud/calls.rs
@@ -0,0 +1,83 @@
+//! Encodes requests to the cloud as HTTP calls, and decodes its replies.
+
+use super::CallResult;
+use crate::effects::{CallError, CallId, Output, Target};
+use crate::requests::{CloudOp, CloudReply};
+use constants::{CLOUD_TIMEOUT_MS, LIST_MAX};
+use wire::cloud::{MachineNames, MachineTypes};
+use wire::BadBody;
+
+/// What the body of a refused rental contains if the cloud has no such machines at present.
+const NO_CAPACITY: &str = "no capacity";
+
+/// The HTTP call of a request.
+pub(super) fn encode_call(op: &CloudOp, call: CallId) -> Output {
+    Output::Call {
+        call,
+        target: Target::Cloud,
+        method: method(op),
+        path: path(op),
+        body: body(op),
+        timeout_ms: CLOUD_TIMEOUT_MS,
+    }
+}
+
+fn method(op: &CloudOp) -> &'static str {
+    match op {
+        CloudOp::Return(_) | CloudOp::Rent(_) => "POST",
+        CloudOp::List { .. } | CloudOp::Types => "GET",
+    }
+}
+
+fn path(op: &CloudOp) -> String {
+    match op {
+        CloudOp::Return(_) => "/hosts/return".to_string(),
+        CloudOp::Rent(_) => "/hosts".to_string(),
+        CloudOp::List { from } if from.is_empty() => format!("/hosts?limit={LIST_MAX}"),
+        CloudOp::List { from } => format!("/hosts?from={from}&limit={LIST_MAX}"),
+        CloudOp::Types => "/machine_types".to_string(),
+    }
+}
+
+fn body(op: &CloudOp) -> Vec<u8> {
+    match op {
+        CloudOp::Return(names) => {
+            let machines = names.clone();
+            wire::encode(&MachineNames { machines })
+        }
+        CloudOp::Rent(rent) => wire::encode(rent),
+        CloudOp::List { .. } | CloudOp::Types => Vec::new(),
+    }
+}
+
+/// The outcome of a request.
+pub(super) fn decode_reply(op: &CloudOp, result: &CallResult) -> CloudReply {
+    match result {
+        Err(CallError::NotSent) => CloudReply::Refused,
+        Err(CallError::Unknown) => CloudReply::Unknown,
+        // A body that can't be read leaves open what was done.
+        Ok((status, body)) => decode_body(op, *status, body).unwrap_or(CloudReply::Unknown),
+    }
+}
+
+fn decode_body(op: &CloudOp, status: u16, body: &[u8]) -> Result<CloudReply, BadBody> {
+    let reply = match (op, status) {
+        (CloudOp::Return(_), 200) => CloudReply::Returned,
+        (CloudOp::Rent(_), 200) => {
+            let rented: MachineNames = wire::decode(body)?;
+            CloudReply::Rented(rented.machines)
+        }
+        (CloudOp::Rent(_), 503) if String::from_utf8_lossy(body).contains(NO_CAPACITY) => {
+            CloudReply::NoCapacity
+        }
+        (CloudOp::List { .. }, 200) => CloudReply::Listed(wire::decode(body)?),
+        (CloudOp::Types, 200) => {
+            let types: MachineTypes = wire::decode(body)?;
+            CloudReply::Types(types.types)
+        }
+        (_, 429 | 503) => CloudReply::Refused,
+        (_, 400..=499) => CloudReply::Invalid,
+        _ => CloudReply::Unknown,
+    };
+    Ok(reply)
+}
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -1,27 +1,28 @@
-//! What actors ask the state service and the cloud, what comes of it, and for whom: plain data that every actor may use.
+//! Requests to the state service and the cloud, their outcomes, and who sent them: plain data that every actor may use.
 
 use wire::cloud::{MachineList, MachineType, Rent};
 use wire::state::{Changes, Item, Page, Txn};
 
 /// Order in which requests are sent when the budget is short. Each but the first has a rate of its own, so that however
-/// many of one are waiting, the others go on.
+/// many requests of one priority are waiting, the others go on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Priority {
-    /// Elections, renewals, watches, and what is asked once a while.
+    /// Elections, lease renewals, watches, and what is asked rarely.
     Leadership,
     /// Transactions that create or cancel jobs.
     Change,
-    /// What has to be read for a submission or a cancellation.
+    /// Reads that a submission or a cancellation needs.
     ChangeRead,
     /// The leader's records.
     LeaderRecords,
     /// Transactions that answer many questions at once.
     Proof,
-    /// What has to be read for a single question.
+    /// Reads that a single question needs.
     Question,
 }
 
 impl Priority {
+    /// All priorities, the highest first.
     pub const ALL: [Priority; 6] = [
         Priority::Leadership,
         Priority::Change,
@@ -40,34 +41,65 @@
 /// A request to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum StateOp {
+    /// Reads a record.
     Get(String),
-    List { prefix: &'static str, from: String },
+    /// Reads a page of the records under a prefix.
+    List {
+        /// Prefix of their keys.
+        prefix: &'static str,
+        /// Key after which the page begins; empty for the first page.
+        from: String,
+    },
+    /// Executes a transaction.
     Txn(Txn),
-    Grant { ttl_ms: u64 },
+    /// Grants a lease.
+    Grant {
+        /// Milliseconds until it expires unless it is renewed.
+        ttl_ms: u64,
+    },
+    /// Renews a lease.
     Renew(u64),
+    /// Revokes a lease.
     Revoke(u64),
-    Watch { prefix: &'static str, from: u64 },
+    /// Waits for changes of the records under a prefix.
+    Watch {
+        /// Prefix of their keys.
+        prefix: &'static str,
+        /// Revision whose changes are known.
+        from: u64,
+    },
 }
 
-/// What came of it.
+/// Outcome of a request to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum StateReply {
+    /// The record.
     Item(Item),
+    /// There is no such record.
     Missing,
+    /// A page of records.
     Page(Page),
+    /// The transaction was executed.
     Committed {
+        /// Version of the records that it wrote.
         version: u64,
     },
+    /// The transaction was not executed, since records have other versions than it requires.
     Conflict {
+        /// Keys of these records.
         failed: Vec<String>,
     },
+    /// The lease that was granted.
     Granted(u64),
+    /// The lease was renewed or revoked.
     Renewed,
+    /// There is no such lease.
     NoLease,
+    /// What has changed.
     Changes(Changes),
-    /// The watch must start anew.
+    /// The watch must start anew: changes since its revision are no longer available.
     TooOld,
-    /// Certainly not executed.
+    /// Certainly not executed; worth trying again.
     Refused,
     /// Certainly not executed, and never will be as it is.
     Invalid,
@@ -78,19 +110,31 @@
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum CloudOp {
+    /// Returns machines, by name.
     Return(Vec<String>),
+    /// Rents machines.
     Rent(Rent),
-    List { from: String },
+    /// Reads a page of the machine list.
+    List {
+        /// Name after which the page begins; empty for the first page.
+        from: String,
+    },
+    /// Reads the machine types.
     Types,
 }
 
-/// What came of it.
+/// Outcome of a request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum CloudReply {
+    /// The machines were returned.
     Returned,
+    /// Names of the machines that were rented.
     Rented(Vec<String>),
+    /// The cloud has no such machines at present.
     NoCapacity,
+    /// A page of the machine list.
     Listed(MachineList),
+    /// The machine types.
     Types(Vec<MachineType>),
     /// Not executed; worth trying again.
     Refused,
@@ -100,85 +144,105 @@
     Unknown,
 }
 
-/// Who asked the state service, and for what.
+/// Who sent a request to the state service, and for what.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum StateTag {
+    /// The election.
     Election(ElectionStep),
+    /// A user's request, by its number.
     User(u64),
     /// Proof of many answers at once.
     Proof(u64),
     /// Search for many ids at once that nothing is known of.
     UnknownIds(u64),
+    /// A node without a leader reads the machine types.
     Types,
     /// The upgrade, with the number of its request.
     Rollout(u64),
+    /// The leader of this term.
     Leader(u64, LeaderRequest),
     /// The ownership table, with the term and the number of the request.
     Partitions(u64, u64),
 }
 
-/// Who asked the cloud.
+/// Who sent a request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum CloudTag {
+    /// The leader of this term.
     Leader(u64, CloudRequest),
 }
 
-/// Where in the election a reply belongs. The number tells attempts (or terms) apart.
+/// The step of the election that a reply belongs to. The number identifies the attempt or the term.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ElectionStep {
+    /// Reads the leader's record.
     Poll(u64),
+    /// Reads the term's record.
     Term(u64),
+    /// Grants a lease.
     Grant(u64),
+    /// Writes the leader's record.
     Run(u64),
     /// Renewal in this term, sent at this moment.
     Renew(u64, u64),
+    /// Revokes a lease: its own, or that of a leader found unreachable.
     Quit,
 }
 
-/// Why the leader asked the state service.
+/// Why the leader sent a request to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum LeaderRequest {
-    /// A page of the records, while loading.
+    /// A page of the records under this prefix, while loading.
     Load(&'static str),
     /// A watch of the open jobs, sent at this moment.
     Watch(u64),
-    /// A transaction.
+    /// A transaction, by its number.
     PendingTransaction(u64),
-    /// A record whose version has become doubtful.
+    /// A record whose version is in doubt, with its key.
     Refresh(RecordId, String),
     /// A page of all open jobs, after the watch fell behind.
     Resync(Reread),
-    /// How a job ended that others need.
+    /// How a job ended that other jobs depend on.
     Final(String),
-    /// What does not fit into an open job's own record.
+    /// A further record of an open job, by its number: what does not fit into the job's own record.
     More(String, u32),
 }
 
 /// All open jobs are being read again, page by page.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Reread {
-    /// When the first page was asked for.
+    /// When the first page was requested.
     pub since: u64,
-    /// Revision of the first page: what has changed since is the next watch's to tell, since a change of a job on a page
-    /// already read is on none of the later ones.
+    /// Revision of the first page. The next watch must begin there: a change of a job on a page already read is on
+    /// none of the later pages.
     pub revision: u64,
 }
 
-/// Why the leader asked the cloud.
+/// Why the leader sent a request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum CloudRequest {
+    /// To know the machine types.
     Types,
-    List { asked: u64 },
+    /// To know the machines.
+    List {
+        /// When the first page was requested.
+        asked: u64,
+    },
+    /// For the rental request of this name.
     Rent(String),
+    /// To return these machines.
     Return(Vec<String>),
 }
 
-/// Something whose record is not as wanted.
+/// Identifies a record that the leader writes or reads again.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RecordId {
+    /// An open job, with its parts on pages.
     Job(String),
+    /// A rental request.
     Rental(String),
+    /// The machine types.
     Types,
-    /// A page whose version has become doubtful.
+    /// A page.
     Page(u32),
 }
--- /dev/null
+++ b/crates/control/src/state/calls.rs
@@ -0,0 +1,63 @@
+//! Encodes requests to the state service as HTTP calls.
+
+use crate::effects::{CallId, Output, Target};
+use crate::requests::StateOp;
+use constants::{LIST_PAGE, STATE_TIMEOUT_MS, WATCH_HOLD_MS};
+use wire::state::LeaseAsk;
+
+/// The HTTP call of a request.
+pub(super) fn encode_call(op: &StateOp, call: CallId) -> Output {
+    Output::Call {
+        call,
+        target: Target::State,
+        method: method(op),
+        path: path(op),
+        body: body(op),
+        timeout_ms: timeout_ms(op),
+    }
+}
+
+fn method(op: &StateOp) -> &'static str {
+    match op {
+        StateOp::Get(_) | StateOp::List { .. } | StateOp::Watch { .. } => "GET",
+        StateOp::Txn(_) | StateOp::Grant { .. } | StateOp::Renew(_) => "POST",
+        StateOp::Revoke(_) => "DELETE",
+    }
+}
+
+fn path(op: &StateOp) -> String {
+    match op {
+        StateOp::Get(key) => format!("/kv/{key}"),
+        StateOp::List { prefix, from } if from.is_empty() => {
+            format!("/kv?under={prefix}&limit={LIST_PAGE}")
+        }
+        StateOp::List { prefix, from } => {
+            format!("/kv?under={prefix}&from={from}&limit={LIST_PAGE}")
+        }
+        StateOp::Txn(_) => "/multi".to_string(),
+        StateOp::Grant { .. } => "/leases".to_string(),
+        StateOp::Renew(lease) => format!("/leases/{lease}/renew"),
+        StateOp::Revoke(lease) => format!("/leases/{lease}"),
+        StateOp::Watch { prefix, from } => {
+            format!("/changes?under={prefix}&from={from}&hold_ms={WATCH_HOLD_MS}")
+        }
+    }
+}
+
+fn body(op: &StateOp) -> Vec<u8> {
+    match op {
+        StateOp::Txn(txn) => wire::encode(txn),
+        StateOp::Grant { ttl_ms } => wire::encode(&LeaseAsk { ttl_ms: *ttl_ms }),
+        _ => Vec::new(),
+    }
+}
+
+fn timeout_ms(op: &StateOp) -> u64 {
+    match op {
+        // A page of many records takes longer than one.
+        StateOp::List { .. } => 2 * STATE_TIMEOUT_MS,
+        // The state service answers once something changes, or after this while.
+        StateOp::Watch { .. } => WATCH_HOLD_MS + STATE_TIMEOUT_MS,
+        _ => STATE_TIMEOUT_MS,
+    }
+}
--- /dev/null
+++ b/crates/control/src/state/replies.rs
@@ -0,0 +1,62 @@
+//! Decodes replies of the state service.
+
+use super::CallResult;
+use crate::effects::CallError;
+use crate::requests::{StateOp, StateReply};
+use wire::state::{Lease, TxnAnswer};
+use wire::BadBody;
+
+/// What the body of a refused transaction contains if a lease that it names does not exist.
+const NO_SUCH_LEASE: &str = "no such lease";
+
+/// The outcome of a request.
+pub(super) fn decode_reply(op: &StateOp, result: &CallResult) -> StateReply {
+    match result {
+        Err(CallError::NotSent) => StateReply::Refused,
+        Err(CallError::Unknown) => StateReply::Unknown,
+        Ok((429 | 503, _)) => StateReply::Refused,
+        Ok((500.., _)) => StateReply::Unknown,
+        // A body that can't be read leaves open what was done.
+        Ok((status, body)) => decode_body(op, *status, body).unwrap_or(StateReply::Unknown),
+    }
+}
+
+fn decode_body(op: &StateOp, status: u16, body: &[u8]) -> Result<StateReply, BadBody> {
+    let reply = match (op, status) {
+        (StateOp::Get(_), 200) => StateReply::Item(wire::decode(body)?),
+        (StateOp::Get(_), 404) => StateReply::Missing,
+        (StateOp::List { .. }, 200) => StateReply::Page(wire::decode(body)?),
+        (StateOp::Txn(_), _) => return decode_txn_reply(status, body),
+        (StateOp::Grant { .. }, 200) => {
+            let granted: Lease = wire::decode(body)?;
+            StateReply::Granted(granted.lease)
+        }
+        (StateOp::Renew(_), 200) => StateReply::Renewed,
+        (StateOp::Renew(_), 404) => StateReply::NoLease,
+        (StateOp::Revoke(_), _) => StateReply::Renewed,
+        (StateOp::Watch { .. }, 200) => StateReply::Changes(wire::decode(body)?),
+        (StateOp::Watch { .. }, 410) => StateReply::TooOld,
+        _ => StateReply::Invalid,
+    };
+    Ok(reply)
+}
+
+fn decode_txn_reply(status: u16, body: &[u8]) -> Result<StateReply, BadBody> {
+    let reply = match status {
+        200 => {
+            let answer: TxnAnswer = wire::decode(body)?;
+            StateReply::Committed {
+                version: answer.revision,
+            }
+        }
+        409 => {
+            let answer: TxnAnswer = wire::decode(body)?;
+            StateReply::Conflict {
+                failed: answer.failed,
+            }
+        }
+        400 if String::from_utf8_lossy(body).contains(NO_SUCH_LEASE) => StateReply::NoLease,
+        _ => StateReply::Invalid,
+    };
+    Ok(reply)
+}
--- a/crates/control/src/state/tests.rs
+++ b/crates/control/src/state/tests.rs
@@ -1,34 +1,38 @@
 //! Budgets of the state service's client.
 
 use super::*;
+use crate::effects::Output;
+use constants::{STATE_WRITE_SHARE, USER_WRITE_SHARE};
+use wire::state::{Txn, Write};
 
-/// At a limit that has fallen unannounced, the leader and users would go on turning each other away.
+/// At a limit that was lowered without notice, the leader and users would go on displacing each other.
 #[test]
-fn bookkeeping_takes_less_when_the_rate_limit_is_hit_and_more_again_later() {
+fn leader_writes_are_throttled_when_the_rate_limit_is_hit_and_recover_later() {
     let mut client = StateClient::new(100.0, 50.0, 3);
-    let full = client.leader_writes.rate();
-    let txn = |client: &mut StateClient, at: u64, status: u16| {
+    let full = client.budget.leader_write_rate();
+    let reply_to_txn = |client: &mut StateClient, at: u64, status: u16| {
         let op = StateOp::Txn(Txn {
             compares: vec![],
             writes: vec![Write::delete("k")],
         });
-        client.in_flight.insert(1, (op, StateTag::Types));
+        let tag = StateTag::Types;
+        client.in_flight.insert(1, Request { op, tag });
         let now = Now { mono: at, unix: at };
         client.on_reply(now, 1, &Ok((status, vec![])));
     };
     for n in 1..40 {
-        txn(&mut client, n * 100, 429);
+        reply_to_txn(&mut client, n * 100, 429);
     }
-    assert!(client.leader_writes.rate() < 0.7 * full);
-    assert!(client.leader_writes.rate() > 0.45 * full);
-    // Seen as an outage it is not: users are not turned away for it.
-    assert_eq!(client.last_bad, 0);
+    assert!(client.budget.leader_write_rate() < 0.7 * full);
+    assert!(client.budget.leader_write_rate() > 0.45 * full);
+    // It does not count as an outage: users are not turned away for it.
+    assert_eq!(client.last_failure_at, 0);
     let mut effects = Effects::new(Now {
         mono: 60_000,
         unix: 60_000,
     });
     client.pump(&mut 1, &mut effects, &mut Vec::new());
-    assert!((client.leader_writes.rate() - full).abs() < 1e-6);
+    assert!((client.budget.leader_write_rate() - full).abs() < 1e-6);
 }
 
 fn read() -> StateOp {
@@ -49,17 +53,17 @@
         client.pump(&mut next_call, &mut Effects::new(at(mono)), &mut Vec::new());
     }
     let mut sent = vec![0; waiting.len()];
-    for (_, tag) in client.in_flight.values() {
-        if let StateTag::User(number) = tag {
+    for request in client.in_flight.values() {
+        if let StateTag::User(number) = &request.tag {
             sent[*number as usize / 1_000] += 1;
         }
     }
     sent
 }
 
-/// Questions and users' changes went before the leader's records at one rate for all: those got nothing of it.
+/// At one rate for all, questions and users' changes went before the leader's records, which got nothing.
 #[test]
-fn users_of_every_kind_together_leave_the_books_their_rate() {
+fn user_requests_of_every_kind_leave_the_leaders_records_their_rate() {
     let write = StateOp::Txn(Txn {
         compares: vec![],
         writes: vec![Write::delete("k")],
@@ -82,13 +86,14 @@
     }
 }
 
-/// There is always a proof to send: each leaves another one behind. A question that needs a reading is sent all the same.
+/// There is always a proof to send, since each is followed by another. A question that needs a read is sent all the
+/// same.
 #[test]
-fn proofs_without_end_leave_single_readings_their_turn() {
+fn endless_proofs_leave_single_reads_their_turn() {
     let mut client = StateClient::new(100.0, 25.0, 5);
     let proof = || StateOp::Txn(Txn::default());
     let (mut call, mut expired) = (0, Vec::new());
-    let (mut proofs, mut readings) = (0, 0);
+    let (mut proofs, mut reads) = (0, 0);
     for step in 0..400 {
         let now = Now {
             mono: 1_000 + 10 * step,
@@ -99,21 +104,21 @@
             client.push(now, Priority::Proof, proof(), StateTag::Proof(step));
         }
         if step.is_multiple_of(10) && !waits(&client, Priority::Question) {
-            let reading = StateOp::Get("j/run-1".into());
-            client.push(now, Priority::Question, reading, StateTag::User(step));
+            let read = StateOp::Get("j/run-1".into());
+            client.push(now, Priority::Question, read, StateTag::User(step));
         }
         let mut effects = Effects::new(now);
         client.pump(&mut call, &mut effects, &mut expired);
         for output in effects.out {
             match output {
-                Output::Call { method: "GET", .. } => readings += 1,
+                Output::Call { method: "GET", .. } => reads += 1,
                 Output::Call { .. } => proofs += 1,
                 _ => {}
             }
         }
     }
     // Ten a second for both, in four seconds.
-    assert!((15..=25).contains(&readings), "{readings} readings");
+    assert!((15..=25).contains(&reads), "{reads} reads");
     assert!((15..=35).contains(&proofs), "{proofs} proofs");
     assert!(expired.is_empty());
 }
--- a/crates/control/src/token_bucket.rs
+++ b/crates/control/src/token_bucket.rs
@@ -1,29 +1,38 @@
-//! A token bucket.
+//! A token bucket, for rate limits.
 
-/// Tokens that refill steadily.
+/// Tolerance for rounding when the level is compared with what is to be taken.
+const ROUNDING: f64 = 1e-9;
+
+/// Tokens that are added at a steady rate, up to a burst. The level may fall below zero.
 pub(crate) struct TokenBucket {
+    /// Tokens a second.
     rate: f64,
+    /// Tokens at most.
     burst: f64,
+    /// Tokens at present.
     level: f64,
-    at: u64,
+    /// When tokens were last added, in milliseconds.
+    refilled_at: u64,
 }
 
 impl TokenBucket {
-    /// A full bucket: `rate` tokens a second, `burst` at most.
+    /// A full bucket: `rate` tokens a second, `burst` at most. The burst is at least one token, so that every request
+    /// can be sent some time.
     pub fn new(rate: f64, burst: f64) -> Self {
+        let burst = burst.max(1.0);
         TokenBucket {
             rate,
-            burst: burst.max(1.0),
-            level: burst.max(1.0),
-            at: 0,
+            burst,
+            level: burst,
+            refilled_at: 0,
         }
     }
 
-    /// Adds what has come since the last look.
+    /// Adds the tokens that are due since the last call.
     pub fn refill(&mut self, now: u64) {
-        let passed = now.saturating_sub(self.at) as f64 / 1000.0;
-        self.level = (self.level + passed * self.rate).min(self.burst);
-        self.at = now;
+        let passed_s = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
+        self.level = (self.level + passed_s * self.rate).min(self.burst);
+        self.refilled_at = now;
     }
 
     /// Tokens a second.
@@ -32,35 +41,34 @@
         self.rate
     }
 
-    /// Goes on at another rate.
-    pub fn set(&mut self, rate: f64, burst: f64) {
+    /// Goes on with another rate and burst. Tokens beyond the new burst are lost.
+    pub fn set_limits(&mut self, rate: f64, burst: f64) {
         self.rate = rate;
         self.burst = burst.max(1.0);
         self.level = self.level.min(self.burst);
     }
 
-    /// Takes `n` whether or not there is as much.
-    pub fn spend(&mut self, n: f64) {
-        self.level -= n;
+    /// Takes tokens whether or not there are as many.
+    pub fn spend(&mut self, tokens: f64) {
+        self.level -= tokens;
     }
 
-    /// Takes `n` if there is as much; a request larger than the burst is let through when the bucket is full.
-    pub fn take(&mut self, now: u64, n: f64) -> bool {
+    /// Takes tokens if there are as many. A request larger than the burst may go when the bucket is full.
+    pub fn take(&mut self, now: u64, tokens: f64) -> bool {
         self.refill(now);
-        let enough = self.level + 1e-9 >= n.min(self.burst);
-        if enough {
-            self.level -= n;
+        let is_enough = self.level + ROUNDING >= tokens.min(self.burst);
+        if is_enough {
+            self.level -= tokens;
         }
-        enough
+        is_enough
     }
 
-    /// Milliseconds until `n` can be taken.
-    pub fn wait(&self, n: f64) -> u64 {
-        let lack = n.min(self.burst) - self.level;
-        if lack <= 0.0 {
-            0
-        } else {
-            (lack / self.rate * 1000.0).ceil() as u64 + 1
+    /// Milliseconds until as many tokens can be taken.
+    pub fn wait(&self, tokens: f64) -> u64 {
+        let missing = tokens.min(self.burst) - self.level;
+        if missing <= 0.0 {
+            return 0;
         }
+        (missing / self.rate * 1000.0).ceil() as u64 + 1
     }
 }
