--- a/crates/control/src/leader/delegation.rs
+++ b/crates/control/src/leader/delegation.rs
@@ -116,7 +116,7 @@
             && m.assignments
                 .iter()
                 .all(|(id, task)| self.runs_on(id, *task))
-            && !self.has_room(&report.machine)
+            && !self.has_room_for_work(&report.machine)
     }
 
     /// Whether a task runs and is to go on running.
--- /dev/null
+++ b/crates/control/src/leader/watch/direct_orders.rs
@@ -0,0 +1,122 @@
+//! Stops sent to a worker's own address, where waiting for its next heartbeat would take too long: those of cancelled
+//! jobs, of gangs, and of preempted tasks.
+
+use crate::effects::{Effects, Output, Target};
+use crate::leader::model::{Assignment, AssignmentStage, Job, Machine, Stop};
+use crate::leader::worker_heartbeats::{stop_order, task_name, PREEMPTED};
+use crate::leader::Leader;
+use constants::{KILL_REPEAT_MS, ORDERS_PER_ANSWER, ORDERS_TIMEOUT_MS};
+use std::collections::{BTreeMap, BTreeSet};
+use wire::workers::{DirectOrders, Order};
+
+/// Milliseconds per second between heartbeats after which the next heartbeat is overdue: a quarter more than it should
+/// take.
+const OVERDUE_MS_PER_S: f64 = 1250.0;
+
+/// A task on a machine that has been told to stop, or is about to be.
+struct StoppingTask<'a> {
+    id: &'a str,
+    task: u32,
+    job: &'a Job,
+    assignment: &'a Assignment,
+    stop: Stop,
+}
+
+impl StoppingTask<'_> {
+    /// Whether the stop should not wait for the next heartbeat.
+    fn is_urgent(&self, active: bool, is_heartbeat_overdue: bool, now: u64) -> bool {
+        if self.assignment.stage == AssignmentStage::Ready {
+            return false;
+        }
+        let is_recent = now < self.stop.since + KILL_REPEAT_MS;
+        let is_in_gang = self.job.is_gang() && self.job.tasks() > 1;
+        // Another job waits for the room of a preempted task.
+        let is_preempted = self.stop.why == PREEMPTED;
+        let is_decided = active && is_recent && (is_in_gang || is_preempted);
+        let is_cancelled = self.job.aborted && (is_recent || is_heartbeat_overdue);
+        is_decided || is_cancelled
+    }
+
+    fn order(&self) -> Order {
+        stop_order(
+            &task_name(self.id, self.task),
+            self.assignment.attempt,
+            self.stop.grace_s,
+        )
+    }
+}
+
+impl Leader {
+    /// Sends stops that should not wait for the next heartbeat.
+    ///
+    /// A leader without its lease still stops tasks of cancelled jobs. A cancellation is final, so such a stop is right
+    /// whoever leads, and a worker that has seen a newer term refuses it. Without such stops the tasks would run on
+    /// where a worker reaches no controller, or where a worker that hung goes on within its lease.
+    pub(super) fn send_direct_orders(&mut self, active: bool, effects: &mut Effects) {
+        let now = effects.now.mono;
+        let overdue_ms = (self.settings.deployment.workers.report_s * OVERDUE_MS_PER_S) as u64;
+        for machine in self.machines.values_mut().filter(|machine| machine.stops) {
+            let Some(addr) = &machine.addr else {
+                continue;
+            };
+            if now <= machine.direct_at + KILL_REPEAT_MS {
+                continue;
+            }
+            let is_overdue = is_heartbeat_overdue(machine, overdue_ms, now);
+            let stopping = stopping_tasks(&self.jobs, &machine.assignments);
+            machine.stops = !stopping.is_empty();
+            let urgent = stopping
+                .iter()
+                .filter(|task| task.is_urgent(active, is_overdue, now));
+            let mut orders: Vec<Order> = urgent.map(StoppingTask::order).collect();
+            if orders.is_empty() || !self.kill_budget.take(now, 1.0) {
+                continue;
+            }
+            orders.truncate(ORDERS_PER_ANSWER);
+            machine.direct_at = now;
+            let body = wire::encode(&DirectOrders {
+                term: self.term,
+                incarnation: machine.incarnation,
+                orders,
+            });
+            effects.direct.push((addr.clone(), body));
+        }
+    }
+}
+
+fn is_heartbeat_overdue(machine: &Machine, overdue_ms: u64, now: u64) -> bool {
+    machine
+        .last_heartbeat
+        .is_none_or(|at| now > at + overdue_ms)
+}
+
+fn stopping_tasks<'a>(
+    jobs: &'a BTreeMap<String, Job>,
+    assignments: &'a BTreeSet<(String, u32)>,
+) -> Vec<StoppingTask<'a>> {
+    let stopping_task = |(id, task): &'a (String, u32)| {
+        let job = jobs.get(id)?;
+        let assignment = job.assignment(*task)?;
+        let stop = assignment.stop?;
+        Some(StoppingTask {
+            id,
+            task: *task,
+            job,
+            assignment,
+            stop,
+        })
+    };
+    assignments.iter().filter_map(stopping_task).collect()
+}
+
+/// A direct call to a worker. Its answer is not needed: the worker's next heartbeat shows the effect.
+pub(crate) fn direct_call(call: u64, addr: String, body: Vec<u8>) -> Output {
+    Output::Call {
+        call,
+        target: Target::Worker(addr),
+        method: "POST",
+        path: "/orders".into(),
+        body,
+        timeout_ms: ORDERS_TIMEOUT_MS,
+    }
+}
--- /dev/null
+++ b/crates/control/src/leader/worker_heartbeats/deferral.rs
@@ -0,0 +1,178 @@
+//! Answers to heartbeats that are deferred until the leader has decided what comes next on the machine.
+//!
+//! Without this, freed room would stay idle until the worker's next heartbeat.
+
+use super::{find_machine_type, milliseconds, ReportOutcome};
+use crate::effects::Now;
+use crate::leader::model::{AssignmentStage, Machine};
+use crate::leader::Leader;
+use constants::{HOLD_LEASE_SHARE, IDLE_HOLD_MS, SETTLE_MS};
+use wire::workers::{HeartbeatResponse, TaskStatus, WorkerHeartbeat};
+
+/// A heartbeat whose answer waits for a decision.
+#[derive(Debug, Clone)]
+pub(crate) struct DeferredAnswer {
+    machine: String,
+    /// Tasks that the heartbeat lists.
+    tasks: Vec<TaskStatus>,
+    /// Incarnation and sequence number of the heartbeat.
+    numbers: (u64, u64),
+    /// Number of the last planning round, if the heartbeat freed room: the next round may use that room.
+    freed_in_round: Option<u64>,
+    /// Until when it may wait for a planning round and for records of assignments.
+    decision_deadline: u64,
+    /// Until when it may wait for a task to be assigned to free room.
+    work_deadline: u64,
+}
+
+impl DeferredAnswer {
+    /// Ends the wait for a task that may never be assigned.
+    pub fn stop_waiting_for_work(&mut self) {
+        self.work_deadline = 0;
+    }
+}
+
+/// Which starts are due on a machine.
+struct DueStarts {
+    /// An assignment has yet to be recorded before its start may be sent.
+    has_unrecorded: bool,
+    /// A start may be sent.
+    has_startable: bool,
+}
+
+impl Leader {
+    /// Answers a heartbeat that has been reconciled, or defers the answer.
+    pub(super) fn answer_or_defer(
+        &mut self,
+        heartbeat: WorkerHeartbeat,
+        has_freed_room: bool,
+        active: bool,
+        now: Now,
+    ) -> ReportOutcome {
+        let name = heartbeat.machine.clone();
+        let deferred = self.defer_answer(heartbeat, has_freed_room, active, now.mono);
+        if let Some(response) = self.answer_deferred(&deferred, active, now) {
+            return ReportOutcome::Answer(response);
+        }
+        if let Some(machine) = self.machines.get_mut(&name) {
+            machine.held = true;
+        }
+        ReportOutcome::Defer(deferred)
+    }
+
+    fn defer_answer(
+        &self,
+        heartbeat: WorkerHeartbeat,
+        has_freed_room: bool,
+        active: bool,
+        now: u64,
+    ) -> DeferredAnswer {
+        let work_wait_ms = match active && self.has_room_for_work(&heartbeat.machine) {
+            true => self.work_wait_ms(heartbeat.tasks.is_empty()),
+            false => 0,
+        };
+        let decision_wait_ms = if active { SETTLE_MS } else { 0 };
+        DeferredAnswer {
+            numbers: (heartbeat.incarnation, heartbeat.seq),
+            freed_in_round: has_freed_room.then_some(self.rounds),
+            machine: heartbeat.machine,
+            tasks: heartbeat.tasks,
+            decision_deadline: now + decision_wait_ms,
+            work_deadline: now + work_wait_ms,
+        }
+    }
+
+    /// Milliseconds for which an answer may wait for work. A deferred answer is a lease renewed later: where something
+    /// runs, only a small part of the lease may be used up.
+    fn work_wait_ms(&self, is_idle: bool) -> u64 {
+        let workers = &self.settings.deployment.workers;
+        let limit_ms = match is_idle {
+            true => milliseconds(workers.report_s),
+            false => (workers.lease_s * 1000.0 * HOLD_LEASE_SHARE) as u64,
+        };
+        IDLE_HOLD_MS.min(limit_ms)
+    }
+
+    /// Whether a machine has room for what its type is rented for: one GPU, or else one CPU.
+    pub(in crate::leader) fn has_room_for_work(&self, name: &str) -> bool {
+        let machine = self.machines.get(name);
+        let Some(machine) = machine.filter(|machine| machine.draining.is_none()) else {
+            return false;
+        };
+        let Some(machine_type) = find_machine_type(&self.types.desired, &machine.kind) else {
+            return machine.assignments.is_empty();
+        };
+        let jobs = machine
+            .assignments
+            .iter()
+            .filter_map(|(id, _)| self.jobs.get(id));
+        let (used_cpus, used_gpus) = jobs.fold((0.0, 0.0), |(cpus, gpus), job| {
+            (cpus + job.spec.cpus, gpus + job.spec.gpus)
+        });
+        let has_cpu = machine_type.cpus - used_cpus >= 1.0;
+        let has_gpu = machine_type.gpus <= 0.0 || machine_type.gpus - used_gpus >= 1.0;
+        has_cpu && has_gpu
+    }
+
+    /// The answer to a deferred heartbeat, once there is nothing left to wait for.
+    pub fn answer_deferred(
+        &mut self,
+        deferred: &DeferredAnswer,
+        active: bool,
+        now: Now,
+    ) -> Option<HeartbeatResponse> {
+        let term = self.term;
+        let machine = self.machines.get(&deferred.machine);
+        let is_current =
+            |machine: &&Machine| (machine.incarnation, machine.seq) == deferred.numbers;
+        let Some(machine) = machine.filter(is_current) else {
+            // The machine is gone, or its worker has given up on this heartbeat.
+            let orders = Vec::new();
+            return Some(HeartbeatResponse { term, orders });
+        };
+        if active && now.mono < self.answer_deadline(deferred, machine) {
+            return None;
+        }
+        if let Some(machine) = self.machines.get_mut(&deferred.machine) {
+            machine.held = false;
+        }
+        let orders = self.orders_for(&deferred.machine, &deferred.tasks, active, now);
+        Some(HeartbeatResponse { term, orders })
+    }
+
+    /// Until when a deferred answer waits, as things are now; 0 if there is nothing to wait for.
+    fn answer_deadline(&self, deferred: &DeferredAnswer, machine: &Machine) -> u64 {
+        let starts = self.due_starts(machine);
+        let is_undecided = deferred
+            .freed_in_round
+            .is_some_and(|round| round == self.rounds && self.plan_due);
+        if starts.has_unrecorded || is_undecided {
+            deferred.decision_deadline.max(deferred.work_deadline)
+        } else if machine.draining.is_none() && !starts.has_startable {
+            deferred.work_deadline
+        } else {
+            0
+        }
+    }
+
+    fn due_starts(&self, machine: &Machine) -> DueStarts {
+        let mut starts = DueStarts {
+            has_unrecorded: false,
+            has_startable: false,
+        };
+        for (id, task) in &machine.assignments {
+            let Some(job) = self.jobs.get(id) else {
+                continue;
+            };
+            let assignment = job.assignment(*task);
+            if assignment.is_none_or(|assignment| assignment.stage != AssignmentStage::Ready) {
+                continue;
+            }
+            match job.is_startable(*task) {
+                true => starts.has_startable = true,
+                false => starts.has_unrecorded = true,
+            }
+        }
+        starts
+    }
+}
--- /dev/null
+++ b/crates/control/src/leader/worker_heartbeats/orders.rs
@@ -0,0 +1,160 @@
+//! Orders to workers: start, stop and forget a task.
+
+use super::task_names::{parse_task_name, task_name};
+use crate::effects::Now;
+use crate::leader::model::{AssignmentStage, Stop};
+use crate::leader::Leader;
+use constants::ORDERS_PER_ANSWER;
+use wire::workers::{Order, TaskPhase, TaskStatus};
+
+/// Reason of a stop that frees room for another job which is entitled to it.
+pub(in crate::leader) const PREEMPTED: &str = "preempted";
+
+impl Leader {
+    /// Orders for a worker whose latest heartbeat lists these tasks.
+    pub(super) fn orders_for(
+        &mut self,
+        name: &str,
+        listed: &[TaskStatus],
+        active: bool,
+        now: Now,
+    ) -> Vec<Order> {
+        let Some(machine) = self.machines.get(name) else {
+            return Vec::new();
+        };
+        let may_start = active && machine.draining.is_none() && !machine.returning;
+        let mut orders: Vec<Order> = listed
+            .iter()
+            .filter_map(|status| self.order_for_listed_task(name, status))
+            .take(ORDERS_PER_ANSWER)
+            .collect();
+        if may_start {
+            self.add_start_orders(name, &mut orders, now.mono);
+        }
+        orders
+    }
+
+    /// The order for a task that a machine's heartbeat lists, if it needs one.
+    fn order_for_listed_task(&self, machine: &str, status: &TaskStatus) -> Option<Order> {
+        let (id, task) = parse_task_name(&status.task)?;
+        let job = self.jobs.get(id);
+        let assignment = job
+            .and_then(|job| job.assignment(task))
+            .filter(|assignment| {
+                assignment.machine == machine && assignment.attempt == status.attempt
+            });
+        match (status.phase, assignment) {
+            // A worker may forget the result of an ended task only once it is recorded.
+            (TaskPhase::Ended, None) if job.is_none_or(|job| job.is_saved(task)) => {
+                Some(forget_order(status))
+            }
+            (TaskPhase::Ended, _) => None,
+            (_, None) => Some(stop_order(&status.task, status.attempt, 0.0)),
+            (phase, Some(assignment)) => {
+                let stop = assignment.stop?;
+                // Saving goes on unless the job is of no use any more.
+                let may_save = phase == TaskPhase::Saving && stop.grace_s > 0.0;
+                (!may_save).then(|| stop_order(&status.task, status.attempt, stop.grace_s))
+            }
+        }
+    }
+
+    /// Adds the starts that may be sent to a machine, as far as the answer has room for them.
+    fn add_start_orders(&mut self, machine: &str, orders: &mut Vec<Order>, now: u64) {
+        for (id, task) in self.assigned_tasks_on_machine(machine) {
+            if orders.len() >= ORDERS_PER_ANSWER {
+                return;
+            }
+            orders.extend(self.start_order(machine, &id, task, now));
+        }
+    }
+
+    /// The order to start a task in the answer to its machine's last heartbeat, if its assignment is recorded and the
+    /// start has not been sent.
+    fn start_order(&mut self, name: &str, id: &str, task: u32, now: u64) -> Option<Order> {
+        let machine = self.machines.get(name)?;
+        let job = self.jobs.get_mut(id).filter(|job| !job.aborted)?;
+        if !job.is_startable(task) {
+            return None;
+        }
+        let assignment = job.assignment_mut(task)?;
+        let latency_ms = now.saturating_sub(assignment.at);
+        self.start_latencies.sent.add(latency_ms);
+        log::debug!("event=launch task={id}/{task} machine={name} after_ms={latency_ms}");
+        assignment.stage = AssignmentStage::Sent {
+            incarnation: machine.incarnation,
+            seq: machine.seq,
+        };
+        Some(Order::Start {
+            task: task_name(id, task),
+            attempt: assignment.attempt,
+        })
+    }
+
+    /// Orders to stop the listed tasks whose jobs are cancelled or over. These are right whatever else is true of the
+    /// heartbeat that lists them.
+    pub(super) fn stop_cancelled_tasks(&self, listed: &[TaskStatus]) -> Vec<Order> {
+        listed
+            .iter()
+            .filter(|status| status.phase != TaskPhase::Ended && self.is_job_over(&status.task))
+            .take(ORDERS_PER_ANSWER)
+            .map(|status| stop_order(&status.task, status.attempt, 0.0))
+            .collect()
+    }
+
+    /// Whether the job of a task is cancelled, or not open any more.
+    fn is_job_over(&self, task: &str) -> bool {
+        let job = parse_task_name(task).and_then(|(id, _)| self.jobs.get(id));
+        job.is_none_or(|job| job.aborted)
+    }
+
+    /// Stops a task. One whose start has not been sent is released at once.
+    pub(in crate::leader) fn stop_task(
+        &mut self,
+        id: &str,
+        task: u32,
+        grace_s: f64,
+        why: &'static str,
+        now: Now,
+    ) {
+        let job = self.jobs.get_mut(id);
+        let Some(assignment) = job.and_then(|job| job.assignment_mut(task)) else {
+            return;
+        };
+        if assignment.stop.is_some() {
+            return;
+        }
+        if assignment.stage == AssignmentStage::Ready {
+            return self.release_assignment(id, task, why, now);
+        }
+        assignment.stop = Some(Stop {
+            since: now.mono,
+            grace_s,
+            why,
+        });
+        let machine = assignment.machine.clone();
+        log::info!("event=stop task={id}/{task} machine={machine} grace_s={grace_s} why={why:?}");
+        if let Some(machine) = self.machines.get_mut(&machine) {
+            machine.stops = true;
+        }
+        self.note_pending_orders(machine);
+        self.plan_due = true;
+    }
+}
+
+/// An order to stop a task.
+pub(in crate::leader) fn stop_order(task: &str, attempt: u64, grace_s: f64) -> Order {
+    Order::Stop {
+        task: task.to_string(),
+        attempt,
+        grace_s,
+    }
+}
+
+/// An order to leave an ended task out of further heartbeats.
+fn forget_order(status: &TaskStatus) -> Order {
+    Order::Forget {
+        task: status.task.clone(),
+        attempt: status.attempt,
+    }
+}
--- /dev/null
+++ b/crates/control/src/leader/worker_heartbeats/reachability.rs
@@ -0,0 +1,83 @@
+//! Whether the leader's answers reach a worker whose heartbeats reach the leader, and when a worker's lease has
+//! expired.
+
+use super::milliseconds;
+use crate::leader::model::Machine;
+use crate::leader::Leader;
+use constants::{DRIFT, EARLY_EXPIRIES_MAX, LEASE_MARGIN_MS, UNDELIVERED_STARTS_MAX};
+use wire::workers::WorkerHeartbeat;
+
+impl Leader {
+    /// Milliseconds after our last answer at which a worker's lease has certainly expired.
+    pub(in crate::leader) fn lease_expiry_ms(&self) -> u64 {
+        let lease_s = self.settings.deployment.workers.lease_s;
+        milliseconds_with_drift(lease_s) + LEASE_MARGIN_MS
+    }
+
+    /// Concludes from a heartbeat's incarnation whether our answers reach its worker. `previous_answer` is when the
+    /// heartbeat before was answered.
+    pub(super) fn check_answers_arrive(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        previous_answer: Option<u64>,
+        now: u64,
+    ) {
+        let expiry_ms = self.lease_expiry_ms();
+        let worker_lease_ms = milliseconds(self.settings.deployment.workers.lease_s / DRIFT);
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
+            return;
+        };
+        if heartbeat.incarnation > machine.incarnation {
+            let is_early = previous_answer.is_some_and(|at| now < at + worker_lease_ms);
+            on_new_incarnation(machine, is_early, now);
+        }
+        if is_reachable_again(machine, expiry_ms, now) {
+            machine.unreachable_since = None;
+            machine.undelivered_starts = 0;
+            machine.early_expiries = 0;
+            self.plan_due = true;
+            log::info!("event=machine_reachable machine={}", heartbeat.machine);
+        }
+    }
+
+    /// Counts a start that a worker did not take. Returns whether the machine is unreachable.
+    pub(super) fn count_undelivered_start(&mut self, machine: &str, now: u64) -> bool {
+        let Some(machine) = self.machines.get_mut(machine) else {
+            return false;
+        };
+        machine.undelivered_starts += 1;
+        if machine.undelivered_starts >= UNDELIVERED_STARTS_MAX {
+            machine.mark_unreachable(now, "starts do not reach it");
+        }
+        machine.unreachable_since.is_some()
+    }
+}
+
+/// Handles a new incarnation: the worker's lease has expired. If this was sooner than a lease after our last answer
+/// (`is_early`), that answer did not reach the worker. This may happen once to any machine, when heartbeats delayed by
+/// a network cut are answered late.
+fn on_new_incarnation(machine: &mut Machine, is_early: bool, now: u64) {
+    if machine.token_seen {
+        machine.early_expiries = if is_early {
+            machine.early_expiries + 1
+        } else {
+            0
+        };
+        if machine.early_expiries >= EARLY_EXPIRIES_MAX {
+            machine.mark_unreachable(now, "its leases run out under our answers");
+        }
+    }
+    machine.incarnation_since = now;
+}
+
+/// Whether an unreachable machine is reachable again: its incarnation outlives a lease only if answers arrive.
+fn is_reachable_again(machine: &Machine, expiry_ms: u64, now: u64) -> bool {
+    machine
+        .unreachable_since
+        .is_some_and(|at| now > at.max(machine.incarnation_since) + expiry_ms)
+}
+
+/// Milliseconds on our clock within which a number of seconds has passed on another machine's clock.
+fn milliseconds_with_drift(seconds: f64) -> u64 {
+    (seconds * 1000.0 * DRIFT) as u64
+}
--- /dev/null
+++ b/crates/control/src/leader/worker_heartbeats/reconciliation.rs
@@ -0,0 +1,126 @@
+//! Reconciliation of the tasks that a heartbeat lists with the assignments recorded for its machine.
+
+use super::find_machine_type;
+use super::task_names::parse_task_name;
+use crate::effects::Now;
+use crate::leader::Leader;
+use constants::BOOT_OVERDUE;
+use std::collections::BTreeMap;
+use wire::workers::{Cause, TaskPhase, TaskStatus, WorkerHeartbeat};
+
+/// Tasks that a heartbeat lists, by job and number.
+pub(super) type ListedTasks<'a> = BTreeMap<(String, u32), &'a TaskStatus>;
+
+impl Leader {
+    /// Applies what a heartbeat with our term proves. Returns whether the machine has fewer assignments afterwards.
+    pub(super) fn reconcile_tasks(&mut self, heartbeat: &WorkerHeartbeat, now: Now) -> bool {
+        let assignments_before = self.assignment_count_on_machine(&heartbeat.machine);
+        self.register_worker(heartbeat, now.mono);
+        self.begin_drain_under_notice(&heartbeat.machine, now.mono);
+        let listed = index_tasks(&heartbeat.tasks);
+        for (id, task) in self.assigned_tasks_on_machine(&heartbeat.machine) {
+            self.reconcile_assignment(&id, task, heartbeat, &listed, now);
+        }
+        self.update_orphans(&heartbeat.machine, &listed);
+        self.assignment_count_on_machine(&heartbeat.machine) < assignments_before
+    }
+
+    fn assignment_count_on_machine(&self, machine: &str) -> usize {
+        let machine = self.machines.get(machine);
+        machine.map_or(0, |machine| machine.assignments.len())
+    }
+
+    /// Job and number of each task that is assigned to a machine.
+    pub(super) fn assigned_tasks_on_machine(&self, machine: &str) -> Vec<(String, u32)> {
+        let machine = self.machines.get(machine);
+        machine.map_or_else(Vec::new, |machine| {
+            machine.assignments.iter().cloned().collect()
+        })
+    }
+
+    /// Registers a machine with its first heartbeat that has our term.
+    fn register_worker(&mut self, heartbeat: &WorkerHeartbeat, now: u64) {
+        let name = &heartbeat.machine;
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        if machine.synced {
+            return;
+        }
+        machine.synced = true;
+        self.plan_due = true;
+        let boot_s = now.saturating_sub(machine.first_known) as f64 / 1000.0;
+        let machine_type = find_machine_type(&self.types.desired, &machine.kind);
+        // Boots that take several times as long teach nothing about the usual ones.
+        let is_usual =
+            machine_type.is_some_and(|machine_type| boot_s < machine_type.boot_s * BOOT_OVERDUE);
+        if machine.rented && is_usual {
+            let boots = self.boots.entry(machine.kind.clone()).or_default();
+            boots.add(boot_s);
+        }
+        log::info!(
+            "event=worker_registered machine={name} kind={} zone={} spot={} tasks={}",
+            heartbeat.kind,
+            heartbeat.zone,
+            heartbeat.spot,
+            heartbeat.tasks.len()
+        );
+    }
+
+    /// Drains a machine from the first heartbeat on that gives notice of its preemption.
+    fn begin_drain_under_notice(&mut self, name: &str, now: u64) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        let Some(notice_at) = machine.notice_at else {
+            return;
+        };
+        if machine.draining.is_none() {
+            machine.draining = Some("notice");
+            let left_ms = notice_at.saturating_sub(now);
+            log::info!("event=preemption_notice machine={name} left_ms={left_ms}");
+            self.plan_due = true;
+        }
+    }
+
+    fn reconcile_assignment(
+        &mut self,
+        id: &str,
+        task: u32,
+        heartbeat: &WorkerHeartbeat,
+        listed: &ListedTasks,
+        now: Now,
+    ) {
+        let name = &heartbeat.machine;
+        let key = (id.to_string(), task);
+        let assignment = self.jobs.get(id).and_then(|job| job.assignment(task));
+        let Some(assignment) = assignment.filter(|assignment| assignment.machine == *name) else {
+            if let Some(machine) = self.machines.get_mut(name) {
+                machine.assignments.remove(&key);
+            }
+            return;
+        };
+        let status = listed
+            .get(&key)
+            .filter(|status| status.attempt == assignment.attempt);
+        match status {
+            Some(status) if status.phase == TaskPhase::Ended => {
+                let cause = status.cause.unwrap_or(Cause::Other);
+                self.on_task_ended(id, task, name, cause, now);
+            }
+            Some(status) => self.on_task_present(id, task, status.phase, now),
+            None => self.on_task_absent(id, task, heartbeat, now),
+        }
+    }
+}
+
+/// Tasks by job and number. Tasks whose names can't be parsed are left out.
+fn index_tasks(tasks: &[TaskStatus]) -> ListedTasks<'_> {
+    let mut listed = ListedTasks::new();
+    for status in tasks {
+        if let Some((job, task)) = parse_task_name(&status.task) {
+            listed.insert((job.to_string(), task), status);
+        }
+    }
+    listed
+}
--- /dev/null
+++ b/crates/control/src/leader/worker_heartbeats/task_state.rs
@@ -0,0 +1,281 @@
+//! Changes in the state of assigned tasks, as heartbeats show them: present, absent or ended.
+
+use crate::effects::Now;
+use crate::leader::model::{Assignment, AssignmentStage, Job};
+use crate::leader::Leader;
+use constants::ERROR_PAUSE_MS;
+use wire::workers::{Cause, TaskPhase, WorkerHeartbeat};
+
+/// Milliseconds for which a job pauses after a worker refused one of its starts. Nothing failed, so the pause is
+/// shorter than after an error.
+const REFUSED_START_PAUSE_MS: u64 = ERROR_PAUSE_MS / 2;
+
+/// What a heartbeat changed in an assignment.
+struct AssignmentUpdate {
+    machine: String,
+    /// When the assignment was decided on.
+    assigned_at: u64,
+    /// The start that was sent has arrived.
+    is_start_delivered: bool,
+    is_new_phase: bool,
+    is_running: bool,
+    /// It was first seen running at this moment.
+    is_first_run: bool,
+}
+
+/// A task that has ended on its machine.
+struct EndedTask<'a> {
+    job: &'a str,
+    task: u32,
+    machine: &'a str,
+    cause: Cause,
+    running_since: Option<u64>,
+}
+
+impl EndedTask<'_> {
+    /// Seconds for which it ran, if it was seen to start.
+    fn ran_s(&self, now: u64) -> Option<f64> {
+        let since = self.running_since?;
+        Some(now.saturating_sub(since) as f64 / 1000.0)
+    }
+}
+
+impl Leader {
+    /// Handles an assigned task that a heartbeat lists as not ended.
+    pub(super) fn on_task_present(&mut self, id: &str, task: u32, phase: TaskPhase, now: Now) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let (image, image_gb) = (job.spec.image.clone(), job.spec.image_gb);
+        let Some(assignment) = job.assignment_mut(task) else {
+            return;
+        };
+        let update = update_assignment(assignment, phase, now.mono);
+        if update.is_new_phase {
+            log_phase(id, task, assignment);
+            self.plan_due = true;
+        }
+        if update.is_running {
+            note_job_running(job, id, update.assigned_at, now);
+        }
+        self.measure_start(&update, now.mono);
+        if phase != TaskPhase::Fetching {
+            self.note_cached_image(&update.machine, image, image_gb, now.mono);
+        }
+    }
+
+    /// Adds the start of a task to the measured latencies.
+    fn measure_start(&mut self, update: &AssignmentUpdate, now: u64) {
+        let latency_ms = now.saturating_sub(update.assigned_at);
+        if update.is_start_delivered {
+            if let Some(machine) = self.machines.get_mut(&update.machine) {
+                machine.undelivered_starts = 0;
+            }
+            self.start_latencies.seen.add(latency_ms);
+        }
+        if update.is_first_run {
+            self.start_latencies.ran.add(latency_ms);
+        }
+    }
+
+    /// Handles an assigned task that a heartbeat with our term does not list.
+    pub(super) fn on_task_absent(
+        &mut self,
+        id: &str,
+        task: u32,
+        heartbeat: &WorkerHeartbeat,
+        now: Now,
+    ) {
+        let assignment = self.jobs.get(id).and_then(|job| job.assignment(task));
+        let Some(stage) = assignment.map(|assignment| assignment.stage) else {
+            return;
+        };
+        match stage {
+            AssignmentStage::Ready => {}
+            AssignmentStage::Sent { incarnation, seq } => {
+                // One heartbeat is in flight at a time, so a later one was written after the answer with the start was
+                // executed or dropped.
+                if (heartbeat.incarnation, heartbeat.seq) > (incarnation, seq) {
+                    self.on_start_not_taken(id, task, incarnation, heartbeat, now);
+                }
+            }
+            AssignmentStage::Recorded => {
+                self.release_assignment(id, task, "recorded but not on its machine", now)
+            }
+            AssignmentStage::Seen => {
+                self.release_assignment(id, task, "no longer on its machine", now)
+            }
+        }
+    }
+
+    /// Handles a start that was sent to an `incarnation` of a worker and not executed. It is sent again if that
+    /// incarnation goes on and answers reach it.
+    fn on_start_not_taken(
+        &mut self,
+        id: &str,
+        task: u32,
+        incarnation: u64,
+        heartbeat: &WorkerHeartbeat,
+        now: Now,
+    ) {
+        let is_unreachable = self.count_undelivered_start(&heartbeat.machine, now.mono);
+        let job = self.jobs.get_mut(id);
+        let Some(assignment) = job.and_then(|job| job.assignment_mut(task)) else {
+            return;
+        };
+        let is_same_incarnation = incarnation == heartbeat.incarnation;
+        if is_same_incarnation && assignment.stop.is_none() && !is_unreachable {
+            assignment.stage = AssignmentStage::Ready;
+        } else {
+            self.release_assignment(id, task, "the start never arrived", now);
+        }
+    }
+
+    /// Handles an assigned task that a heartbeat lists as ended.
+    pub(super) fn on_task_ended(
+        &mut self,
+        id: &str,
+        task: u32,
+        machine: &str,
+        cause: Cause,
+        now: Now,
+    ) {
+        let job = self.jobs.get(id);
+        let Some(assignment) = job.and_then(|job| job.assignment(task)) else {
+            return;
+        };
+        log::info!(
+            "event=task_ended task={id}/{task} try={} machine={machine} cause={cause:?} ran_ms={}",
+            assignment.attempt,
+            assignment.running_since.map_or(0, |at| now.mono - at)
+        );
+        let ended = EndedTask {
+            job: id,
+            task,
+            machine,
+            cause,
+            running_since: assignment.running_since,
+        };
+        match cause {
+            Cause::Done => self.on_task_done(&ended, now.mono),
+            Cause::Error | Cause::Other => self.on_task_failed(&ended, now.mono),
+            Cause::NoRoom | Cause::Busy | Cause::Unknown => self.on_start_refused(&ended, now.mono),
+            Cause::Stopped | Cause::Peers | Cause::Alone => {}
+        }
+        if cause != Cause::Done {
+            self.break_gang(&ended);
+        }
+        self.release_assignment(id, task, "ended", now);
+    }
+
+    fn on_task_done(&mut self, ended: &EndedTask, now: u64) {
+        let Some(job) = self.jobs.get_mut(ended.job) else {
+            return;
+        };
+        let ran_s = ended.ran_s(now);
+        let (mean_s, timed) = job.sample();
+        job.failures = 0;
+        job.failed_under_earlier_leaders = false;
+        job.failed_machines.clear();
+        complete_task(job, ended.task, ran_s);
+        let Some(machine) = self.machines.get_mut(ended.machine) else {
+            return;
+        };
+        machine.failed_jobs.clear();
+        if let Some(ran_s) = ran_s.filter(|_| timed > 0 && mean_s > 0.0) {
+            machine.pace.0 += ran_s / mean_s;
+            machine.pace.1 += 1;
+        }
+    }
+
+    fn on_task_failed(&mut self, ended: &EndedTask, now: u64) {
+        let Some(job) = self.jobs.get_mut(ended.job) else {
+            return;
+        };
+        job.failures += 1;
+        job.pause_until = now + job.error_pause_ms();
+        job.failed_machines.insert(ended.machine.to_string());
+        // A job that fails on one machine after the other is no sign that a machine is faulty.
+        if job.seems_to_fail_everywhere() {
+            return;
+        }
+        if let Some(machine) = self.machines.get_mut(ended.machine) {
+            machine.failed_jobs.insert(ended.job.to_string());
+        }
+    }
+
+    fn on_start_refused(&mut self, ended: &EndedTask, now: u64) {
+        if let Some(job) = self.jobs.get_mut(ended.job) {
+            job.pause_until = job.pause_until.max(now + REFUSED_START_PAUSE_MS);
+        }
+    }
+
+    /// Marks a gang as broken if it can't go on without a task that ended and is not done.
+    fn break_gang(&mut self, ended: &EndedTask) {
+        let Some(job) = self.jobs.get_mut(ended.job).filter(|job| job.is_gang()) else {
+            return;
+        };
+        job.alone |= ended.cause == Cause::Alone && !job.started;
+        job.broken |= job.started || ended.cause != Cause::NoRoom;
+    }
+}
+
+/// Updates an assignment by the phase that a heartbeat reports.
+fn update_assignment(assignment: &mut Assignment, phase: TaskPhase, now: u64) -> AssignmentUpdate {
+    // A start can be timed only if it was observed from its beginning.
+    let is_timed = assignment.stage != AssignmentStage::Recorded;
+    let is_start_delivered = matches!(assignment.stage, AssignmentStage::Sent { .. });
+    let is_new_phase = assignment.phase != Some(phase);
+    let is_running = matches!(phase, TaskPhase::Running | TaskPhase::Saving);
+    assignment.stage = AssignmentStage::Seen;
+    assignment.phase = Some(phase);
+    if is_running && assignment.running_since.is_none() && is_timed {
+        assignment.running_since = Some(now);
+    }
+    AssignmentUpdate {
+        machine: assignment.machine.clone(),
+        assigned_at: assignment.at,
+        is_start_delivered,
+        is_new_phase,
+        is_running,
+        is_first_run: is_running && assignment.running_since == Some(now),
+    }
+}
+
+fn log_phase(id: &str, task: u32, assignment: &Assignment) {
+    let Some(phase) = assignment.phase else {
+        return;
+    };
+    log::debug!(
+        "event=task_phase task={id}/{task} try={} machine={} phase={phase:?}",
+        assignment.attempt,
+        assignment.machine
+    );
+}
+
+/// Notes that a task of a job is running, and logs the first one.
+fn note_job_running(job: &mut Job, id: &str, assigned_at: u64, now: Now) {
+    job.started = true;
+    if job.first_run.is_some() {
+        return;
+    }
+    job.first_run = Some(now.mono);
+    log::info!(
+        "event=job_started job={id} class={} tasks={} waited_s={:.1} placed_ago_s={:.1}",
+        job.spec.class,
+        job.spec.tasks,
+        now.unix.saturating_sub(job.submitted_at) as f64 / 1000.0,
+        now.mono.saturating_sub(assigned_at) as f64 / 1000.0
+    );
+}
+
+/// Records a task as done. A gang completes together: one done task proves that all of them are.
+fn complete_task(job: &mut Job, task: u32, ran_s: Option<f64>) {
+    if !job.is_gang() {
+        job.complete(task, ran_s);
+        return;
+    }
+    for member in 0..job.tasks() {
+        job.complete(member, ran_s.filter(|_| member == task));
+    }
+}
--- a/crates/control/src/node/worker_heartbeats.rs
+++ b/crates/control/src/node/worker_heartbeats.rs
@@ -144,13 +144,13 @@
                 }
                 effects.respond(id, 200, wire::encode(&answer));
             }
-            ReportOutcome::Hold(mut held) => {
+            ReportOutcome::Defer(mut deferred) => {
                 if self.is_crowded {
-                    held.do_not_idle();
+                    deferred.stop_waiting_for_work();
                 }
-                self.deferred_answers.push(id, held);
+                self.deferred_answers.push(id, deferred);
             }
-            ReportOutcome::Newer(term) => {
+            ReportOutcome::NewerTerm(term) => {
                 self.election.heard_term(term, effects);
                 effects.refuse(id, 503, "a newer leader exists");
             }
--- a/crates/control/src/pending_heartbeats.rs
+++ b/crates/control/src/pending_heartbeats.rs
@@ -157,7 +157,7 @@
                 effects.refuse(*id, 503, "not entitled to answer workers");
                 return false;
             };
-            let Some(answer) = leader.deferred_answer(held, active, now) else {
+            let Some(answer) = leader.answer_deferred(held, active, now) else {
                 return true;
             };
             effects.respond(*id, 200, wire::encode(&answer));
