--- a/crates/control/src/forwarding.rs
+++ b/crates/control/src/forwarding.rs
@@ -1,8 +1,8 @@
 //! Requests that one controller handles for another.
 //!
-//! A node without the state service passes users' requests to a peer that has it, and reports of workers to a leader
-//! that workers do not reach. Each side numbers its requests itself: the sender with calls, the peer with request ids
-//! that are kept apart from those of its own sockets.
+//! A node that does not reach the state service forwards users' requests to a peer that does, and heartbeats of
+//! workers to a leader that workers do not reach. Each side numbers the requests itself: the sender by calls, the
+//! receiver by request ids that differ from those of its own sockets.
 
 use crate::effects::{Effects, Output, RequestId};
 use constants::{
@@ -11,22 +11,37 @@
 use std::collections::HashMap;
 use wire::peers::PeerMessage;
 
-/// Path of workers' reports.
+/// Path of workers' heartbeats.
 pub(crate) const REPORT_PATH: &str = "/v1/report";
 
-/// Where the ids of requests from peers begin, apart from those of our own sockets.
+/// Where the ids of requests from peers begin. Ids of requests on this node's own sockets are below.
 const FIRST_PEER_REQUEST: RequestId = 1 << 62;
 
-/// An HTTP request as it came.
+/// An HTTP request as it was received.
 #[derive(Clone, Copy)]
 pub(crate) struct HttpRequest<'a> {
+    /// Id under which it is answered.
     pub id: RequestId,
+    /// Method.
     pub method: &'a str,
+    /// Path and query.
     pub target: &'a str,
+    /// Body.
     pub body: &'a [u8],
 }
 
-/// A request of ours that a peer is handling.
+impl HttpRequest<'_> {
+    /// Milliseconds within which a peer must answer it.
+    fn timeout_ms(&self) -> u64 {
+        if self.target == REPORT_PATH {
+            REPORT_FORWARD_MS
+        } else {
+            USER_DEADLINE_MS
+        }
+    }
+}
+
+/// A request of this node that a peer is handling.
 struct PendingCall {
     request: RequestId,
     /// The peer that is to answer.
@@ -34,16 +49,18 @@
     deadline: u64,
 }
 
-/// The call under which a peer sent us a request.
+/// The call under which a peer forwarded a request to this node.
 struct PeerCall {
     peer: String,
     call: u64,
 }
 
-/// Requests passed to peers, and those that peers passed to us.
+/// Requests forwarded to peers, and those that peers forwarded to this node.
 pub(crate) struct ForwardedRequests {
+    /// Requests forwarded to peers, by call.
     pending: HashMap<u64, PendingCall>,
     last_call: u64,
+    /// Requests that peers forwarded to this node and that are not answered yet.
     serving: HashMap<RequestId, PeerCall>,
     last_served: RequestId,
 }
@@ -59,17 +76,17 @@
         }
     }
 
-    /// Whether a request was passed on by a peer.
+    /// Whether a request was forwarded by a peer.
     pub fn is_from_peer(id: RequestId) -> bool {
         id >= FIRST_PEER_REQUEST
     }
 
-    /// The peer that passed a request to us, while it has not been answered.
+    /// The peer that forwarded a request to this node, while it has not been answered.
     pub fn peer_of(&self, id: RequestId) -> Option<&str> {
         self.serving.get(&id).map(|call| call.peer.as_str())
     }
 
-    /// When [`ForwardedRequests::tick`] wants to be called.
+    /// When [`ForwardedRequests::tick`] is to be called next.
     pub fn next_wake(&self, now: u64) -> Option<u64> {
         (!self.pending.is_empty()).then_some(now + DEADLINE_CHECK_MS)
     }
@@ -77,33 +94,29 @@
     /// Refuses the requests that peers have not answered in time.
     pub fn tick(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        let is_late = |pending: &PendingCall| now > pending.deadline;
-        let late_calls: Vec<u64> = self
-            .pending
-            .iter()
-            .filter(|(_, pending)| is_late(pending))
-            .map(|(call, _)| *call)
-            .collect();
-        for call in late_calls {
-            if let Some(late) = self.pending.remove(&call) {
-                effects.refuse(late.request, 503, "no answer from the peer");
+        self.pending.retain(|_, pending| {
+            let is_late = now > pending.deadline;
+            if is_late {
+                effects.refuse(pending.request, 503, "no answer from the peer");
             }
-        }
+            !is_late
+        });
     }
 
-    /// Refuses everything that peers have not answered yet.
+    /// Refuses all requests that peers have not answered yet.
     pub fn refuse_all(&mut self, reason: &str, effects: &mut Effects) {
         for (_, pending) in self.pending.drain() {
             effects.refuse(pending.request, 503, reason);
         }
     }
 
-    /// Passes a request of ours to a peer.
+    /// Forwards a request of this node to a peer.
     pub fn forward(&mut self, request: HttpRequest, peer: String, effects: &mut Effects) {
         self.forward_within(request, peer, USER_INFLIGHT, effects);
     }
 
-    /// The same for a worker's report that its owner passes on: as many may be in hand as workers are connected.
+    /// Forwards a worker's heartbeat that an owner passes on to the leader. As many may be pending as workers are
+    /// connected.
     pub fn forward_report(&mut self, request: HttpRequest, leader: String, effects: &mut Effects) {
         self.forward_within(request, leader, usize::MAX, effects);
     }
@@ -118,16 +131,11 @@
         if self.pending.len() >= capacity {
             return effects.refuse(request.id, 503, "too many requests in hand");
         }
-        let timeout_ms = if request.target == REPORT_PATH {
-            REPORT_FORWARD_MS
-        } else {
-            USER_DEADLINE_MS
-        };
         self.last_call += 1;
         let pending = PendingCall {
             request: request.id,
             peer: peer.clone(),
-            deadline: effects.now.mono + timeout_ms,
+            deadline: effects.now.mono + request.timeout_ms(),
         };
         self.pending.insert(self.last_call, pending);
         effects.out.push(Output::Peer {
@@ -141,7 +149,7 @@
         });
     }
 
-    /// Answers our request with what a peer answered to `call`.
+    /// Answers the request that was forwarded as `call` with the peer's answer.
     pub fn on_answer(
         &mut self,
         from: &str,
@@ -150,8 +158,9 @@
         body: Vec<u8>,
         effects: &mut Effects,
     ) {
-        // Answers to an earlier process of ours, or of another peer, are about something else.
-        if self.pending.get(&call).is_none_or(|p| p.peer != from) {
+        // An answer to an earlier process of this node, or from another peer, belongs to another request.
+        let pending = self.pending.get(&call);
+        if pending.is_none_or(|pending| pending.peer != from) {
             return;
         }
         if let Some(pending) = self.pending.remove(&call) {
@@ -164,7 +173,7 @@
         }
     }
 
-    /// The id under which to handle a request that `peer` passed to us as `call`.
+    /// The id under which to handle a request that `peer` forwarded to this node as `call`.
     pub fn accept(&mut self, peer: &str, call: u64) -> RequestId {
         self.last_served += 1;
         let peer = peer.to_string();
@@ -173,8 +182,8 @@
         self.last_served
     }
 
-    /// Sends the answer to a peer's request back to that peer; other outputs stay as they are. `None` if the request
-    /// has been answered already.
+    /// Turns the answer to a forwarded request into a message to the peer that forwarded it; other outputs stay as
+    /// they are. `None` if the request has been answered already.
     pub fn route(&mut self, output: Output) -> Option<Output> {
         match output {
             Output::Respond {
--- a/crates/control/src/leader/watch/direct_orders.rs
+++ b/crates/control/src/leader/watch/direct_orders.rs
@@ -49,9 +49,9 @@
 impl Leader {
     /// Sends stops that should not wait for the next heartbeat.
     ///
-    /// A leader without its lease still stops tasks of cancelled jobs. A cancellation is final, so such a stop is right
-    /// whoever leads, and a worker that has seen a newer term refuses it. Without such stops the tasks would run on
-    /// where a worker reaches no controller, or where a worker that hung goes on within its lease.
+    /// A leader without its lease still stops tasks of cancelled jobs. A cancellation is final, so such a stop is
+    /// right whoever leads, and a worker that has seen a newer term refuses it. Without such stops the tasks would
+    /// run on where a worker reaches no controller, or where a worker that hung goes on within its lease.
     pub(super) fn send_direct_orders(&mut self, active: bool, effects: &mut Effects) {
         let now = effects.now.mono;
         let overdue_ms = (self.settings.deployment.workers.report_s * OVERDUE_MS_PER_S) as u64;
--- a/crates/control/src/leadership_watch.rs
+++ b/crates/control/src/leadership_watch.rs
@@ -1,5 +1,4 @@
-//! Watching over who leads: when this leader had better make room for a peer, and whether a leader that workers do not
-//! reach is reached again.
+//! When a leader should resign in favour of a peer, and when to check whether workers reach a leader again.
 
 use crate::election::Election;
 use crate::leader::Leader;
@@ -9,19 +8,19 @@
     LEADER_LEASE_MS, PROBE_MS, STATE_DOWN_MS, UNSURE_EVERY_MS, UNTOLD_MS, WITHOUT_WORKERS_MS,
 };
 
-/// Why a leader makes room for a peer.
+/// Why a leader resigns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ResignReason {
     /// The state service refuses this node alone.
     PeerReachesState,
-    /// No worker reaches this node.
+    /// No worker reaches this node, but workers reach a peer.
     WorkersReachPeer,
     /// No worker reaches this node, or none is reached by it, and no peer is known for certain to do better.
     NoWorkerFollows,
 }
 
 impl ResignReason {
-    /// As it is logged.
+    /// The reason as it is logged.
     pub fn as_str(self) -> &'static str {
         match self {
             ResignReason::PeerReachesState => "a peer reaches the state service",
@@ -31,21 +30,53 @@
     }
 }
 
+/// For how long a condition has been true without a break.
+#[derive(Default)]
+struct ConditionTimer {
+    since: Option<u64>,
+}
+
+impl ConditionTimer {
+    /// Notes whether the condition is true now. Returns the milliseconds for which it has been, if it is.
+    fn update(&mut self, is_true: bool, now: u64) -> Option<u64> {
+        if !is_true {
+            self.since = None;
+            return None;
+        }
+        Some(now.saturating_sub(*self.since.get_or_insert(now)))
+    }
+
+    /// Notes whether the condition is true now. Returns whether it has been for more than `limit_ms`; if so, the time
+    /// is counted anew.
+    fn exceeds(&mut self, limit_ms: u64, is_true: bool, now: u64) -> bool {
+        let is_exceeded = self.update(is_true, now).is_some_and(|ms| ms > limit_ms);
+        if is_exceeded {
+            self.reset();
+        }
+        is_exceeded
+    }
+
+    fn reset(&mut self) {
+        self.since = None;
+    }
+}
+
 /// Decides when a leader resigns.
 #[derive(Default)]
 pub(crate) struct LeadershipWatch {
-    /// Since when peers reach the state service and this leader does not.
-    without_state_since: Option<u64>,
-    /// Since when workers reach peers and not this leader.
-    without_workers_since: Option<u64>,
-    /// Since when this leader hears no worker, or none hears it.
-    cut_off_since: Option<u64>,
-    /// When leadership may next be given up without knowing that workers reach a peer and hear it.
+    /// Peers reach the state service and this leader does not.
+    without_state: ConditionTimer,
+    /// Workers reach peers and not this leader.
+    without_workers: ConditionTimer,
+    /// This leader receives nothing from workers, or they receive nothing from it.
+    cut_off: ConditionTimer,
+    /// When the leader may next resign without knowing that a peer reaches workers and they reach it.
     next_unsure: u64,
 }
 
 impl LeadershipWatch {
-    /// Whether a leader whom the state service refuses alone, or whom no worker follows, should make room for a peer.
+    /// Why the leader should resign now, if it should: the state service refuses this node alone, or no worker
+    /// follows it.
     pub fn reason_to_resign(
         &mut self,
         leader: Option<&Leader>,
@@ -55,95 +86,82 @@
         now: u64,
     ) -> Option<ResignReason> {
         let Some(leader) = leader else {
-            self.without_workers_since = None;
-            self.cut_off_since = None;
+            self.without_workers.reset();
+            self.cut_off.reset();
             return None;
         };
-        let lease_holds = election.lease_holds(now);
-        let without_state = !lease_holds
+        let has_lease = election.lease_holds(now);
+        let is_without_state = !has_lease
             && now > state.last_good() + LEADER_LEASE_MS
             && peers.with_state(now).is_some();
-        if self.is_without_state_for_long(without_state, now) {
+        // After an outage of the state service a peer may simply be the first to notice its end.
+        if self
+            .without_state
+            .exceeds(STATE_DOWN_MS, is_without_state, now)
+        {
             return Some(ResignReason::PeerReachesState);
         }
-        let silent = lease_holds && leader.no_worker_reports(now);
-        let unheard = lease_holds && leader.no_worker_receives(now);
-        let peer_hears = peers.hear_workers(now);
-        if self.is_without_workers_for_long(silent && peer_hears, now) {
-            return Some(ResignReason::WorkersReachPeer);
-        }
-        let cut_off_ms = self.cut_off_ms(silent || unheard, now)?;
-        // Workers that move from one node to the next are heard by a peer only now and then.
-        let told = peer_hears && cut_off_ms > WITHOUT_WORKERS_MS;
-        // The peer that hears them may be the one that can't tell.
-        let untold = silent && leader.knows_machines() && cut_off_ms > UNTOLD_MS;
-        self.may_resign_unsure(told || untold, now)
-            .then_some(ResignReason::NoWorkerFollows)
+        self.reason_without_workers(leader, has_lease, peers, now)
     }
 
-    /// After an outage a peer may simply be the first to notice its end.
-    fn is_without_state_for_long(&mut self, without_state: bool, now: u64) -> bool {
-        if !without_state {
-            self.without_state_since = None;
-            return false;
-        }
-        let for_long = now > *self.without_state_since.get_or_insert(now) + STATE_DOWN_MS;
-        if for_long {
-            self.without_state_since = None;
-        }
-        for_long
-    }
-
-    fn is_without_workers_for_long(&mut self, without_workers: bool, now: u64) -> bool {
-        if !without_workers {
-            self.without_workers_since = None;
-            return false;
-        }
-        let for_long = now > *self.without_workers_since.get_or_insert(now) + WITHOUT_WORKERS_MS;
-        if for_long {
-            self.without_workers_since = None;
-        }
-        for_long
-    }
-
-    /// For how long this leader has heard no worker, or none has heard it.
-    fn cut_off_ms(&mut self, cut_off: bool, now: u64) -> Option<u64> {
-        if !cut_off {
-            self.cut_off_since = None;
-            return None;
+    /// Why the leader should resign because no worker follows it, if it should.
+    fn reason_without_workers(
+        &mut self,
+        leader: &Leader,
+        has_lease: bool,
+        peers: &Peers,
+        now: u64,
+    ) -> Option<ResignReason> {
+        let none_reports = has_lease && leader.no_worker_reports(now);
+        let none_receives = has_lease && leader.no_worker_receives(now);
+        let workers_reach_peer = peers.are_reached_by_workers(now);
+        let is_without_workers = none_reports && workers_reach_peer;
+        if self
+            .without_workers
+            .exceeds(WITHOUT_WORKERS_MS, is_without_workers, now)
+        {
+            return Some(ResignReason::WorkersReachPeer);
         }
-        Some(now - *self.cut_off_since.get_or_insert(now))
+        let cut_off_ms = self.cut_off.update(none_reports || none_receives, now)?;
+        // Workers that move from one node to the next reach a peer only now and then.
+        let may_peer_lead = workers_reach_peer && cut_off_ms > WITHOUT_WORKERS_MS;
+        // The peer that workers reach may be the one that can't tell this node.
+        let is_no_peer_known = none_reports && leader.knows_machines() && cut_off_ms > UNTOLD_MS;
+        self.may_resign_unsure(may_peer_lead || is_no_peer_known, now)
+            .then_some(ResignReason::NoWorkerFollows)
     }
 
-    /// All nodes may be cut off alike, and would take turns for nothing: so this is done once in a while only.
-    fn may_resign_unsure(&mut self, wanted: bool, now: u64) -> bool {
-        let may = wanted && now >= self.next_unsure;
-        if may {
-            self.cut_off_since = None;
+    /// Whether the leader may resign although no peer is known to do better. All nodes may be cut off alike, and would
+    /// take turns without any use, so this happens only once in a while.
+    fn may_resign_unsure(&mut self, is_wanted: bool, now: u64) -> bool {
+        let may_resign = is_wanted && now >= self.next_unsure;
+        if may_resign {
+            self.cut_off.reset();
             self.next_unsure = now + UNSURE_EVERY_MS;
         }
-        may
+        may_resign
     }
 }
 
-/// Decides when a worker is sent to a leader that workers do not reach, to find out whether it is reached again.
+/// Decides when a worker is redirected to a leader that workers do not reach, to find out whether it is reached again.
 pub(crate) struct LeaderProbe {
     next_probe: u64,
 }
 
 impl LeaderProbe {
+    /// The first probe is due a while after `now`.
     pub fn new(now: u64) -> Self {
         LeaderProbe {
             next_probe: now + PROBE_MS,
         }
     }
 
-    /// Whether a probe is due; if so, the next one is due a while later.
+    /// Whether a probe is due. If so, the next one is due a while later.
     pub fn take_due(&mut self, now: u64) -> bool {
-        let due = now >= self.next_probe;
-        if due {
+        let is_due = now >= self.next_probe;
+        if is_due {
             self.next_probe = now + PROBE_MS;
         }
-        due
+        is_due
     }
 }
--- a/crates/control/src/peer_heartbeats.rs
+++ b/crates/control/src/peer_heartbeats.rs
@@ -1,7 +1,9 @@
-//! What a node tells its peers from time to time: heartbeats, the leader's open jobs, and jobs that have ended.
+//! Messages that a node sends to its peers from time to time: heartbeats, the leader's open jobs, and jobs that have
+//! ended.
 //!
-//! A heartbeat says how long ago the state service and a worker were heard, and how many cancellations this process has
-//! confirmed to users; it echoes the peer's clock, so that the peer knows up to when it has heard of all of them.
+//! A heartbeat says how long ago the state service answered and a worker reported, and how many cancellations this
+//! process has confirmed to users. It echoes the peer's clock, so that the peer knows up to when it has received
+//! notice of all of them.
 
 use crate::effects::{Effects, Output};
 use crate::election::Election;
@@ -13,26 +15,33 @@
 use wire::peers::PeerMessage;
 use wire::records::Final;
 
-/// Where the numbers of a process begin that its peers give back to it, so that what a peer echoes or answers of an
-/// earlier process of ours is told apart. 31 bits stay free, of milliseconds three weeks.
+/// Where the numbers of a process begin that its peers send back to it. So an echo of, or an answer to, an earlier
+/// process of this node can be recognised. 31 bits stay free, which as milliseconds is three weeks.
 pub(crate) fn process_base(boot: u64) -> u64 {
     (boot << 32) >> 1
 }
 
-/// Heartbeats and notices to peers.
+/// A job that has ended.
+struct EndedJob {
+    id: String,
+    end: Final,
+}
+
+/// Sends heartbeats and notices to peers.
 pub(crate) struct PeerHeartbeats {
     /// Number of this process.
     boot: u64,
-    /// Added to the clock in heartbeats.
+    /// What is added to the clock in heartbeats.
     clock_base: u64,
     started_at: u64,
     next_heartbeat: u64,
     next_open_jobs: u64,
-    last_worker_report: Option<u64>,
-    /// Cancellations that this process has confirmed.
+    /// When a worker last reported to this node directly.
+    last_worker_heartbeat: Option<u64>,
+    /// How many cancellations this process has confirmed.
     cancellations: u64,
-    /// Jobs filed away since the last heartbeat, each with whether it is done.
-    ended_jobs: Vec<(String, bool)>,
+    /// Jobs archived since the last heartbeat.
+    ended_jobs: Vec<EndedJob>,
 }
 
 impl PeerHeartbeats {
@@ -44,13 +53,13 @@
             started_at: now,
             next_heartbeat: now,
             next_open_jobs: 0,
-            last_worker_report: None,
+            last_worker_heartbeat: None,
             cancellations: 0,
             ended_jobs: Vec::new(),
         }
     }
 
-    /// When this process began.
+    /// When this process started.
     pub fn started_at(&self) -> u64 {
         self.started_at
     }
@@ -60,18 +69,18 @@
         self.next_heartbeat
     }
 
-    /// A worker reported to this node directly.
+    /// Notes that a worker has reported to this node directly.
     pub fn note_worker_heartbeat(&mut self, now: u64) {
-        self.last_worker_report = Some(now);
+        self.last_worker_heartbeat = Some(now);
     }
 
-    /// A job has ended: peers hear of it with the next heartbeat.
+    /// Notes that a job has ended. Peers are notified together with the next heartbeat.
     pub fn on_job_ended(&mut self, job: String, end: Final) {
-        self.ended_jobs.push((job, end == Final::Done));
+        self.ended_jobs.push(EndedJob { id: job, end });
     }
 
-    /// Counts a cancellation that a user is about to be told of. The notice has to leave before the user's answer, and
-    /// before the next heartbeat counts it.
+    /// Counts a cancellation that is about to be confirmed to a user, and returns the notice of it to peers. The
+    /// notice must be sent before the user's answer, and before the next heartbeat, which counts it.
     pub fn on_cancellation(&mut self, job: String) -> Output {
         self.cancellations += 1;
         let number = self.cancellations;
@@ -81,7 +90,7 @@
         }
     }
 
-    /// Tells the peers what is due.
+    /// Sends what is due.
     pub fn tick(
         &mut self,
         election: &Election,
@@ -97,10 +106,8 @@
         }
         self.next_heartbeat = now + PEER_HEARTBEAT_MS;
         self.send_heartbeats(election, state, peers, effects);
-        let leader = leader.filter(|l| l.is_ready());
-        if let Some(leader) = leader.filter(|_| now >= self.next_open_jobs) {
-            self.next_open_jobs = now + COUNTS_MS;
-            send_open_jobs(leader, gateway, effects);
+        if let Some(leader) = leader.filter(|leader| leader.is_ready()) {
+            self.send_open_jobs(leader, gateway, effects);
         }
         self.send_ended_jobs(effects);
     }
@@ -125,7 +132,7 @@
                     term: election.highest_term(),
                     state_ago_ms,
                     leads: election.leads().is_some(),
-                    worker_ago_ms: self.last_worker_report.map(ago),
+                    worker_ago_ms: self.last_worker_heartbeat.map(ago),
                     sent: self.clock_base + now,
                     echo,
                     boot: self.boot,
@@ -135,29 +142,42 @@
         }
     }
 
+    /// Tells all gateways, that of this node included, which jobs are open.
+    fn send_open_jobs(
+        &mut self,
+        leader: &mut Leader,
+        gateway: &mut Gateway,
+        effects: &mut Effects,
+    ) {
+        let now = effects.now.mono;
+        if now < self.next_open_jobs {
+            return;
+        }
+        self.next_open_jobs = now + COUNTS_MS;
+        let jobs = leader.next_job_updates();
+        gateway.hear(&jobs);
+        let term = leader.term;
+        effects.out.push(Output::Peer {
+            to: None,
+            message: PeerMessage::Counts { term, jobs },
+        });
+    }
+
     fn send_ended_jobs(&mut self, effects: &mut Effects) {
         let ended = std::mem::take(&mut self.ended_jobs);
         // A message beyond the size of a frame would not be sent at all.
         for jobs in ended.chunks(JOB_UPDATES_MAX) {
-            let jobs = jobs.to_vec();
+            let is_done = |job: &EndedJob| job.end == Final::Done;
+            let jobs = jobs.iter().map(|job| (job.id.clone(), is_done(job)));
             effects.out.push(Output::Peer {
                 to: None,
-                message: PeerMessage::Over { jobs },
+                message: PeerMessage::Over {
+                    jobs: jobs.collect(),
+                },
             });
         }
     }
 }
 
-/// Tells all gateways, ours included, which jobs are open.
-fn send_open_jobs(leader: &mut Leader, gateway: &mut Gateway, effects: &mut Effects) {
-    let jobs = leader.next_job_updates();
-    gateway.hear(&jobs);
-    let term = leader.term;
-    effects.out.push(Output::Peer {
-        to: None,
-        message: PeerMessage::Counts { term, jobs },
-    });
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/control/src/peer_heartbeats/tests.rs
+++ b/crates/control/src/peer_heartbeats/tests.rs
@@ -7,14 +7,14 @@
 /// A message beyond the size of a frame is not sent at all.
 #[test]
 fn any_number_of_ended_jobs_goes_in_messages_that_fit_a_frame() {
-    let mut heartbeat = PeerHeartbeats::new(1, 0);
+    let mut heartbeats = PeerHeartbeats::new(1, 0);
     let ids: Vec<String> = (0..12_000).map(|n| format!("run-{n:06}")).collect();
     for id in &ids {
-        heartbeat.on_job_ended(id.clone(), Final::Done);
+        heartbeats.on_job_ended(id.clone(), Final::Done);
     }
     let mut effects = Effects::new(Now::default());
-    heartbeat.send_ended_jobs(&mut effects);
-    let mut told = Vec::new();
+    heartbeats.send_ended_jobs(&mut effects);
+    let mut notified = Vec::new();
     for output in effects.out {
         let Output::Peer { message, .. } = output else {
             continue;
@@ -23,8 +23,8 @@
         encode_frame(&mut frame, &message);
         assert!(!frame.is_empty(), "it fits");
         if let PeerMessage::Over { jobs } = message {
-            told.extend(jobs.into_iter().map(|(id, _)| id));
+            notified.extend(jobs.into_iter().map(|(id, _)| id));
         }
     }
-    assert_eq!(told, ids);
+    assert_eq!(notified, ids);
 }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,150 +1,159 @@
-//! What is known of the other controllers.
+//! What is known of the other controllers from their heartbeats.
 
+mod cancellations;
+
+use cancellations::ConfirmedCancellations;
 use constants::PEER_FRESH_MS;
 use std::collections::BTreeMap;
 
+/// A peer's last heartbeat.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PeerState {
-    /// When its last beat arrived.
+    /// When it arrived; 0 if there has been none.
     pub at: u64,
-    /// Milliseconds since the state service had answered it well, at that moment.
+    /// Milliseconds since the state service had answered the peer well, when it was sent.
     pub state_ago_ms: u64,
-    /// Milliseconds since a worker had asked it, at that moment.
+    /// Milliseconds since a worker had reported to the peer directly, when it was sent.
     pub worker_ago_ms: Option<u64>,
-    /// The peer's clock when it sent that beat.
+    /// The peer's clock when it was sent.
     pub sent: u64,
-    /// Our clock at a moment that certainly came before that beat was sent (beats may be held up on the way). In a beat
-    /// as it comes: that with what this process adds to it.
+    /// A moment on our clock that certainly came before the heartbeat was sent, since heartbeats may be delayed on the
+    /// way. As received, it includes what this process adds to its clock.
     pub echo: u64,
-    /// Its process.
+    /// Number of the peer's process.
     pub boot: u64,
-    /// Cancellations it had confirmed.
+    /// How many cancellations that process had confirmed.
     pub aborts: u64,
 }
 
-/// Cancellations heard from a peer's process, without a gap since a moment of ours.
-#[derive(Debug, Clone, Copy, Default)]
-struct ReportOutcome {
-    boot: u64,
-    aborts: u64,
-    since: u64,
+impl PeerState {
+    /// Whether the state service answers the peer.
+    fn reaches_state(&self) -> bool {
+        self.state_ago_ms < PEER_FRESH_MS
+    }
+
+    /// Whether a worker reported to the peer directly in the last moments.
+    fn is_reached_by_workers(&self) -> bool {
+        self.worker_ago_ms.is_some_and(|ms| ms < PEER_FRESH_MS)
+    }
 }
 
-/// Beats of the peers.
+/// The peers, by label.
 #[derive(Default)]
 pub(crate) struct Peers {
     known: BTreeMap<String, PeerState>,
-    heard: BTreeMap<String, ReportOutcome>,
-    /// What this process adds to its clock in beats.
-    base: u64,
+    cancellations: BTreeMap<String, ConfirmedCancellations>,
+    /// What this process adds to its clock in heartbeats.
+    clock_base: u64,
 }
 
 impl Peers {
-    pub fn new(labels: impl Iterator<Item = String>, base: u64) -> Self {
+    /// Peers that have not been heard yet. `clock_base` is what this process adds to its clock in heartbeats.
+    pub fn new(labels: impl Iterator<Item = String>, clock_base: u64) -> Self {
         Peers {
-            known: labels.map(|l| (l, PeerState::default())).collect(),
-            heard: BTreeMap::new(),
-            base,
+            known: labels.map(|label| (label, PeerState::default())).collect(),
+            cancellations: BTreeMap::new(),
+            clock_base,
         }
     }
 
-    pub fn on_heartbeat(&mut self, from: &str, beat: PeerState) {
-        let Some(p) = self.known.get_mut(from) else {
+    /// Handles a heartbeat.
+    pub fn on_heartbeat(&mut self, from: &str, heartbeat: PeerState) {
+        let Some(peer) = self.known.get_mut(from) else {
             return;
         };
-        let heard = self.heard.entry(from.to_string()).or_default();
-        if heard.boot != beat.boot || heard.aborts != beat.aborts {
-            // Another process, or a notice went missing with a broken connection: count anew from here.
-            let (boot, aborts, since) = (beat.boot, beat.aborts, beat.at);
-            *heard = ReportOutcome {
-                boot,
-                aborts,
-                since,
-            };
-        }
-        // An echo of what an earlier process of ours sent would vouch for a time that its clock named, not ours.
-        let echo = beat.echo.checked_sub(self.base).filter(|at| *at <= beat.at);
-        *p = PeerState {
+        let cancellations = self.cancellations.entry(from.to_string()).or_default();
+        cancellations.on_heartbeat(&heartbeat);
+        // An echo of what an earlier process of ours sent names a time on that process's clock, so it proves nothing.
+        let echo = heartbeat
+            .echo
+            .checked_sub(self.clock_base)
+            .filter(|at| *at <= heartbeat.at);
+        *peer = PeerState {
             echo: echo.unwrap_or(0),
-            ..beat
+            ..heartbeat
         };
     }
 
-    /// A peer told of a cancellation it is about to confirm.
+    /// Handles a peer's notice of a cancellation that it is about to confirm.
     pub fn on_abort(&mut self, from: &str, number: u64) {
-        if let Some(heard) = self.heard.get_mut(from) {
-            if number == heard.aborts + 1 {
-                heard.aborts = number;
-            }
+        if let Some(cancellations) = self.cancellations.get_mut(from) {
+            cancellations.on_notice(number);
         }
     }
 
-    /// The process of a peer, if its heartbeats are recent.
+    /// Number of a peer's process, if its heartbeats are recent.
     pub fn process_of(&self, label: &str, now: u64) -> Option<u64> {
-        let mut fresh = self.fresh(now);
-        fresh.find(|(l, _)| *l == label).map(|(_, peer)| peer.boot)
+        self.recent_peer(label, now).map(|peer| peer.boot)
     }
 
-    /// Labels, with the clock of each one's last beat.
+    /// Labels, with the clock of each peer's last heartbeat.
     pub fn echoes(&self) -> impl Iterator<Item = (&String, u64)> {
-        self.known.iter().map(|(l, p)| (l, p.sent))
+        self.known.iter().map(|(label, peer)| (label, peer.sent))
     }
 
-    fn fresh(&self, now: u64) -> impl Iterator<Item = (&String, &PeerState)> {
+    /// Peers whose heartbeats are recent.
+    fn recent_peers(&self, now: u64) -> impl Iterator<Item = (&str, &PeerState)> {
         self.known
             .iter()
-            .filter(move |(_, p)| p.at > 0 && now < p.at + PEER_FRESH_MS)
+            .filter(move |(_, peer)| peer.at > 0 && now < peer.at + PEER_FRESH_MS)
+            .map(|(label, peer)| (label.as_str(), peer))
     }
 
-    /// Moment of the last heartbeat of any peer. Nothing where there are no peers.
+    /// A peer, if its heartbeats are recent.
+    fn recent_peer(&self, label: &str, now: u64) -> Option<&PeerState> {
+        self.recent_peers(now)
+            .find(|(peer_label, _)| *peer_label == label)
+            .map(|(_, peer)| peer)
+    }
+
+    /// When the last heartbeat of any peer arrived. `None` where there are no peers.
     pub fn last_heard(&self) -> Option<u64> {
-        self.known.values().map(|p| p.at).max()
+        self.known.values().map(|peer| peer.at).max()
     }
 
-    /// A peer that the state service answers.
+    /// The peer that the state service answered last, if it answers any.
     pub fn with_state(&self, now: u64) -> Option<&str> {
-        self.fresh(now)
-            .filter(|(_, p)| p.state_ago_ms < PEER_FRESH_MS)
-            .min_by_key(|(_, p)| p.state_ago_ms)
-            .map(|(l, _)| l.as_str())
+        self.recent_peers(now)
+            .filter(|(_, peer)| peer.reaches_state())
+            .min_by_key(|(_, peer)| peer.state_ago_ms)
+            .map(|(label, _)| label)
     }
 
     /// All peers that the state service answers.
     pub fn all_with_state(&self, now: u64) -> impl Iterator<Item = &str> {
-        self.fresh(now)
-            .filter(|(_, p)| p.state_ago_ms < PEER_FRESH_MS)
-            .map(|(label, _)| label.as_str())
+        self.recent_peers(now)
+            .filter(|(_, peer)| peer.reaches_state())
+            .map(|(label, _)| label)
     }
 
-    /// Until when every cancellation confirmed by a peer is known here, given that all up to `read` are (by our own
-    /// reading of the records, dated by when it was sent). Notices and beats of a process come in order, so a beat
-    /// vouches for the time it was sent, if no notice has been missed since before `read`.
+    /// Until when every cancellation confirmed by a peer is known here, given that all up to `read` are known from the
+    /// records, where `read` is when that read was sent.
+    ///
+    /// Notices and heartbeats of a process arrive in order. So a heartbeat proves that all notices up to the time it
+    /// was sent have arrived, if none has been missed since before `read`.
     pub fn aborts_known_until(&self, read: u64) -> u64 {
-        let mut until = u64::MAX;
-        for (label, p) in &self.known {
-            let whole = self
-                .heard
-                .get(label)
-                .is_some_and(|h| h.since > 0 && h.since <= read);
-            until = until.min(if whole { p.echo } else { 0 });
-        }
-        if self.known.is_empty() {
-            return read;
-        }
-        until.max(read)
+        let known_until = |(label, peer): (&String, &PeerState)| {
+            let cancellations = self.cancellations.get(label);
+            match cancellations.is_some_and(|c| c.are_complete_since(read)) {
+                true => peer.echo,
+                false => 0,
+            }
+        };
+        let all_known_until = self.known.iter().map(known_until).min();
+        all_known_until.map_or(read, |until| until.max(read))
     }
 
-    /// Whether a peer lives but no worker has reached it directly for `ms`.
+    /// Whether a peer is alive but no worker has reported to it directly for `ms`.
     pub fn is_unreached_by_workers(&self, label: &str, ms: u64, now: u64) -> bool {
-        let mut fresh = self.fresh(now);
-        let peer = fresh.find(|(l, _)| l.as_str() == label);
-        peer.is_some_and(|(_, p)| p.worker_ago_ms.is_none_or(|ago| ago > ms))
+        self.recent_peer(label, now)
+            .is_some_and(|peer| peer.worker_ago_ms.is_none_or(|ago_ms| ago_ms > ms))
     }
 
-    /// Whether a peer heard a worker within the last moments.
-    pub fn hear_workers(&self, now: u64) -> bool {
-        self.fresh(now)
-            .any(|(_, p)| p.worker_ago_ms.is_some_and(|ms| ms < PEER_FRESH_MS))
+    /// Whether a worker reported directly to any peer in the last moments.
+    pub fn are_reached_by_workers(&self, now: u64) -> bool {
+        self.recent_peers(now)
+            .any(|(_, peer)| peer.is_reached_by_workers())
     }
 }
 
