--- /dev/null
+++ b/crates/control/src/gateway/events.rs
@@ -0,0 +1,39 @@
+//! What the rest of the node, its peers and the leader report to the gateway.
+
+use super::Gateway;
+use crate::effects::NodeEvent;
+use wire::peers::JobUpdate;
+use wire::records::Final;
+
+impl Gateway {
+    /// Takes over what an event of this node says about jobs, machine types or the upgrade.
+    pub fn on_event(&mut self, event: &NodeEvent) {
+        match event {
+            NodeEvent::JobOver(id, end) => self.remember_final(id.clone(), *end),
+            NodeEvent::Aborted(id) => self.remember_cancelled(id),
+            NodeEvent::Types(types) => self.admission.set_types(types.clone()),
+            NodeEvent::Upgraded | NodeEvent::Proven(_) => self.records.set_upgraded(),
+            _ => {}
+        }
+    }
+
+    /// Notes how a job ended.
+    pub fn remember_final(&mut self, id: String, end: Final) {
+        self.cache.remember_final(id, end);
+    }
+
+    /// Notes that a cancellation is recorded: no answer about the job may be older from now on.
+    pub fn remember_cancelled(&mut self, id: &str) {
+        self.cache.remember_cancelled(id);
+    }
+
+    /// Jobs that are known to be cancelled, for a leader that has yet to read its records.
+    pub fn known_cancelled(&self) -> impl Iterator<Item = &String> {
+        self.cache.known_cancelled()
+    }
+
+    /// Takes over what the leader says of open jobs.
+    pub fn hear(&mut self, jobs: &[JobUpdate]) {
+        self.cache.apply_job_updates(jobs);
+    }
+}
--- a/crates/control/src/machine_types.rs
+++ b/crates/control/src/machine_types.rs
@@ -1,4 +1,6 @@
 //! Reading the machine types that a leader has recorded, for nodes that have not seen any yet.
+//!
+//! A node that does not lead never asks the cloud, and without the types it can't tell whether a submission could run.
 
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
@@ -7,11 +9,14 @@
 
 /// Reads the record of machine types until it has been found.
 pub(crate) struct MachineTypesReader {
+    /// When the next read may be sent, on the steady clock.
     next_read: u64,
+    /// Whether a read is in flight.
     reading: bool,
 }
 
 impl MachineTypesReader {
+    /// A reader whose first read is due now.
     pub fn new(now: u64) -> Self {
         MachineTypesReader {
             next_read: now,
@@ -31,14 +36,15 @@
             .push((Priority::Leadership, read, StateTag::Types));
     }
 
-    /// Tells the node what was read.
+    /// Reports the types to the node if the read found them. Otherwise it is repeated after a while.
     pub fn on_reply(&mut self, reply: StateReply, effects: &mut Effects) {
         self.reading = false;
         self.next_read = effects.now.mono + LEADER_POLL_MS;
-        if let StateReply::Item(item) = reply {
-            if let Ok(types) = item.value.deserialized() {
-                effects.events.push(NodeEvent::Types(types));
-            }
+        let StateReply::Item(item) = reply else {
+            return;
+        };
+        if let Ok(types) = item.value.deserialized() {
+            effects.events.push(NodeEvent::Types(types));
         }
     }
 }
