--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -11,6 +11,10 @@
 //! - `submit`, `cancel` and `status` decide the three operations;
 //! - `read_validation` and `unknown_ids` answer many requests with one transaction;
 //! - `dependency_state` and `dependency_reads` look at the jobs that a job needs.
+//!
+//! Around them, `job_cache` stores what is known of jobs, `events` takes in what the rest of the node reports,
+//! `job_records` lays out a job's stored records, `compares` builds conditions, and `rejection` lists every reason to
+//! refuse a request.
 
 mod admission;
 mod cancel;
--- a/crates/control/src/gateway/dependency_reads.rs
+++ b/crates/control/src/gateway/dependency_reads.rs
@@ -58,7 +58,7 @@
             RecordKind::Open => {
                 let record: JobRecord = read_record(&item)?;
                 if record.aborted {
-                    // Its user may be told so by this node from now on.
+                    // This node may answer so from now on.
                     effects.events.push(NodeEvent::Aborted(id.clone()));
                 }
                 let observed = JobVersion::new(item.version, record.aborted, &record.spec.needs);
--- a/crates/control/src/gateway/intake.rs
+++ b/crates/control/src/gateway/intake.rs
@@ -42,14 +42,14 @@
 }
 
 impl Gateway {
-    /// Takes a request of a user; `up` tells whether the state service answers.
+    /// Takes a request of a user. Without the state service only ends that are known are answered.
     pub fn on_request(
         &mut self,
         request: RequestId,
         method: &str,
         path: &str,
         body: &[u8],
-        up: bool,
+        state_available: bool,
         effects: &mut Effects,
     ) {
         let UserRequest { operation, id } = match self.read_request(method, path, body) {
@@ -60,7 +60,7 @@
             return self.answer_final(request, &id, end, effects);
         }
         let stage = self.first_stage(&operation, &id);
-        if let Err(why) = self.check_capacity(&operation, &stage, up) {
+        if let Err(why) = self.check_capacity(&operation, &stage, state_available) {
             return effects.refuse(request, why.status(), &why.to_string());
         }
         let pending = PendingRequest::new(request, id, operation, stage, effects.now.mono);
@@ -75,13 +75,7 @@
         body: &[u8],
     ) -> Result<UserRequest, Rejection> {
         let user_request = match Route::parse(method, path)? {
-            Route::Submit => self.read_submission(body).inspect_err(|why| {
-                log::info!(
-                    "event=job_refused status={} why={:?}",
-                    why.status(),
-                    why.to_string()
-                )
-            })?,
+            Route::Submit => self.read_submission(body).inspect_err(log_refused)?,
             Route::Status(id) => UserRequest {
                 operation: Operation::Status,
                 id: id.to_string(),
@@ -149,10 +143,10 @@
         &self,
         operation: &Operation,
         stage: &Stage,
-        up: bool,
+        state_available: bool,
     ) -> Result<(), Rejection> {
         let is_change = operation.is_change();
-        if !up {
+        if !state_available {
             return Err(Rejection::StateUnreachable);
         }
         if self.pending.is_full(is_change) {
@@ -180,3 +174,9 @@
         }
     }
 }
+
+fn log_refused(why: &Rejection) {
+    let status = why.status();
+    let why = why.to_string();
+    log::info!("event=job_refused status={status} why={why:?}");
+}
--- a/crates/control/src/gateway/job_records.rs
+++ b/crates/control/src/gateway/job_records.rs
@@ -9,7 +9,7 @@
 
 /// Time of acceptance that sizes are computed with: the largest of 53 bits, so that no real one takes more bytes.
 const LONGEST_TIME_MS: u64 = u64::MAX >> 11;
-/// Bytes kept free in a job's record for the mark of a cancellation, which is written into the same record.
+/// Bytes reserved in a job's record for the mark of a cancellation, which is written into the same record.
 const CANCELLATION_MARK_BYTES: usize = 16;
 /// Bytes that separate two names in a list.
 const SEPARATOR_BYTES: usize = 1;
--- a/crates/control/src/gateway/pending.rs
+++ b/crates/control/src/gateway/pending.rs
@@ -65,7 +65,7 @@
 
 impl Stage {
     /// Whether a step that the state service turned away may be sent again. What it sends is built from the pending
-    /// request alone; a cancellation's transaction also takes the record that was read, which is not kept.
+    /// request alone; a cancellation's transaction also takes the record that was read, which is not stored.
     pub(super) fn is_retryable(&self) -> bool {
         match self {
             Stage::Creating
@@ -176,8 +176,8 @@
 
     /// Whether no further request of a kind is taken.
     ///
-    /// Changes and questions are counted apart: questions come in floods, and with one count for both they kept
-    /// submissions and cancellations from being taken at all.
+    /// Changes and questions are counted separately: questions come in floods, and with one count for both no
+    /// submission or cancellation was taken at all meanwhile.
     pub(super) fn is_full(&self, is_change: bool) -> bool {
         let in_hand = if is_change {
             self.changes
@@ -187,7 +187,7 @@
         in_hand >= USER_INFLIGHT
     }
 
-    /// Whether a step that was turned away may be sent again. Later, the user is told to come back instead.
+    /// Whether a step that was turned away may be sent again. After that, the request is refused and the user retries.
     pub(super) fn may_retry(&self, number: u64, now: u64) -> bool {
         self.get(number)
             .is_some_and(|pending| now < pending.since + USER_RETRY_MS)
--- a/crates/control/src/gateway/status.rs
+++ b/crates/control/src/gateway/status.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Answers about a job that was found open. What has become certain while that was on its way goes first: another
-    /// node may have told its user.
+    /// Answers about a job that was found open. An end that has become known while the request was in flight takes
+    /// precedence: another node may have answered with it already.
     pub(super) fn answer_open(
         &self,
         request: RequestId,
--- a/crates/control/src/gateway/submit.rs
+++ b/crates/control/src/gateway/submit.rs
@@ -62,7 +62,7 @@
         let Some(unvalidated) = pending.unvalidated.take() else {
             return;
         };
-        // The transaction held the first ones in the order of the map.
+        // The transaction compared the first ones in the order of the map.
         let rest = unvalidated.into_iter().skip(self.max_compares).collect();
         self.create_or_validate(number, rest, effects);
     }
