--- a/crates/control/src/election/tests.rs
+++ b/crates/control/src/election/tests.rs
@@ -1,5 +1,8 @@
-use super::*;
-use crate::effects::Now;
+//! A leader that was stalled trusts its lease only after a renewal that was sent since.
+
+use super::Election;
+use crate::effects::{Effects, Now};
+use crate::requests::{ElectionStep, StateReply};
 
 fn effects(mono: u64) -> Effects {
     Effects::new(Now { mono, unix: mono })
@@ -24,9 +27,9 @@
     election
 }
 
-/// Its reply waited while the process stood still, and the job of a start that it would release may be cancelled by now.
+/// The reply waited while the process was stalled. It would release the start of a task whose job may be cancelled by now.
 #[test]
-fn a_renewal_sent_before_a_standstill_does_not_make_the_lease_hold_after_it() {
+fn a_renewal_sent_before_a_stall_does_not_make_the_lease_valid_after_it() {
     let (sent, resumed) = (10_000, 12_000);
     let mut election = elected(sent);
     let renewed = |election: &mut Election, sent: u64| {
--- /dev/null
+++ b/crates/control/src/node/delivery.rs
@@ -0,0 +1,65 @@
+//! Delivery of the effects of actors: requests to the clients, events to the node, and outputs to the process.
+
+use super::Node;
+use crate::effects::Effects;
+use crate::leader::direct_call;
+use std::mem;
+
+impl Node {
+    /// Carries effects out, and those that this has in turn, until none is left.
+    pub(super) fn deliver(&mut self, mut effects: Effects) {
+        let mut pending_due = true;
+        loop {
+            self.carry_out(&mut effects);
+            if !effects.is_empty() {
+                continue;
+            }
+            if mem::take(&mut pending_due) {
+                self.handle_pending_reports(&mut effects);
+            }
+            self.release_deferred_answers(&mut effects);
+            if effects.out.is_empty() {
+                return;
+            }
+        }
+    }
+
+    /// Carries effects out once; what this has in turn is added to them.
+    fn carry_out(&mut self, effects: &mut Effects) {
+        let now = effects.now;
+        for (priority, op, tag) in mem::take(&mut effects.state) {
+            self.state.push(now, priority, op, tag);
+        }
+        for (op, tag) in mem::take(&mut effects.cloud) {
+            self.cloud.push(op, tag);
+        }
+        for (address, body) in mem::take(&mut effects.direct) {
+            self.last_call += 1;
+            effects.out.push(direct_call(self.last_call, address, body));
+        }
+        for event in mem::take(&mut effects.events) {
+            self.on_event(event, effects);
+        }
+        let mut expired = Vec::new();
+        self.state.pump(&mut self.last_call, effects, &mut expired);
+        self.cloud.pump(&mut self.last_call, effects);
+        for (tag, reply) in expired {
+            self.on_state_reply(tag, reply, effects);
+        }
+        for output in mem::take(&mut effects.out) {
+            self.out.extend(self.forwarded.route(output));
+        }
+    }
+
+    /// Sends the deferred answers for which there is nothing left to wait for.
+    fn release_deferred_answers(&mut self, effects: &mut Effects) {
+        let now = effects.now.mono;
+        if !self.deferred_answers.is_due(self.leader.as_mut(), now) {
+            return;
+        }
+        let active = self.active(now);
+        let may_answer = self.may_answer(now);
+        let leader = self.leader.as_mut().filter(|_| may_answer);
+        self.deferred_answers.release(leader, active, effects);
+    }
+}
--- a/crates/control/src/node/partition_view.rs
+++ b/crates/control/src/node/partition_view.rs
@@ -1,4 +1,4 @@
-//! What a node tells its actor for partitions.
+//! The interface between a node and its actor for partitions.
 
 use super::Node;
 use crate::effects::{Effects, Now};
@@ -14,16 +14,16 @@
         Some(partitions.status(self.last_now.mono))
     }
 
-    /// Begins to move a partition to another controller, as an operator would have it; false if this node does not lead, or
-    /// the partition moves already or is there.
+    /// Begins to move a partition to another controller, as an operator asks for. Returns false if this node does not
+    /// lead, if the partition is moving already, or if that controller owns it.
     pub fn move_partition(&mut self, partition: PartitionId, to: &str, now: Now) -> bool {
         let partitions = self.partitions.as_mut();
         partitions.is_some_and(|partitions| partitions.begin_move(partition, to, now.mono))
     }
 
-    /// Milliseconds for which an owner may be granted partitions now: its answers must not come later than ours may, by
-    /// what is known of cancellations at this moment.
-    pub(super) fn grant_ms(&self, now: u64) -> u64 {
+    /// Milliseconds for which an owner may be granted partitions now. Its answers to workers must not come later than ours
+    /// may, by what is known of cancellations at this moment.
+    fn grant_ms(&self, now: u64) -> u64 {
         let Some(informed_until) = self.informed_until().filter(|_| self.may_answer(now)) else {
             return 0;
         };
@@ -32,6 +32,7 @@
         GRANT_MS.min(left_ms as u64)
     }
 
+    /// Lets the actor for partitions do what is due.
     pub(super) fn tick_partitions(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
         let grant_ms = self.grant_ms(now);
@@ -42,6 +43,7 @@
         partitions.tick(&view, self.leader.as_mut(), effects);
     }
 
+    /// Passes a peer's message about partitions on. A node where they are not switched on refuses it.
     pub(super) fn on_partition_message(
         &mut self,
         from: &str,
@@ -62,15 +64,15 @@
     }
 }
 
-/// The actor for partitions, where they are switched on.
-pub(super) fn partitions(
+/// The actor for partitions; `None` where they are not switched on.
+pub(super) fn new_partitions(
     settings: &Settings,
     operator: &Operator,
     boot: u64,
     now: u64,
 ) -> Option<Partitions> {
-    let wanted = operator.partitions.as_ref()?;
-    // Checked when the settings were read.
-    let pins = wanted.checked(settings).unwrap_or_default();
+    let partitions = operator.partitions.as_ref()?;
+    // The settings were validated when they were read.
+    let pins = partitions.checked(settings).unwrap_or_default();
     Some(Partitions::new(settings, pins, boot, now))
 }
--- /dev/null
+++ b/crates/control/src/node/peer_messages.rs
@@ -0,0 +1,98 @@
+//! Handling of messages from the other controllers.
+
+use super::Node;
+use crate::effects::Effects;
+use crate::forwarding::HttpRequest;
+use crate::peers::PeerState;
+use wire::peers::{JobUpdate, PeerMessage};
+use wire::records::Final;
+
+impl Node {
+    pub(super) fn on_peer(&mut self, from: &str, message: PeerMessage, effects: &mut Effects) {
+        match message {
+            PeerMessage::Hello { .. } => {}
+            PeerMessage::Heartbeat {
+                term,
+                state_ago_ms,
+                worker_ago_ms,
+                sent,
+                echo,
+                boot,
+                aborts,
+                ..
+            } => {
+                let state = PeerState {
+                    at: effects.now.mono,
+                    state_ago_ms,
+                    worker_ago_ms,
+                    sent,
+                    echo,
+                    boot,
+                    aborts,
+                };
+                self.on_peer_heartbeat(from, term, state, effects);
+            }
+            PeerMessage::Aborted { number, job } => {
+                self.on_peer_cancellation(from, number, &job, effects);
+            }
+            PeerMessage::Counts { term, jobs } => self.on_open_jobs(term, &jobs),
+            PeerMessage::Over { jobs } => self.on_ended_jobs(jobs),
+            PeerMessage::Forward {
+                call,
+                method,
+                target,
+                body,
+            } => {
+                let request = HttpRequest {
+                    id: self.forwarded.accept(from, call),
+                    method: &method,
+                    target: &target,
+                    body: &body,
+                };
+                self.on_request(request, effects);
+            }
+            PeerMessage::Forwarded { call, status, body } => {
+                self.forwarded.on_answer(from, call, status, body, effects);
+            }
+            PeerMessage::Handover { term } => self.election.on_handover(from, term, effects),
+            PeerMessage::Partitions(message) => self.on_partition_message(from, message, effects),
+        }
+    }
+
+    fn on_peer_heartbeat(
+        &mut self,
+        from: &str,
+        term: u64,
+        state: PeerState,
+        effects: &mut Effects,
+    ) {
+        let boot = state.boot;
+        self.peers.on_heartbeat(from, state);
+        self.rollout.on_heartbeat(from, boot, effects.now.mono);
+        self.election.heard_term(term, effects);
+    }
+
+    /// A peer is about to confirm a cancellation to a user. `number` counts those of the peer's process.
+    fn on_peer_cancellation(&mut self, from: &str, number: u64, job: &str, effects: &mut Effects) {
+        self.peers.on_abort(from, number);
+        self.gateway.remember_cancelled(job);
+        if let Some(leader) = &mut self.leader {
+            leader.on_cancellation_notice(job, effects.now);
+        }
+    }
+
+    /// The leader of `term` tells of its open jobs. What a former leader tells is outdated.
+    fn on_open_jobs(&mut self, term: u64, jobs: &[JobUpdate]) {
+        if term >= self.election.highest_term() && self.leader.is_none() {
+            self.gateway.hear(jobs);
+        }
+    }
+
+    /// The leader has filed jobs as ended, each of them as done or as cancelled.
+    fn on_ended_jobs(&mut self, jobs: Vec<(String, bool)>) {
+        for (id, is_done) in jobs {
+            let end = if is_done { Final::Done } else { Final::Aborted };
+            self.gateway.remember_final(id, end);
+        }
+    }
+}
--- a/crates/control/src/node/stall.rs
+++ b/crates/control/src/node/stall.rs
@@ -1,28 +1,33 @@
-//! A process that stood still (stopped, starved, or on a machine that was suspended) goes on with a backlog: replies,
-//! reports and requests that waited for it, in the order in which they came. None of it may be taken as current.
+//! Detection of stalls. A process that did not run for a while (stopped, starved of processor time, or on a machine that
+//! was suspended) resumes with a backlog: the replies, heartbeats and requests that arrived meanwhile, in their order.
+//! None of it may be taken as current.
 
-use super::{Effects, Node, Now};
+use super::Node;
+use crate::effects::{Effects, Now};
 use constants::STANDSTILL_MS;
 
+/// Reason for refusing the requests that waited through a stall.
+const STALLED: &str = "this node stood still";
+
 impl Node {
-    /// Looks at the clock. If nothing happened here for longer than the node ever sleeps, it did not run meanwhile.
+    /// Checks the clock. If nothing happened here for longer than the node ever sleeps, the process was stalled.
     ///
-    /// The first replies of a backlog may release a start, or answer a user, before the notice behind them tells that
-    /// the job is cancelled. So the leader starts nothing until a renewal sent from now on has been answered, which comes
-    /// behind the backlog, and users who have waited all the time are asked to come back.
-    pub(super) fn note_time(&mut self, now: Now, effects: &mut Effects) {
-        let stood_ms = now.mono.saturating_sub(self.last_now.mono);
+    /// The first replies of a backlog may release the start of a task, or answer a user, before the notice behind them
+    /// tells that the job is cancelled. So the leader starts nothing until a renewal that is sent from now on has been
+    /// answered, which comes after the backlog. Users who have waited all the time are asked to try again.
+    pub(super) fn check_for_stall(&mut self, now: Now, effects: &mut Effects) {
+        let stalled_ms = now.mono.saturating_sub(self.last_now.mono);
         self.last_now = now;
-        if stood_ms <= STANDSTILL_MS {
+        if stalled_ms <= STANDSTILL_MS {
             return;
         }
-        log::info!("event=process_stalled stalled_ms={stood_ms}");
+        log::info!("event=process_stalled stalled_ms={stalled_ms}");
         self.election.on_stall(now.mono);
         self.rollout.read_anew(now.mono);
         if let Some(leader) = &mut self.leader {
             leader.on_stall(now.mono);
         }
-        self.gateway.refuse_all("this node stood still", effects);
-        self.forwarded.refuse_all("this node stood still", effects);
+        self.gateway.refuse_all(STALLED, effects);
+        self.forwarded.refuse_all(STALLED, effects);
     }
 }
