--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -1,5 +1,5 @@
-//! Leader election: a leader key attached to a lease, and a fencing term that only grows. Both are written in the same
-//! transaction.
+//! Leader election: a leader key attached to a lease, and a fencing term that only grows. Both are written
+//! in the same transaction.
 //!
 //! - `role`: the role of this process, and what it knows of the others;
 //! - `following`: polls of the leader key, and when this process stands for election;
@@ -20,8 +20,8 @@
 use constants::{LEADER_LEASE_MS, STATE_TIMEOUT_MS};
 use role::{Handover, KnownLeader, Leadership, Role};
 
-/// Milliseconds before its expiry from which our lease no longer counts as certain: the clocks may drift apart, and time
-/// passes between the check and what is done on it.
+/// Milliseconds before its expiry from which our lease no longer counts as certain: the clocks may drift
+/// apart, and time passes between the check and what is done on it.
 const LEASE_MARGIN_MS: u64 = 300;
 /// Milliseconds until a request without a reply is taken as lost: longer than the state client waits for one.
 const REPLY_LOST_MS: u64 = 3 * STATE_TIMEOUT_MS;
@@ -143,7 +143,8 @@
         }
     }
 
-    /// The state service has replied to the request of a step. Replies that belong to an earlier attempt are dropped.
+    /// The state service has replied to the request of a step. Replies that belong to an earlier attempt
+    /// are dropped.
     pub fn on_reply(&mut self, step: ElectionStep, reply: StateReply, effects: &mut Effects) {
         match step {
             ElectionStep::Quit => {}
@@ -160,9 +161,9 @@
         }
     }
 
-    /// The process was stalled until now. Replies that waited meanwhile tell what was true when they were sent: by them a
-    /// former leader would be taken for the present one, and an expired lease of ours for a valid one. So the leader key
-    /// is polled, or the lease renewed, anew.
+    /// The process was stalled until now. Replies that waited meanwhile tell what was true when they were
+    /// sent: by them a former leader would be taken for the present one, and an expired lease of ours for a
+    /// valid one. So the leader key is polled, or the lease renewed, anew.
     pub fn on_stall(&mut self, now: u64) {
         self.resumed_at = now;
         self.next_at = now;
--- a/crates/control/src/election/candidacy.rs
+++ b/crates/control/src/election/candidacy.rs
@@ -49,7 +49,8 @@
 }
 
 impl Election {
-    /// Begins an attempt to become the leader. `leader_version` is the version of the leader key, 0 if it is missing.
+    /// Begins an attempt to become the leader. `leader_version` is the version of the leader key, 0 if it
+    /// is missing.
     pub(super) fn stand(&mut self, leader_version: u64, effects: &mut Effects) {
         self.role = Role::Candidate(Candidacy::new(leader_version, effects.now.mono));
         let step = ElectionStep::Term(self.round);
@@ -126,7 +127,8 @@
         }
     }
 
-    /// The leader key holds a record of this process, which does not lead yet: it was elected, but the reply was lost.
+    /// The leader key holds a record of this process, which does not lead yet: it was elected, but the
+    /// reply was lost.
     pub(super) fn on_own_record(
         &mut self,
         record: LeaderRecord,
--- a/crates/control/src/election/following.rs
+++ b/crates/control/src/election/following.rs
@@ -11,8 +11,8 @@
 use wire::records::{LeaderRecord, LEADER};
 use wire::state::Item;
 
-/// Least milliseconds between revoking an unreachable leader's lease and polling the leader key, for a process that is
-/// not the named successor: that one goes first.
+/// Least milliseconds between revoking an unreachable leader's lease and polling the leader key, for a
+/// process that is not the named successor: that one goes first.
 const REVOCATION_MS: u64 = STATE_RETRY_MS / 5;
 
 impl Election {
@@ -100,8 +100,8 @@
         self.handover.is_some_and(|handover| now < handover.until)
     }
 
-    /// The leader stops as planned, and names this process its successor: the leader key is polled at a short interval
-    /// until it is vacant.
+    /// The leader stops as planned, and names this process its successor: the leader key is polled at a
+    /// short interval until it is vacant.
     pub fn on_handover(&mut self, from: &str, term: u64, effects: &mut Effects) {
         let is_leader = self
             .known_leader
@@ -119,8 +119,9 @@
         self.next_at = now;
     }
 
-    /// A peer seems to have crashed. If it leads, its lease is revoked, once a term. That is safe even if the peer is
-    /// alive (a packet filter between the nodes refuses connections, too): it loses leadership, no more.
+    /// A peer seems to have crashed. If it leads, its lease is revoked, once a term. That is safe even if
+    /// the peer is alive (a packet filter between the nodes refuses connections, too): it loses leadership,
+    /// no more.
     pub fn on_peer_refused(&mut self, label: &str, effects: &mut Effects) {
         let Some(known) = self.known_leader.as_ref() else {
             return;
--- a/crates/control/src/election/tests.rs
+++ b/crates/control/src/election/tests.rs
@@ -27,7 +27,8 @@
     election
 }
 
-/// The reply waited while the process was stalled. It would release the start of a task whose job may be cancelled by now.
+/// The reply waited while the process was stalled. It would release the start of a task whose job may be
+/// cancelled by now.
 #[test]
 fn a_renewal_sent_before_a_stall_does_not_make_the_lease_valid_after_it() {
     let (sent, resumed) = (10_000, 12_000);
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,10 @@
-//! The controller, without I/O: actors that own their state and are spoken to by messages.
+//! The controller, without I/O: actors that own their state and communicate by messages.
 //!
-//! [`Node`] is the whole of one controller. It is fed [`Input`]s and the time, and yields [`Output`]s. Inside,
-//! the state client, the election, the gateway for users, upgrades, the leader and the cloud client each
-//! own what they know; `effects::Effects` carries what they say to each other. What a node does besides for its peers and for
-//! workers is in modules of their own too: `forwarding`, `pending_reports`, `heartbeat`, `leadership_watch`.
+//! [`Node`] is the whole of one controller. It is fed [`Input`]s and the time, and yields [`Output`]s.
+//! Inside it, each actor owns what it knows: the clients of the state service and the cloud, the election,
+//! the gateway for users, upgrades, partitions and the leader. `effects::Effects` carries what they ask of
+//! each other. Smaller tasks of a node for its peers and for workers have modules of their own:
+//! `forwarding`, `peer_heartbeats`, `pending_heartbeats` and `leadership_watch`.
 
 mod cloud;
 pub mod effects;
@@ -31,5 +32,5 @@
 pub use partitions::PartitionsStatus;
 pub use settings::{Operator, Settings};
 
-/// Microseconds of a steady clock, to measure how long a round of decisions takes.
+/// Reads a steady clock in microseconds, to measure how long a round of decisions takes.
 pub type Stopwatch = fn() -> u64;
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -6,7 +6,8 @@
 //! - `delivery`, `events`: the effects of actors;
 //! - `answering_rights`: what this node may decide and answer;
 //! - `wakeup`: when it has something to do;
-//! - `partition_view`, `planned_stop`, `stall`: partitions, orderly stops, and processes that did not run for a while.
+//! - `partition_view`, `planned_stop`, `stall`: partitions, orderly stops, and processes that did not run for
+//!   a while.
 
 mod answering_rights;
 mod construction;
--- a/crates/control/src/node/answering_rights.rs
+++ b/crates/control/src/node/answering_rights.rs
@@ -4,11 +4,12 @@
 use constants::{CUT_OFF_MS, INFORMED_MS};
 
 impl Node {
-    /// Whether neither the state service nor a peer, through which users could be served, has been reached for a while.
+    /// Whether neither the state service nor a peer, through which users could be served, has been reached
+    /// for a while.
     ///
-    /// Such a node refuses every request. The load balancer has to be told: it offered such nodes to users all the same,
-    /// and a third of the users were refused until the cut was over. In an outage of the state service peers are still
-    /// heard, so that no node is taken out of service.
+    /// Such a node refuses every request. The load balancer has to be told: it offered such nodes to users
+    /// all the same, and a third of the users were refused until the cut was over. In an outage of the
+    /// state service peers are still heard, so that no node is taken out of service.
     pub(super) fn is_cut_off(&self, now: u64) -> bool {
         let Some(peer_heard_at) = self.peers.last_heard() else {
             return false;
@@ -21,16 +22,16 @@
         !self.state.is_up(now) && now > last_contact + CUT_OFF_MS
     }
 
-    /// The moment up to which every cancellation that was confirmed to a user is known to the leader: by its own reading
-    /// of the records, and beyond it as long as all peers tell of the cancellations that they confirm. A successful
-    /// reply of the state service to any other request proves nothing.
+    /// The moment up to which every cancellation that was confirmed to a user is known to the leader: by
+    /// its own reading of the records, and beyond it as long as all peers tell of the cancellations that
+    /// they confirm. A successful reply of the state service to any other request proves nothing.
     pub(super) fn informed_until(&self) -> Option<u64> {
         let read_until = self.leader.as_ref()?.informed_until()?;
         Some(self.peers.aborts_known_until(read_until))
     }
 
-    /// Whether the leader may make decisions and start tasks: its lease holds, and every cancellation is known up to a
-    /// recent moment.
+    /// Whether the leader may make decisions and start tasks: its lease holds, and every cancellation is
+    /// known up to a recent moment.
     pub(super) fn active(&self, now: u64) -> bool {
         self.planned_stop.is_none()
             && self.election.lease_holds(now)
--- a/crates/control/src/node/partition_view.rs
+++ b/crates/control/src/node/partition_view.rs
@@ -14,15 +14,15 @@
         Some(partitions.status(self.last_now.mono))
     }
 
-    /// Begins to move a partition to another controller, as an operator asks for. Returns false if this node does not
-    /// lead, if the partition is moving already, or if that controller owns it.
+    /// Begins to move a partition to another controller, as an operator asks for. Returns false if this
+    /// node does not lead, if the partition is moving already, or if that controller owns it.
     pub fn move_partition(&mut self, partition: PartitionId, to: &str, now: Now) -> bool {
         let partitions = self.partitions.as_mut();
         partitions.is_some_and(|partitions| partitions.begin_move(partition, to, now.mono))
     }
 
-    /// Milliseconds for which an owner may be granted partitions now. Its answers to workers must not come later than ours
-    /// may, by what is known of cancellations at this moment.
+    /// Milliseconds for which an owner may be granted partitions now. Its answers to workers must not come
+    /// later than ours may, by what is known of cancellations at this moment.
     fn grant_ms(&self, now: u64) -> u64 {
         let Some(informed_until) = self.informed_until().filter(|_| self.may_answer(now)) else {
             return 0;
--- a/crates/control/src/node/wakeup.rs
+++ b/crates/control/src/node/wakeup.rs
@@ -27,8 +27,8 @@
             self.deferred_answers.next_wake(),
         ];
         let earliest = wakes.into_iter().flatten().min();
-        // Bounded by the last tick, not by the last input: under a flood there is an input at every moment, and renewals,
-        // rounds and deadlines would never come.
+        // Bounded by the last tick, not by the last input: under a flood there is an input at every moment,
+        // and renewals, rounds and deadlines would never come.
         let soonest = self.last_tick + 1;
         earliest.map_or(soonest, |at| at.max(soonest))
     }
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -54,9 +54,9 @@
 }
 
 impl Settings {
-    /// Milliseconds for which workers may still be answered, counted from the moment up to which every cancellation is
-    /// known. A task of a job that is cancelled right after that moment ends with its worker's lease, which the last
-    /// answer renewed.
+    /// Milliseconds for which workers may still be answered, counted from the moment up to which every
+    /// cancellation is known. A task of a job that is cancelled right after that moment ends with its
+    /// worker's lease, which the last answer renewed.
     pub fn keepalive_ms(&self) -> u64 {
         let workers = &self.deployment.workers;
         // Either clock may drift: ours by which the answer is timed, the worker's by which its lease runs.
@@ -67,9 +67,10 @@
 
     /// Whether machines are rented only as work needs them, and given back when idle.
     ///
-    /// The platform's file states only the objectives on start and finish, so an objective on cost can't be read there.
-    /// What can be read is whether guarantees are to be met at once. That takes idle machines in reserve, and saving
-    /// them would break the guarantee. Without such an objective, idle machines are waste.
+    /// The platform's file states only the objectives on start and finish, so an objective on cost can't be
+    /// read there. What can be read is whether guarantees are to be met at once. That takes idle machines
+    /// in reserve, and saving them would break the guarantee. Without such an objective, idle machines are
+    /// waste.
     pub fn minimizes_cost(&self) -> bool {
         let objectives = &self.deployment.objectives;
         let has = |kind: &str| objectives.iter().any(|objective| objective.kind == kind);
--- a/crates/control/src/settings/operator.rs
+++ b/crates/control/src/settings/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' own settings, all of them optional.
 //!
-//! The doc comments of these types are the descriptions in `schema/operator.schema.json`. Changing one of them changes
-//! that file.
+//! The doc comments of these types are the descriptions in `schema/operator.schema.json`. Changing one of
+//! them changes that file.
 
 use serde::{Deserialize, Serialize};
 
