--- a/crates/control/src/leader/cancellation.rs
+++ b/crates/control/src/leader/cancellation.rs
@@ -22,7 +22,7 @@
         };
         job.aborted = true;
         log::info!(
-            "event=on_cancellation_notice job={id} placed={}",
+            "event=cancellation_notice job={id} placed={}",
             job.assigned
         );
         self.cancel_assignments(id, now);
--- a/crates/control/src/settings/operator.rs
+++ b/crates/control/src/settings/operator.rs
@@ -96,7 +96,7 @@
     Automatic,
     /// Not at all: every upgrade stays reversible.
     #[default]
-    DeferredAnswer,
+    Held,
 }
 
 /// How staged upgrades go.
--- a/crates/control/tests/partitions.rs
+++ b/crates/control/tests/partitions.rs
@@ -22,7 +22,7 @@
 
 fn operator(pins: Vec<PinSettings>) -> Operator {
     let rollout = RolloutSettings {
-        finalize: Finalization::DeferredAnswer,
+        finalize: Finalization::Held,
         ..RolloutSettings::default()
     };
     Operator {
--- a/crates/control/tests/staged_upgrades.rs
+++ b/crates/control/tests/staged_upgrades.rs
@@ -33,7 +33,7 @@
 }
 
 fn held(level: u32) -> Operator {
-    staged(level, Finalization::DeferredAnswer)
+    staged(level, Finalization::Held)
 }
 
 fn automatic(level: u32) -> Operator {
