--- a/crates/constants/src/lib.rs
+++ b/crates/constants/src/lib.rs
@@ -420,6 +420,8 @@
 pub const REPORTS_A_TURN_MS: u64 = 40;
 /// Milliseconds of a turn of the main loop from which it is logged: users and the load balancer waited as long.
 pub const SLOW_TURN_MS: u64 = 150;
+/// Milliseconds a turn of the main loop waits for events at least while nothing is left to do.
+pub const LOOP_MIN_MS: u64 = 1;
 /// Milliseconds a turn of the main loop sleeps at most.
 pub const LOOP_MAX_MS: u64 = 1_000;
 
--- a/crates/vetchmount/src/clients.rs
+++ b/crates/vetchmount/src/clients.rs
@@ -200,6 +200,7 @@
         now: u64,
         done: &mut Vec<Outcome>,
     ) {
+        self.expire_waiting(now, done);
         let dead: Vec<(usize, SocketAddrV4)> = self
             .links
             .iter()
@@ -217,14 +218,24 @@
             self.refuse_waiting(addr, done);
             self.drive(poller, addr, keys, now, done);
         }
+    }
+
+    /// Gives up calls that have waited for a connection until their deadline.
+    ///
+    /// Each call has its own deadline, whatever its position in the queue: a watch may wait four times as long as the
+    /// transaction behind it. A call that is overdue but left in the queue would make [`Clients::next_wake`] ask for a
+    /// turn at once, again and again, until the first one is over.
+    fn expire_waiting(&mut self, now: u64, done: &mut Vec<Outcome>) {
         for queue in self.waiting.values_mut() {
-            while queue.front().is_some_and(|c| now >= c.deadline) {
-                if let Some(call) = queue.pop_front() {
+            queue.retain(|call| {
+                let is_overdue = now >= call.deadline;
+                if is_overdue {
                     done.push((call.id, Err(CallError::NotSent)));
                 }
-            }
+                !is_overdue
+            });
         }
-        self.waiting.retain(|_, q| !q.is_empty());
+        self.waiting.retain(|_, queue| !queue.is_empty());
     }
 
     /// When the next call or connection times out.
@@ -239,3 +250,6 @@
         links.unwrap_or(u64::MAX).min(calls.unwrap_or(u64::MAX))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/vetchmount/src/daemon.rs
+++ b/crates/vetchmount/src/daemon.rs
@@ -126,8 +126,10 @@
         loop {
             let now = self.now().mono;
             let wake = self.node.next_wake().min(self.clients.next_wake());
+            // Even if something is overdue: events that are there end the wait at once, and a wake-up that nobody acts
+            // upon must never become a loop that takes the whole processor share.
             let wait = match self.reports.is_empty() {
-                true => wake.saturating_sub(now).min(LOOP_MAX_MS),
+                true => wake.saturating_sub(now).clamp(LOOP_MIN_MS, LOOP_MAX_MS),
                 false => 0,
             };
             events.clear();
