--- a/crates/control/src/leader/consolidation.rs
+++ b/crates/control/src/leader/consolidation.rs
@@ -68,7 +68,7 @@
                 let movable = || {
                     on[m].iter().all(|r| {
                         let job = self.jobs.get(&scheduling_snapshot.jobs[r.job]);
-                        r.movable && job.is_some_and(|j| !j.is_gang() && j.spec.checkpoint_s > 0.0)
+                        r.preemptible && job.is_some_and(|j| !j.is_gang() && j.spec.checkpoint_s > 0.0)
                     })
                 };
                 let busy = !on[m].is_empty();
@@ -93,13 +93,13 @@
                 let job = &view.jobs[r.job];
                 let plain = job.spot && job.zone.is_none() && !job.one_zone;
                 let fits = |(o, room): &&mut (usize, Resources)| {
-                    *o != m && !chosen.contains(o) && room.fits(&r.resources)
+                    *o != m && !chosen.contains(o) && room.can_fit(&r.resources)
                 };
                 let found = rooms.iter_mut().find(fits).map(|(o, room)| {
                     room.sub(&r.resources);
                     taken.push((*o, r.resources));
                 });
-                found.is_some() && plain && job.zone_cap.is_none()
+                found.is_some() && plain && job.max_per_zone.is_none()
             });
             if all {
                 filled.extend(taken.iter().map(|(o, _)| *o));
@@ -180,7 +180,7 @@
                     };
                     let filled = |j: &&Job| {
                         let waiting = (j.spec.tasks - j.done) as u32 - j.assigned;
-                        waiting.div_ceil(total.holds(&j.res(), waiting).max(1)) as usize
+                        waiting.div_ceil(total.capacity_for(&j.res(), waiting).max(1)) as usize
                     };
                     let machines = jobs.iter().filter(suits).map(filled).sum();
                     if machines > 0 {
--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -380,7 +380,7 @@
         }
         let fleet = FleetSnapshot {
             offers,
-            coming,
+            expected: coming,
             minimizes_cost: self.settings.minimizes_cost(),
             horizon_s: types.iter().map(|t| t.boot_s).fold(f64::MAX, f64::min) * RENT_HORIZON,
         };
--- a/crates/control/src/leader/planning.rs
+++ b/crates/control/src/leader/planning.rs
@@ -156,21 +156,21 @@
                 zone: zones.number(&m.zone),
                 spot: m.spot,
                 free: total,
-                soon: total,
+                free_after_stops: total,
                 total,
                 usable: self.usable(m, self.heard_at(m, now.mono), health, now.mono),
-                slots: TASKS_PER_MACHINE.saturating_sub(m.assignments.len() as u32),
+                free_slots: TASKS_PER_MACHINE.saturating_sub(m.assignments.len() as u32),
                 pilots: 0,
                 slow: m.is_slow() || health == MachineHealth::Suspect,
                 images: m.images.keys().map(|i| images.number(i)).collect(),
                 busy_s: 0.0,
-                reach_s: if m.held {
+                dispatch_delay_s: if m.held {
                     0.0
                 } else {
                     let since = m.last_heartbeat.map_or(0, |at| now.mono.saturating_sub(at));
                     (report_s - since as f64 / 1000.0).max(0.0)
                 },
-                coming_s: {
+                ready_in_s: {
                     let age = now.mono.saturating_sub(m.first_known) as f64 / 1000.0;
                     let coming = m.expected && !m.synced && !m.failed && !m.returning;
                     let seen = self.boots.get(&m.kind).and_then(Boots::late_s);
@@ -204,7 +204,7 @@
             for (number_of_task, machine, assignment) in assigned.chain(orphans) {
                 view.teams[team].used.add(&task);
                 if assignment.is_some_and(|p| p.stop.is_some()) {
-                    view.teams[team].leaving.add(&task);
+                    view.teams[team].stopping.add(&task);
                 }
                 pilots += u32::from(assignment.is_some_and(|p| p.pilot));
                 let known = self.machines.get(machine).filter(|m| m.known);
@@ -222,7 +222,7 @@
                     continue;
                 };
                 if assignment.stop.is_none() {
-                    view.machines[m].soon.sub(&task);
+                    view.machines[m].free_after_stops.sub(&task);
                 }
                 view.machines[m].pilots += u32::from(assignment.pilot && sampling);
                 let elapsed = assignment
@@ -240,8 +240,8 @@
                     team,
                     priority: job.priority() as u8,
                     resources: task,
-                    left_s: left,
-                    movable: assignment.stop.is_none()
+                    remaining_s: left,
+                    preemptible: assignment.stop.is_none()
                         && assignment.stage == AssignmentStage::Seen
                         && (!job.is_gang() || job.tasks() == 1)
                         && (assignment.running_since.is_none() || left > job.spec.save_s + 3.0),
@@ -284,10 +284,10 @@
                     .map(|t| t.iter().map(|t| kinds.number(t)).collect()),
                 zone: job.spec.zone.as_ref().map(|z| zones.number(z)),
                 one_zone: job.spec.one_zone,
-                zone_cap: job.spec.spread.then(|| job.tasks().div_ceil(2)),
-                zones_used: used,
+                max_per_zone: job.spec.spread.then(|| job.tasks().div_ceil(2)),
+                tasks_by_zone: used,
                 spot: job.spec.spot,
-                fragile: job.spec.checkpoint_s <= 0.0 && job.spec.gpus <= 0.0,
+                uncheckpointed: job.spec.checkpoint_s <= 0.0 && job.spec.gpus <= 0.0,
                 image: images.number(&job.spec.image),
                 pilots_due: if sampling {
                     wanted_pilots.saturating_sub(known_pilots)
@@ -303,16 +303,16 @@
                 },
                 service: job.is_service(),
                 order: latest.unwrap_or(job.ready_at),
-                aims: latest.is_some(),
+                has_objective: latest.is_some(),
                 running: job.assigned,
                 reserved_machines: job
                     .reserved_machines
                     .iter()
                     .filter_map(|m| index.get(m.as_str()).copied())
                     .collect(),
-                resting: job.is_resting(now.unix),
+                backed_off: job.is_resting(now.unix),
                 may_claim_limit: now.unix / 1000 % (CLAIM_S + CLAIM_PAUSE_S) < CLAIM_S,
-                overdue: {
+                urgent: {
                     let begun = job.first_run.is_some() || job.assigned > 0 || job.done > 0;
                     let age_s = now.unix.saturating_sub(job.ready_at) as f64 / 1000.0;
                     // What nobody waits for is never urgent: it would go before all that has an aim, for ever.
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,7 +1,17 @@
 //! Scheduling decisions of vetchmount, as pure functions of a snapshot of the cluster.
 //!
-//! The ordinary path follows Philae (sampling pilots, queues by estimated size, weighted sharing, thin bypass);
-//! guarantees, limits, priorities and preemption frame it. Nothing here does I/O or reads a clock.
+//! Job arrays are scheduled as in Philae: pilot tasks sample a job's size, jobs queue by estimated size, queues share
+//! capacity by weight, and thin arrays skip sampling. Guarantees, limits, priorities and preemption come on top.
+//! Nothing here does I/O or reads a clock.
+//!
+//! | module | subject |
+//! | --- | --- |
+//! | `snapshot` | the cluster as the decisions see it |
+//! | `round` | one round of placement, reservation and preemption |
+//! | `fleet` | machines to rent |
+//! | `sampling` | pilots, queues and their weights |
+//! | `resources` | amounts of CPUs, GPUs and memory |
+//! | `ranges` | compact sets of task numbers |
 
 mod fleet;
 mod ranges;
--- a/crates/sched/src/resources.rs
+++ b/crates/sched/src/resources.rs
@@ -24,21 +24,21 @@
 const MEMORY_PER_GPU: f64 = 256.0;
 
 impl Resources {
-    /// Whether `other` fits into this.
-    pub fn fits(&self, other: &Resources) -> bool {
+    /// Whether `other` fits into this amount.
+    pub fn can_fit(&self, other: &Resources) -> bool {
         other.cpus <= self.cpus + EPS
             && other.gpus <= self.gpus + EPS
             && other.memory_gb <= self.memory_gb + EPS
     }
 
-    /// Adds.
+    /// Adds `other`.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Subtracts.
+    /// Subtracts `other`. The result may be negative.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
@@ -46,27 +46,27 @@
     }
 
     /// Multiplied by a number of tasks.
-    pub fn times(&self, n: f64) -> Resources {
+    pub fn times(&self, tasks: f64) -> Resources {
         Resources {
-            cpus: self.cpus * n,
-            gpus: self.gpus * n,
-            memory_gb: self.memory_gb * n,
+            cpus: self.cpus * tasks,
+            gpus: self.gpus * tasks,
+            memory_gb: self.memory_gb * tasks,
         }
     }
 
-    /// How many of `task` fit, at most `most`.
-    pub fn holds(&self, task: &Resources, most: u32) -> u32 {
-        let mut n = f64::from(most);
-        for (have, need) in [
+    /// How many tasks of that size fit, at most `most`.
+    pub fn capacity_for(&self, task: &Resources, most: u32) -> u32 {
+        let mut tasks = f64::from(most);
+        for (available, needed) in [
             (self.cpus, task.cpus),
             (self.gpus, task.gpus),
             (self.memory_gb, task.memory_gb),
         ] {
-            if need > EPS {
-                n = n.min(((have + EPS) / need).floor());
+            if needed > EPS {
+                tasks = tasks.min(((available + EPS) / needed).floor());
             }
         }
-        n.max(0.0) as u32
+        tasks.max(0.0) as u32
     }
 
     /// The lesser of both, resource by resource.
@@ -78,7 +78,7 @@
         }
     }
 
-    /// One number for all of it: GPUs are what is scarce wherever there are any.
+    /// All resources as one number. GPUs count most, since they are scarce wherever there are any.
     pub(crate) fn weight(&self) -> f64 {
         self.gpus + self.cpus / CPUS_PER_GPU + self.memory_gb / MEMORY_PER_GPU
     }
@@ -103,9 +103,9 @@
         }
     }
 
-    /// Whether `used` and `more` together stay within the bounds. `unbounded` tells whether a resource without a bound
-    /// may be used at all.
-    pub(crate) fn contain(&self, used: &Resources, more: &Resources, unbounded: bool) -> bool {
+    /// Whether `used` and `more` together stay within the bounds. `unbounded` says whether a resource without a
+    /// bound may be used at all.
+    pub(crate) fn allow(&self, used: &Resources, more: &Resources, unbounded: bool) -> bool {
         let within = |bound: Option<f64>, used: f64, more: f64| match bound {
             Some(bound) => used + more <= bound + EPS,
             None => unbounded || more <= NOTHING,
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -1,76 +1,42 @@
 //! One round of decisions: who gets free room, and who has to make room.
 //!
-//! Order of jobs: work that fits its team's guarantee, then priority, then pilots, queued jobs (by weighted
-//! sharing between queues), and held tasks of arrays still being sampled, those without any aim last. A round can be cut
-//! short by its time budget; what it decided so far stands, and the next round works from a fresh snapshot, starting with the
-//! job after the one reached.
+//! Order of jobs: work that fits its team's guarantee, then priority, then pilots, then queued jobs by weighted sharing
+//! between queues, then deferred tasks of arrays still being sampled, those without an objective last.
+//!
+//! The time budget can cut a round short. What it has decided stands; the next round works from a fresh snapshot and
+//! starts with the job after the one reached.
 //!
 //! | module | subject |
 //! | --- | --- |
+//! | `decision` | the result of a round |
+//! | `initial` | what a round derives from its snapshot before it starts |
 //! | `rank` | the order of jobs |
 //! | `placement` | which machines a task may go to, and which suits it best |
 //! | `gangs` | machines for a whole gang at once |
-//! | `limits` | what of a team's limit is left to a gang that waits for it |
-//! | `room` | room for a job that has a right to it |
+//! | `limits` | the part of a team's limit that is left to a gang waiting for it |
+//! | `room` | room made for a job that is entitled to it |
 //! | `reservations` | machines reserved for gangs while they empty |
 //! | `preemption` | tasks stopped to make room |
 
+mod decision;
 mod gangs;
+mod initial;
 mod limits;
 mod placement;
 mod preemption;
 mod rank;
 mod reservations;
 mod room;
+#[cfg(test)]
+mod tests;
 
 use crate::{ClusterSnapshot, Policy, Resources};
-use constants::LASTING_S;
+use initial::{earlier_reservations, long_running, queue_usage, smallest_task};
 use limits::LimitClaim;
 
-/// What is to be done.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Decision {
-    /// Place tasks of a job; of a gang all its waiting tasks at once.
-    Place {
-        /// Job.
-        job: usize,
-        /// (task, machine).
-        tasks: Vec<(u32, usize)>,
-        /// Whether they are pilots.
-        pilots: bool,
-        /// Whether they ran within the guarantee at that moment.
-        entitled: bool,
-    },
-    /// Stop a task to make room.
-    Stop {
-        /// Job of the task.
-        job: usize,
-        /// Task.
-        task: u32,
-        /// Job that needs the room.
-        by: usize,
-    },
-    /// Reserve machines for a gang, so that they do not fill up before it finds room on them.
-    Reserve {
-        /// Gang.
-        job: usize,
-        /// Machines.
-        machines: Vec<usize>,
-    },
-}
-
-/// What came of a round.
-#[derive(Debug, Default)]
-pub struct Outcome {
-    /// What is to be done.
-    pub decisions: Vec<Decision>,
-    /// Whether it got to the end.
-    pub finished: bool,
-    /// Jobs for which there was no room.
-    pub blocked: Vec<usize>,
-}
+pub use decision::{Decision, Outcome};
 
-/// A round under way.
+/// A round in progress.
 pub struct Round<'a> {
     policy: &'a Policy,
     snapshot: ClusterSnapshot,
@@ -82,9 +48,9 @@
     blocked: Vec<bool>,
     /// The gang for which each machine is reserved.
     reserved_for: Vec<Option<usize>>,
-    /// The gang of each team that waits for the team's limit and is left what it needs.
+    /// The gang of each team, if any, for which part of the team's limit is set aside.
     limit_claims: Vec<Option<LimitClaim>>,
-    /// What of each team's use is expected to go on for long.
+    /// Resources of each team's tasks that will run for long.
     long_running: Vec<Resources>,
     decisions: Vec<Decision>,
     /// The least that any waiting task takes, resource by resource.
@@ -124,16 +90,16 @@
         round
     }
 
-    /// Leaves out jobs for which an earlier round, cut short since, found no room: this one goes on behind them.
+    /// Leaves out jobs for which the last round found no room before it was cut short: this one goes on behind them.
     pub fn exclude(&mut self, jobs: impl Iterator<Item = usize>) {
         for job in jobs {
             self.blocked[job] = true;
         }
     }
 
-    /// Decides until nothing is left to decide or `go_on` says stop.
-    pub fn run(mut self, go_on: impl FnMut() -> bool) -> Outcome {
-        let finished = self.decide(go_on);
+    /// Decides until nothing is left to decide or `within_budget` says that the time is up.
+    pub fn run(mut self, within_budget: impl FnMut() -> bool) -> Outcome {
+        let finished = self.decide(within_budget);
         self.decide_reservations();
         let is_blocked = |&job: &usize| self.blocked[job] && self.tasks_left(job) > 0;
         Outcome {
@@ -143,10 +109,10 @@
         }
     }
 
-    fn decide(&mut self, mut go_on: impl FnMut() -> bool) -> bool {
+    fn decide(&mut self, mut within_budget: impl FnMut() -> bool) -> bool {
         let mut waiting: Vec<usize> = (0..self.snapshot.jobs.len()).collect();
         loop {
-            if !go_on() {
+            if !within_budget() {
                 return false;
             }
             waiting.retain(|&job| !self.blocked[job] && self.tasks_left(job) > 0);
@@ -154,26 +120,25 @@
             let Some((_, job)) = first else {
                 return true;
             };
-            // What is placed makes no other job's rank better, so this one goes on while it stays ahead of what
-            // was the second.
+            // A placement improves no other job's rank, so this job stays first until it ranks behind the second.
             loop {
                 if !self.place_next(job) {
-                    self.give_up(job);
+                    self.skip(job);
                     break;
                 }
                 let overtaken = second.is_some_and(|second| second < (self.rank(job), job));
                 if self.tasks_left(job) == 0 || overtaken {
                     break;
                 }
-                if !go_on() {
+                if !within_budget() {
                     return false;
                 }
             }
         }
     }
 
-    /// Passes over a job for which there is no room, after making room for it if it has a right to that.
-    fn give_up(&mut self, job: usize) {
+    /// Leaves a job out of the rest of the round, after making room for it if it is entitled to that.
+    fn skip(&mut self, job: usize) {
         if !self.blocked[job] {
             self.make_room(job);
             if self.reserved_for.contains(&Some(job)) {
@@ -262,12 +227,12 @@
         let task = self.snapshot.jobs[job].task;
         let target = &mut self.snapshot.machines[machine];
         target.free.sub(&task);
-        target.soon.sub(&task);
+        target.free_after_stops.sub(&task);
         target.pilots += u32::from(pilot);
-        target.slots = target.slots.saturating_sub(1);
+        target.free_slots = target.free_slots.saturating_sub(1);
         let zone = target.zone;
         let spec = &mut self.snapshot.jobs[job];
-        add_to_zone(&mut spec.zones_used, zone, 1);
+        add_to_zone(&mut spec.tasks_by_zone, zone, 1);
         if let Some(usage) = self.queue_usage.get_mut(spec.queue) {
             *usage += task.weight();
         }
@@ -280,54 +245,6 @@
     }
 }
 
-/// Weight of what runs of each queue's jobs.
-fn queue_usage(policy: &Policy, snapshot: &ClusterSnapshot) -> Vec<f64> {
-    let mut usage = vec![0.0; policy.queues.max(1)];
-    for job in &snapshot.jobs {
-        if let Some(queue) = usage.get_mut(job.queue) {
-            *queue += f64::from(job.running) * job.task.weight();
-        }
-    }
-    usage
-}
-
-/// Reservations of earlier rounds stay: machines chosen anew each round would fill up again in between.
-fn earlier_reservations(snapshot: &ClusterSnapshot) -> Vec<Option<usize>> {
-    let mut reserved_for = vec![None; snapshot.machines.len()];
-    for (number, job) in snapshot.jobs.iter().enumerate() {
-        for &machine in job
-            .reserved_machines
-            .iter()
-            .filter(|_| !job.waiting.is_empty())
-        {
-            if snapshot.machines[machine].usable || snapshot.machines[machine].coming_s.is_some() {
-                reserved_for[machine] = Some(number);
-            }
-        }
-    }
-    reserved_for
-}
-
-/// What of each team's use is expected to go on for long.
-fn long_running(snapshot: &ClusterSnapshot) -> Vec<Resources> {
-    let mut long_running = vec![Resources::default(); snapshot.teams.len()];
-    for task in snapshot
-        .running
-        .iter()
-        .filter(|task| task.left_s > LASTING_S)
-    {
-        long_running[task.team].add(&task.resources);
-    }
-    long_running
-}
-
-/// The least that any waiting task takes, resource by resource.
-fn smallest_task(snapshot: &ClusterSnapshot) -> Resources {
-    let waiting = snapshot.jobs.iter().filter(|job| !job.waiting.is_empty());
-    let smallest = waiting.map(|job| job.task).reduce(|a, b| a.min(&b));
-    smallest.unwrap_or_default()
-}
-
 /// Adds to the number of tasks in a zone.
 fn add_to_zone(zones: &mut Vec<(usize, u32)>, zone: usize, tasks: u32) {
     match zones.iter_mut().find(|(known, _)| *known == zone) {
@@ -335,6 +252,3 @@
         None => zones.push((zone, tasks)),
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/sched/src/round/gangs.rs
+++ b/crates/sched/src/round/gangs.rs
@@ -7,10 +7,12 @@
 const TAKE_OVER_COST: f64 = 1_000.0;
 /// Cost saved by a machine that is reserved for this gang.
 const RESERVED_GAIN: f64 = 2_000.0;
-/// Cost of a machine on its way: reserved for this gang, for nobody, for a gang behind.
-const COMING_RESERVED_COST: f64 = 2_000.0;
-const COMING_COST: f64 = 4_000.0;
-const COMING_TAKE_OVER_COST: f64 = 6_000.0;
+/// Cost of a booting machine that is reserved for this gang.
+const BOOTING_RESERVED_COST: f64 = 2_000.0;
+/// Cost of a booting machine that is not reserved.
+const BOOTING_COST: f64 = 4_000.0;
+/// Cost of a booting machine that is reserved for a gang behind this one.
+const BOOTING_TAKE_OVER_COST: f64 = 6_000.0;
 
 /// A machine on which tasks of a gang could start.
 struct Candidate {
@@ -21,15 +23,15 @@
 }
 
 impl Round<'_> {
-    /// Machines for all the waiting tasks of a gang, on what `room` says is there; `soon` counts machines that are to be
-    /// up within moments.
+    /// Machines for all waiting tasks of a gang, in the capacity that `room` gives for each machine. `include_booting`
+    /// also counts machines that are expected to be up within moments.
     pub(super) fn gang_machines(
         &self,
         job: usize,
         room: impl Fn(&MachineSnapshot) -> Resources,
-        soon: bool,
+        include_booting: bool,
     ) -> Option<Vec<usize>> {
-        let candidates = self.gang_candidates(job, room, soon);
+        let candidates = self.gang_candidates(job, room, include_booting);
         if !self.snapshot.jobs[job].one_zone {
             return self.fill(job, &candidates, None);
         }
@@ -57,7 +59,7 @@
         &self,
         job: usize,
         room: impl Fn(&MachineSnapshot) -> Resources,
-        soon: bool,
+        include_booting: bool,
     ) -> Vec<Candidate> {
         let task = &self.snapshot.jobs[job].task;
         let needed = self.tasks_left(job) as u32;
@@ -66,16 +68,16 @@
             self.reserved_for[machine].is_none_or(|holder| holder == job || behind[holder])
         };
         let mut candidates: Vec<Candidate> = (0..self.snapshot.machines.len())
-            .filter(|&m| room(&self.snapshot.machines[m]).fits(task))
+            .filter(|&m| room(&self.snapshot.machines[m]).can_fit(task))
             .filter(|&m| available(m))
-            .filter(|&m| self.is_allowed(job, m) || soon && self.is_allowed_soon(job, m))
+            .filter(|&m| self.is_allowed(job, m) || include_booting && self.is_allowed_soon(job, m))
             .map(|machine| {
                 let host = &self.snapshot.machines[machine];
                 Candidate {
                     cost: self.placement_cost(job, machine, false)
                         + self.reservation_cost(job, machine),
                     machine,
-                    tasks: room(host).holds(task, needed.min(host.slots)),
+                    tasks: room(host).capacity_for(task, needed.min(host.free_slots)),
                 }
             })
             .filter(|candidate| candidate.tasks > 0)
@@ -84,16 +86,16 @@
         candidates
     }
 
-    /// What is there goes before what is on its way, and of each what is reserved for the gang stays so.
+    /// Machines that are up go before booting ones; among each, those reserved for the gang go first.
     fn reservation_cost(&self, job: usize, machine: usize) -> f64 {
-        let coming_s = self.snapshot.machines[machine].coming_s;
-        match (coming_s, self.reserved_for[machine]) {
+        let ready_in_s = self.snapshot.machines[machine].ready_in_s;
+        match (ready_in_s, self.reserved_for[machine]) {
             (None, Some(holder)) if holder == job => -RESERVED_GAIN,
             (None, None) => 0.0,
             (None, Some(_)) => TAKE_OVER_COST,
-            (Some(s), Some(holder)) if holder == job => COMING_RESERVED_COST + s,
-            (Some(s), None) => COMING_COST + s,
-            (Some(s), Some(_)) => COMING_TAKE_OVER_COST + s,
+            (Some(s), Some(holder)) if holder == job => BOOTING_RESERVED_COST + s,
+            (Some(s), None) => BOOTING_COST + s,
+            (Some(s), Some(_)) => BOOTING_TAKE_OVER_COST + s,
         }
     }
 
@@ -125,9 +127,9 @@
         (chosen.len() as u32 == needed).then_some(chosen)
     }
 
-    /// Gangs with reserved machines that rank behind this one, which may take them over. Otherwise each large gang
-    /// sits on most of what it needs, waiting for its last machine, while all of them together hold enough for
-    /// some to begin.
+    /// Gangs that rank behind this one, by job: it may take over their reserved machines. Otherwise each large gang
+    /// reserves most of what it needs and waits for its last machine, while all of them together have enough for some
+    /// to start.
     fn holders_behind(&self, job: usize) -> Vec<bool> {
         let mut behind = vec![false; self.snapshot.jobs.len()];
         let own = (self.rank(job), job);
--- a/crates/sched/src/round/limits.rs
+++ b/crates/sched/src/round/limits.rs
@@ -1,12 +1,12 @@
-//! What of a team's limit is left to a gang that waits for it.
+//! The part of a team's limit that is left to a gang waiting for it.
 //!
-//! Small tasks that rank behind a gang would keep its team at the limit, and the gang out for ever. So one gang a team at
-//! a time has a claim: what it needs of the limit is not given to tasks behind it.
+//! Small tasks that rank behind a gang would keep its team at the limit, and the gang would starve. So one gang of a
+//! team at a time has a claim: tasks behind it do not get what it needs of the limit.
 
 use super::Round;
 use crate::Resources;
 
-/// A gang that is left what it needs of its team's limit.
+/// A part of a team's limit set aside for a gang.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LimitClaim {
     gang: usize,
@@ -14,8 +14,8 @@
 }
 
 impl Round<'_> {
-    /// Claims for gangs that wait for their team's limit alone. A gang larger than its team's guarantee ranks behind all
-    /// that fits into it, and would never get in.
+    /// Claims for gangs that wait only for their team's limit. A gang larger than its team's guarantee ranks behind all
+    /// work within the guarantee, and would never be placed.
     pub(super) fn claim_limits(&mut self) {
         let jobs = 0..self.snapshot.jobs.len();
         let mut gangs: Vec<usize> = jobs.filter(|&job| self.waits_for_limit(job)).collect();
@@ -32,21 +32,21 @@
             && !self.snapshot.teams[spec.team].allows(&self.demand(job))
     }
 
-    /// A claim for a job that may have one, if its team has none yet. Not if what runs on for long, other gangs mostly,
-    /// keeps it out in any case.
+    /// Makes a claim for a job that may have one, if its team has none yet. There is none if tasks that run for long,
+    /// mostly other gangs, exhaust the limit in any case.
     pub(super) fn claim_limit(&mut self, job: usize) {
         let spec = &self.snapshot.jobs[job];
         let demand = self.demand(job);
         let limit = &self.snapshot.teams[spec.team].limit;
-        let possible = limit.contain(&self.long_running[spec.team], &demand, true);
-        let may_claim = spec.gang && spec.may_claim_limit && !spec.resting;
+        let possible = limit.allow(&self.long_running[spec.team], &demand, true);
+        let may_claim = spec.gang && spec.may_claim_limit && !spec.backed_off;
         if may_claim && possible && self.limit_claims[spec.team].is_none() {
             self.limit_claims[spec.team] = Some(LimitClaim { gang: job, demand });
         }
     }
 
-    /// What of its team's limit is claimed by a gang that goes before this job: only of what the job takes itself, or a
-    /// task without GPUs would wait for those of a gang.
+    /// The part of its team's limit claimed by a gang that ranks before this job. Only resources that the job takes
+    /// itself count: a task without GPUs must not wait for those of a gang.
     pub(super) fn claimed_ahead_of(&self, job: usize) -> Resources {
         let spec = &self.snapshot.jobs[job];
         let is_ahead = |gang: usize| gang != job && self.compare_in_team(gang, job).is_lt();
--- a/crates/sched/src/round/placement.rs
+++ b/crates/sched/src/round/placement.rs
@@ -6,19 +6,19 @@
 
 /// Cost of each pilot that already runs on a machine, for another one.
 const PILOT_COST: f64 = 1000.0;
-/// Cost of a machine that is slower than its kin.
+/// Cost of a machine that is slower than others of its type.
 const SLOW_COST: f64 = 400.0;
-/// Cost of a machine that does not hold the image.
+/// Cost of a machine that lacks the image.
 const FETCH_COST: f64 = 100.0;
-/// Cost of an ordinary machine for work that may run on spot ones: room that gangs and other work bound to ordinary
-/// machines can use is given last.
+/// Cost of an on-demand machine for work that may run on spot instances: capacity for gangs and other work that needs
+/// on-demand machines is used last.
 const ORDINARY_COST: f64 = 40.0;
 
 impl Round<'_> {
     /// Whether a machine has room for the smallest of the waiting tasks.
     pub(super) fn can_take_task(&self, machine: usize) -> bool {
         let host = &self.snapshot.machines[machine];
-        host.usable && host.slots > 0 && host.free.fits(&self.smallest_task)
+        host.usable && host.free_slots > 0 && host.free.can_fit(&self.smallest_task)
     }
 
     /// Whether tasks of the job may go to the machine, if there is room.
@@ -29,14 +29,14 @@
     /// Whether tasks of the job may go to the machine now or within moments.
     pub(super) fn is_allowed_soon(&self, job: usize, machine: usize) -> bool {
         let host = &self.snapshot.machines[machine];
-        let usable_soon = host.usable || host.coming_s.is_some_and(|s| s <= COMING_S);
+        let usable_soon = host.usable || host.ready_in_s.is_some_and(|s| s <= COMING_S);
         usable_soon && self.meets_constraints(job, machine)
     }
 
     fn meets_constraints(&self, job: usize, machine: usize) -> bool {
         let spec = &self.snapshot.jobs[job];
         let host = &self.snapshot.machines[machine];
-        host.slots > 0
+        host.free_slots > 0
             && (spec.spot || !host.spot)
             && spec.zone.is_none_or(|zone| zone == host.zone)
             && spec
@@ -44,23 +44,23 @@
                 .as_ref()
                 .is_none_or(|kinds| kinds.contains(&host.kind))
             && !spec.avoid.contains(&machine)
-            && host.total.fits(&spec.task)
+            && host.total.can_fit(&spec.task)
     }
 
-    /// How many more tasks of the job the zone may hold.
+    /// How many more tasks of the job the zone may take.
     pub(super) fn zone_capacity(&self, job: usize, zone: usize) -> u32 {
         let spec = &self.snapshot.jobs[job];
         let is_elsewhere = |(used, tasks): &(usize, u32)| *used != zone && *tasks > 0;
-        if spec.one_zone && spec.zones_used.iter().any(is_elsewhere) {
+        if spec.one_zone && spec.tasks_by_zone.iter().any(is_elsewhere) {
             return 0;
         }
-        let Some(cap) = spec.zone_cap else {
+        let Some(cap) = spec.max_per_zone else {
             return u32::MAX;
         };
-        // What is in a zone that nobody knows yet may be in this one.
+        // Tasks in an unknown zone may be in this one.
         let may_be_here = |used: usize| used == zone || used == UNKNOWN_ZONE;
         let here = spec
-            .zones_used
+            .tasks_by_zone
             .iter()
             .filter(|(used, _)| may_be_here(*used));
         cap.saturating_sub(here.map(|(_, tasks)| tasks).sum())
@@ -85,12 +85,12 @@
         if !host.images.contains(&spec.image) {
             cost += FETCH_COST;
         }
-        if spec.fragile {
-            cost += fragile_cost(host);
+        if spec.uncheckpointed {
+            cost += uncheckpointed_cost(host);
         } else if spec.spot && !host.spot {
             cost += ORDINARY_COST;
         }
-        cost += REACH_COST * host.reach_s;
+        cost += REACH_COST * host.dispatch_delay_s;
         let mut rest = host.free;
         rest.sub(&spec.task);
         cost + rest.weight().max(0.0)
@@ -101,7 +101,7 @@
         let task = &self.snapshot.jobs[job].task;
         let has_room = |&machine: &usize| {
             let host = &self.snapshot.machines[machine];
-            host.free.fits(task)
+            host.free.can_fit(task)
                 && self.is_allowed(job, machine)
                 && self.is_available(job, machine)
                 && self.zone_capacity(job, host.zone) > 0
@@ -114,9 +114,9 @@
     }
 }
 
-/// What it costs to place a task that never saves: all is lost with a spot machine, and an idle machine of ours may go
-/// back, unless something runs there.
-fn fragile_cost(machine: &MachineSnapshot) -> f64 {
+/// Cost of a machine for a task without checkpoints. All its work is lost with a spot instance, and a task alone on an
+/// on-demand machine keeps that machine from being returned.
+fn uncheckpointed_cost(machine: &MachineSnapshot) -> f64 {
     let idle = machine.total.gpus > 0.0 && machine.free.gpus >= machine.total.gpus;
     match (machine.spot, idle) {
         (true, _) => FRAGILE_COST,
--- a/crates/sched/src/round/preemption.rs
+++ b/crates/sched/src/round/preemption.rs
@@ -1,11 +1,29 @@
-//! Tasks stopped to make room: those of lower priority, or, for a guarantee, what another team runs beyond its own.
+//! Preemption: stops tasks of lower priority, or, for a guarantee, those of a team that exceeds its own.
 
 use super::{Decision, Round};
-use crate::{JobSnapshot, Resources, RunningTask, TeamSnapshot};
+use crate::{Resources, RunningTask, TeamSnapshot};
 use constants::FETCH_COST_S;
 
 /// Cost of stopping a task besides the work that is lost, in seconds.
 const STOP_COST_S: f64 = 5.0;
+/// Cost of a slow machine, in seconds.
+const SLOW_MACHINE_COST_S: f64 = 2.0 * FETCH_COST_S;
+
+/// The job for which tasks are preempted.
+#[derive(Clone, Copy)]
+struct Preemptor {
+    job: usize,
+    team: usize,
+    priority: u8,
+    gang: bool,
+    /// Resources of each of its tasks.
+    task: Resources,
+    image: usize,
+    /// Whether what it needs fits its team's guarantee.
+    entitled: bool,
+    /// Number of tasks to make room for.
+    needed: u32,
+}
 
 /// Room that could be made on a machine.
 struct PreemptionOption {
@@ -18,69 +36,85 @@
 }
 
 impl Round<'_> {
-    /// Stops tasks that have to give way to the job; false if that does not make enough room.
+    /// Preempts tasks for the job; false if that does not make enough room.
     pub(super) fn preempt(&mut self, job: usize, entitled: bool) -> bool {
         if self.victims.is_none() {
-            self.victims = Some(self.stoppable_by_machine());
+            self.victims = Some(self.preemptible_by_machine());
         }
-        let preemptor = self.snapshot.jobs[job].clone();
-        if !self.may_find_victims(&preemptor, entitled) {
+        let preemptor = self.preemptor(job, entitled);
+        if !self.may_find_victims(&preemptor) {
             return false;
         }
-        let needed = if preemptor.gang {
-            self.tasks_left(job) as u32
-        } else {
-            1
-        };
-        let mut options = self.preemption_options(job, &preemptor, entitled, needed);
+        let mut options = self.preemption_options(&preemptor);
         options.sort_by(|a, b| a.cost_s.total_cmp(&b.cost_s));
-        if preemptor.one_zone && !self.retain_one_zone(&mut options, needed) {
+        let one_zone = self.snapshot.jobs[job].one_zone;
+        if one_zone && !self.retain_one_zone(&mut options, preemptor.needed) {
             return false;
         }
-        if options.iter().map(|option| option.tasks).sum::<u32>() < needed {
+        if options.iter().map(|option| option.tasks).sum::<u32>() < preemptor.needed {
             return false;
         }
-        self.stop_victims(job, &preemptor, entitled, needed, options);
+        self.stop_victims(&preemptor, options);
         true
     }
 
-    fn stoppable_by_machine(&self) -> Vec<Vec<usize>> {
+    fn preemptor(&self, job: usize, entitled: bool) -> Preemptor {
+        let spec = &self.snapshot.jobs[job];
+        let needed = if spec.gang {
+            self.tasks_left(job) as u32
+        } else {
+            1
+        };
+        Preemptor {
+            job,
+            team: spec.team,
+            priority: spec.priority,
+            gang: spec.gang,
+            task: spec.task,
+            image: spec.image,
+            entitled,
+            needed,
+        }
+    }
+
+    fn preemptible_by_machine(&self) -> Vec<Vec<usize>> {
         let mut by_machine = vec![Vec::new(); self.snapshot.machines.len()];
         for (number, task) in self.snapshot.running.iter().enumerate() {
-            if task.movable {
+            if task.preemptible {
                 by_machine[task.machine].push(number);
             }
         }
         by_machine
     }
 
-    /// Most jobs that wait have no right to anybody's room: no need to look at every machine for them.
-    fn may_find_victims(&self, preemptor: &JobSnapshot, entitled: bool) -> bool {
-        let lower = |task: &RunningTask| task.movable && task.priority < preemptor.priority;
+    /// Whether any task could be preempted. Most waiting jobs can preempt none, and need no look at every machine.
+    fn may_find_victims(&self, preemptor: &Preemptor) -> bool {
+        let lower = |task: &RunningTask| task.preemptible && task.priority < preemptor.priority;
         let lends = |team: &TeamSnapshot| team.borrows(&Resources::default());
-        self.snapshot.running.iter().any(lower) || entitled && self.snapshot.teams.iter().any(lends)
+        self.snapshot.running.iter().any(lower)
+            || preemptor.entitled && self.snapshot.teams.iter().any(lends)
     }
 
-    fn preemption_options(
-        &self,
-        job: usize,
-        preemptor: &JobSnapshot,
-        entitled: bool,
-        needed: u32,
-    ) -> Vec<PreemptionOption> {
+    /// Machines on which preemption makes room for at least one task.
+    fn preemption_options(&self, preemptor: &Preemptor) -> Vec<PreemptionOption> {
+        let job = preemptor.job;
         let mut options = Vec::new();
-        for (machine, stoppable) in self.victims.iter().flatten().enumerate() {
+        for (machine, preemptible) in self.victims.iter().flatten().enumerate() {
             if !self.is_allowed(job, machine)
                 || !self.is_available(job, machine)
                 || self.zone_capacity(job, self.snapshot.machines[machine].zone) == 0
             {
                 continue;
             }
-            let stoppable = self.cheapest_first(job, stoppable);
-            if stoppable.is_empty() && !self.snapshot.machines[machine].soon.fits(&preemptor.task) {
+            let preemptible = self.cheapest_first(job, preemptible);
+            if preemptible.is_empty()
+                && !self.snapshot.machines[machine]
+                    .free_after_stops
+                    .can_fit(&preemptor.task)
+            {
                 continue;
             }
-            let option = self.room_on(machine, preemptor, entitled, needed, stoppable);
+            let option = self.room_on(machine, preemptor, preemptible);
             if option.tasks > 0 {
                 options.push(option);
             }
@@ -89,10 +123,10 @@
     }
 
     /// Tasks of other jobs that may still be stopped: lowest priority first, then by the work that is lost.
-    fn cheapest_first(&self, job: usize, stoppable: &[usize]) -> Vec<usize> {
+    fn cheapest_first(&self, job: usize, preemptible: &[usize]) -> Vec<usize> {
         let running = &self.snapshot.running;
-        let may_stop = |&task: &usize| running[task].movable && running[task].job != job;
-        let mut tasks: Vec<usize> = stoppable.iter().copied().filter(may_stop).collect();
+        let may_stop = |&task: &usize| running[task].preemptible && running[task].job != job;
+        let mut tasks: Vec<usize> = preemptible.iter().copied().filter(may_stop).collect();
         tasks.sort_by(|&a, &b| {
             let (a, b) = (&running[a], &running[b]);
             let by_priority = a.priority.cmp(&b.priority);
@@ -105,33 +139,31 @@
     fn room_on(
         &self,
         machine: usize,
-        preemptor: &JobSnapshot,
-        entitled: bool,
-        needed: u32,
-        stoppable: Vec<usize>,
+        preemptor: &Preemptor,
+        preemptible: Vec<usize>,
     ) -> PreemptionOption {
         let host = &self.snapshot.machines[machine];
         let (mut victims, mut cost_s) = (Vec::new(), 0.0);
         if !host.images.contains(&preemptor.image) {
-            // The room is wanted soon, and a fetch may take longer than the stopped tasks do to save.
+            // The room is needed soon, and a fetch may take longer than the checkpoints of the stopped tasks.
             cost_s += FETCH_COST_S;
         }
         if host.slow {
-            cost_s += 2.0 * FETCH_COST_S;
+            cost_s += SLOW_MACHINE_COST_S;
         }
-        let mut room = host.soon;
+        let mut room = host.free_after_stops;
         let mut teams = self.snapshot.teams.clone();
-        for number in stoppable {
-            if room.fits(&preemptor.task) {
+        for number in preemptible {
+            if room.can_fit(&preemptor.task) {
                 break;
             }
             let task = &self.snapshot.running[number];
-            let by_guarantee = entitled
+            let by_guarantee = preemptor.entitled
                 && task.team != preemptor.team
                 && teams[task.team].borrows(&task.resources);
             if task.priority < preemptor.priority || by_guarantee {
                 room.add(&task.resources);
-                teams[task.team].leaving.add(&task.resources);
+                teams[task.team].stopping.add(&task.resources);
                 cost_s += task.cost_s + STOP_COST_S;
                 victims.push(number);
             }
@@ -140,7 +172,7 @@
             cost_s,
             machine,
             victims,
-            tasks: room.holds(&preemptor.task, needed),
+            tasks: room.capacity_for(&preemptor.task, preemptor.needed),
         }
     }
 
@@ -159,48 +191,44 @@
         true
     }
 
-    fn stop_victims(
-        &mut self,
-        job: usize,
-        preemptor: &JobSnapshot,
-        entitled: bool,
-        mut needed: u32,
-        options: Vec<PreemptionOption>,
-    ) {
+    /// Preempts tasks of the cheapest options, until there is room for all tasks needed.
+    fn stop_victims(&mut self, preemptor: &Preemptor, options: Vec<PreemptionOption>) {
+        let mut needed = preemptor.needed;
         for option in options {
             if needed == 0 {
                 break;
             }
             for victim in option.victims {
-                self.stop_victim(job, preemptor, entitled, victim);
+                self.stop_victim(preemptor, victim);
             }
             if preemptor.gang {
-                self.reserved_for[option.machine] = Some(job);
+                self.reserved_for[option.machine] = Some(preemptor.job);
             } else {
                 self.snapshot.machines[option.machine]
-                    .soon
+                    .free_after_stops
                     .sub(&preemptor.task);
             }
             needed = needed.saturating_sub(option.tasks);
         }
     }
 
-    /// Stops a task, unless its team has lost its surplus to an earlier machine of this very choice.
-    fn stop_victim(&mut self, job: usize, preemptor: &JobSnapshot, entitled: bool, victim: usize) {
+    /// Preempts a task, unless tasks preempted for the same job have used up what its team had beyond its guarantee.
+    fn stop_victim(&mut self, preemptor: &Preemptor, victim: usize) {
         let task = self.snapshot.running[victim].clone();
-        let by_guarantee = entitled && self.snapshot.teams[task.team].borrows(&task.resources);
+        let by_guarantee =
+            preemptor.entitled && self.snapshot.teams[task.team].borrows(&task.resources);
         if task.priority >= preemptor.priority && !by_guarantee {
             return;
         }
-        self.snapshot.running[victim].movable = false;
+        self.snapshot.running[victim].preemptible = false;
         self.snapshot.machines[task.machine]
-            .soon
+            .free_after_stops
             .add(&task.resources);
-        self.snapshot.teams[task.team].leaving.add(&task.resources);
+        self.snapshot.teams[task.team].stopping.add(&task.resources);
         self.decisions.push(Decision::Stop {
             job: task.job,
             task: task.task,
-            by: job,
+            by: preemptor.job,
         });
     }
 }
--- a/crates/sched/src/round/rank.rs
+++ b/crates/sched/src/round/rank.rs
@@ -1,21 +1,21 @@
-//! The order of jobs.
+//! The order in which jobs are placed.
 
 use super::Round;
 use crate::weight_of;
 use std::cmp::Ordering;
 
-/// What a job's next task is, in the order in which they are placed.
+/// Class of a job's next task, in the order in which classes are placed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Class {
     /// A pilot, or a service.
     PilotOrService,
     /// Work whose size is known.
     Queued,
-    /// Held back while the job is sampled, with an aim.
-    HeldWithAim,
-    /// Held back while the job is sampled, without any aim: by arrival it would go before all that has one, for as long
-    /// as its pilots run.
-    HeldWithoutAim,
+    /// Deferred while the job is sampled; the job has an objective.
+    DeferredWithObjective,
+    /// Deferred while the job is sampled; the job has no objective. In order of arrival it would go before jobs that
+    /// have one, for as long as its pilots run.
+    DeferredWithoutObjective,
 }
 
 /// Where a job stands: the smallest rank goes first.
@@ -25,7 +25,7 @@
     /// Larger is less important.
     unimportance: u8,
     class: Class,
-    /// What runs of the job's queue, by the queue's weight.
+    /// Usage of the job's queue divided by the queue's weight.
     queue_share: f64,
     order: u64,
 }
@@ -34,11 +34,12 @@
 pub(super) type RankedJob = (Rank, usize);
 
 impl Round<'_> {
+    /// The job's present rank. It changes with each placement.
     pub(super) fn rank(&self, job: usize) -> Rank {
         let spec = &self.snapshot.jobs[job];
         let entitled = self.snapshot.teams[spec.team].entitles(&self.demand(job));
         let class = self.class(job);
-        let queue_share = if class == Class::Queued && !spec.overdue {
+        let queue_share = if class == Class::Queued && !spec.urgent {
             let usage = self.queue_usage.get(spec.queue).copied().unwrap_or(0.0);
             usage / weight_of(self.policy, spec.queue)
         } else {
@@ -59,10 +60,10 @@
             Class::PilotOrService
         } else if !spec.sampling {
             Class::Queued
-        } else if spec.aims {
-            Class::HeldWithAim
+        } else if spec.has_objective {
+            Class::DeferredWithObjective
         } else {
-            Class::HeldWithoutAim
+            Class::DeferredWithoutObjective
         }
     }
 
@@ -81,7 +82,7 @@
         (first, second)
     }
 
-    /// Order within a team, where its guarantee is of no account.
+    /// Order of two jobs of the same team, for which the guarantee makes no difference.
     pub(super) fn compare_in_team(&self, a: usize, b: usize) -> Ordering {
         let rank = |job: usize| Rank {
             beyond_guarantee: false,
--- a/crates/sched/src/round/reservations.rs
+++ b/crates/sched/src/round/reservations.rs
@@ -1,4 +1,4 @@
-//! Machines reserved for gangs: they must not fill up with small tasks again while they empty.
+//! Machines reserved for gangs, so that they do not fill up with small tasks while they drain.
 
 use super::{Decision, Round};
 use constants::RESERVED_PART;
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Reserves the machines that empty soonest, all in one zone for a gang that needs one. A gang that can't have all it
-    /// lacks reserves nothing: two that each hold half of what both need would wait for ever.
-    pub(super) fn reserve_emptying(&mut self, job: usize) {
+    /// Reserves the machines that drain soonest, all in one zone for a gang that needs one. A gang that can't get all
+    /// that it lacks reserves nothing: two gangs that each reserve half of what both need would deadlock.
+    pub(super) fn reserve_draining(&mut self, job: usize) {
         let chosen = self.choose_reservations(job);
         let zone_of = |machine: usize| self.snapshot.machines[machine].zone;
         let home = chosen.as_ref().and_then(|machines| machines.first());
@@ -57,12 +57,12 @@
         }
     }
 
-    /// The machines to reserve besides those that are, of the group that empties soonest.
+    /// The machines to reserve besides those that are, of the group that drains soonest.
     fn choose_reservations(&self, job: usize) -> Option<Vec<usize>> {
         let taken = self.reserved_for.iter().flatten().count();
         let own = self.reserved_for.iter().flatten();
         let own = own.filter(|&&holder| holder == job).count();
-        // Never more than a part of the fleet stands half empty for gangs, unless a single one needs more.
+        // Only a part of the fleet may be reserved, unless a single gang needs more.
         let allowed = (self.snapshot.machines.len() / RESERVED_PART).saturating_sub(taken - own);
         let alone = taken == own;
         let busy_s = |machine: usize| self.snapshot.machines[machine].busy_s;
@@ -75,7 +75,7 @@
             if reserved + chosen.len() > allowed && !alone {
                 continue;
             }
-            // What it holds in a zone already speaks for that zone.
+            // Machines reserved already make a zone cheaper.
             let cost = chosen.last().map_or(0.0, |&last| busy_s(last)) - reserved as f64;
             if best.as_ref().is_none_or(|(least, _)| cost < *least) {
                 best = Some((cost, chosen));
@@ -114,13 +114,13 @@
         groups
     }
 
-    /// The machines of a group that empty soonest, as many as the gang lacks; none if there are too few.
+    /// The machines of a group that drain soonest, as many as the gang lacks; none if there are too few.
     fn complete(&self, job: usize, group: Group) -> Option<Vec<usize>> {
         let tasks = self.tasks_left(job);
         let task = &self.snapshot.jobs[job].task;
-        let holds = |machine: usize| {
+        let capacity = |machine: usize| {
             let total = &self.snapshot.machines[machine].total;
-            total.holds(task, tasks as u32) as usize
+            total.capacity_for(task, tasks as u32) as usize
         };
         let busy_s = |machine: usize| self.snapshot.machines[machine].busy_s;
         let mut machines = group.unreserved;
@@ -131,7 +131,7 @@
             if lacking == 0 {
                 break;
             }
-            lacking = lacking.saturating_sub(holds(machine));
+            lacking = lacking.saturating_sub(capacity(machine));
             chosen.push(machine);
         }
         (lacking == 0).then_some(chosen)
--- a/crates/sched/src/round/room.rs
+++ b/crates/sched/src/round/room.rs
@@ -1,35 +1,35 @@
-//! Room for a job that has a right to it: on machines that empty anyway, by stopping tasks, or reserved for a gang.
+//! Room for a job that is entitled to it: on machines that are draining anyway, by preemption, or reserved for a gang.
 
 use super::Round;
 
 impl Round<'_> {
-    /// Makes room for a job that found none. What is asked for here is free in a later round.
+    /// Makes room for a job that found none. The room is free in a later round.
     pub(super) fn make_room(&mut self, job: usize) {
         let spec = &self.snapshot.jobs[job];
         if !spec.gang && (self.next_is_pilot(job) || spec.sampling) {
             return;
         }
-        if spec.resting {
+        if spec.backed_off {
             return self.release_reservations(job);
         }
         let is_gang = spec.gang;
         let entitled = self.snapshot.teams[spec.team].entitles(&self.demand(job));
-        let emptying = if is_gang {
-            self.wait_for_gang_room(job)
+        let has_expected_room = if is_gang {
+            self.reserve_expected_room(job)
         } else {
-            self.wait_for_task_room(job)
+            self.use_expected_room(job)
         };
-        if emptying || self.preempt(job, entitled) {
+        if has_expected_room || self.preempt(job, entitled) {
             return;
         }
         if is_gang {
-            self.reserve_emptying(job);
+            self.reserve_draining(job);
         }
     }
 
-    /// Reserves machines that are emptying or on their way, if they have room for the whole gang.
-    fn wait_for_gang_room(&mut self, job: usize) -> bool {
-        let Some(chosen) = self.gang_machines(job, |machine| machine.soon, true) else {
+    /// Reserves machines that are draining or booting, if they have room for the whole gang.
+    fn reserve_expected_room(&mut self, job: usize) -> bool {
+        let Some(chosen) = self.gang_machines(job, |machine| machine.free_after_stops, true) else {
             return false;
         };
         self.release_reservations(job);
@@ -39,19 +39,21 @@
         true
     }
 
-    /// Counts on a machine that is emptying, if there is one with room for a task.
-    fn wait_for_task_room(&mut self, job: usize) -> bool {
+    /// Uses room that tasks being stopped are about to leave, if some machine has enough for a task.
+    fn use_expected_room(&mut self, job: usize) -> bool {
         let task = self.snapshot.jobs[job].task;
-        let emptying = (0..self.snapshot.machines.len()).find(|&machine| {
-            self.snapshot.machines[machine].soon.fits(&task)
+        let machine = (0..self.snapshot.machines.len()).find(|&machine| {
+            self.snapshot.machines[machine]
+                .free_after_stops
+                .can_fit(&task)
                 && self.is_allowed(job, machine)
                 && self.is_available(job, machine)
         });
-        let Some(machine) = emptying else {
+        let Some(machine) = machine else {
             return false;
         };
-        // Only what is on its way out is counted on; the machine's free room stays open to all.
-        self.snapshot.machines[machine].soon.sub(&task);
+        // Only `free_after_stops` is used up; the room that is free now stays open to all.
+        self.snapshot.machines[machine].free_after_stops.sub(&task);
         true
     }
 }
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -1,8 +1,9 @@
-//! Small views, and what a round makes of them.
+//! Small snapshots, and the decisions of a round over them.
 
-use super::*;
+use super::{Decision, Round};
 use crate::{
-    JobSnapshot, MachineSnapshot, ResourceBounds, RunningTask, TeamSnapshot, UNKNOWN_ZONE,
+    ClusterSnapshot, JobSnapshot, MachineSnapshot, Policy, ResourceBounds, Resources, RunningTask,
+    TeamSnapshot, UNKNOWN_ZONE,
 };
 
 fn bounds(cpus: f64, gpus: f64) -> ResourceBounds {
@@ -20,16 +21,16 @@
         zone,
         spot: false,
         free: total,
-        soon: total,
+        free_after_stops: total,
         total,
         usable: true,
-        slots: 400,
+        free_slots: 400,
         pilots: 0,
         slow: false,
         images: vec![0],
         busy_s: 0.0,
-        reach_s: 0.0,
-        coming_s: None,
+        dispatch_delay_s: 0.0,
+        ready_in_s: None,
     }
 }
 
@@ -47,10 +48,10 @@
         kinds: None,
         zone: None,
         one_zone: false,
-        zone_cap: None,
-        zones_used: vec![],
+        max_per_zone: None,
+        tasks_by_zone: vec![],
         spot: true,
-        fragile: false,
+        uncheckpointed: false,
         image: 0,
         waiting: (0..tasks).collect(),
         pilots_due: 0,
@@ -60,10 +61,10 @@
         running: 0,
         avoid: vec![],
         reserved_machines: vec![],
-        overdue: false,
-        resting: false,
+        urgent: false,
+        backed_off: false,
         may_claim_limit: true,
-        aims: true,
+        has_objective: true,
     }
 }
 
@@ -72,7 +73,7 @@
     Round::new(&policy, snapshot).run(|| true).decisions
 }
 
-fn placed(decisions: &[Decision], job: usize) -> Vec<(u32, usize)> {
+fn placements_of(decisions: &[Decision], job: usize) -> Vec<(u32, usize)> {
     let mut out = Vec::new();
     for d in decisions {
         if let Decision::Place { job: j, tasks, .. } = d {
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn pilots_go_first_where_fewest_pilots_run_and_held_tasks_get_idle_room_last() {
+fn pilots_go_first_where_fewest_pilots_run_and_deferred_tasks_get_idle_room_last() {
     let mut sampled = job(5, false, 8, 1.0);
     sampled.pilots_due = 1;
     sampled.sampling = true;
@@ -100,13 +101,21 @@
     };
     let d = decide(snapshot);
     assert_eq!(
-        placed(&d, 0)[0],
+        placements_of(&d, 0)[0],
         (0, 1),
         "the pilot, on the machine without one"
     );
     assert!(matches!(d[0], Decision::Place { pilots: true, .. }));
-    assert_eq!(placed(&d, 1).len(), 6, "the estimated job comes next");
-    assert_eq!(placed(&d, 0).len(), 2, "one held task takes what is left");
+    assert_eq!(
+        placements_of(&d, 1).len(),
+        6,
+        "the estimated job comes next"
+    );
+    assert_eq!(
+        placements_of(&d, 0).len(),
+        2,
+        "one deferred task takes what is left"
+    );
 }
 
 #[test]
@@ -122,7 +131,7 @@
         running: vec![],
     };
     let d = decide(snapshot);
-    let counts = [0, 1, 2].map(|j| placed(&d, j).len());
+    let counts = [0, 1, 2].map(|j| placements_of(&d, j).len());
     assert_eq!(counts, [0, 20, 2], "ten to one, the earlier job first");
 }
 
@@ -131,7 +140,7 @@
     let mut together = job(1, true, 2, 4.0);
     together.one_zone = true;
     let mut apart = job(2, true, 3, 4.0);
-    apart.zone_cap = Some(2);
+    apart.max_per_zone = Some(2);
     let snapshot = ClusterSnapshot {
         machines: vec![
             machine(0, 4.0),
@@ -144,15 +153,18 @@
         running: vec![],
     };
     let d = decide(snapshot);
-    assert_eq!(placed(&d, 0), vec![(0, 1), (1, 2)]);
-    assert!(placed(&d, 1).is_empty(), "two machines hold no gang of 3");
+    assert_eq!(placements_of(&d, 0), vec![(0, 1), (1, 2)]);
+    assert!(
+        placements_of(&d, 1).is_empty(),
+        "two machines hold no gang of 3"
+    );
 }
 
 #[test]
 fn old_attempts_still_on_machines_bind_the_zone() {
     let mut gang = job(1, true, 1, 4.0);
     gang.one_zone = true;
-    gang.zones_used = vec![(1, 1)];
+    gang.tasks_by_zone = vec![(1, 1)];
     let snapshot = ClusterSnapshot {
         machines: vec![machine(0, 4.0)],
         teams: vec![TeamSnapshot::default()],
@@ -168,7 +180,7 @@
         guarantee: bounds(0.0, 4.0),
         limit: bounds(0.0, 4.0),
         used: Resources::default(),
-        leaving: Resources::default(),
+        stopping: Resources::default(),
     };
     let borrower = TeamSnapshot {
         guarantee: bounds(0.0, 2.0),
@@ -178,11 +190,11 @@
             gpus: 4.0,
             memory_gb: 4.0,
         },
-        leaving: Resources::default(),
+        stopping: Resources::default(),
     };
     let mut full = machine(0, 4.0);
     full.free.gpus = 0.0;
-    full.soon.gpus = 0.0;
+    full.free_after_stops.gpus = 0.0;
     let mut theirs = job(1, false, 0, 1.0);
     theirs.team = 1;
     let running = (0..4)
@@ -193,9 +205,9 @@
             team: 1,
             priority: 1,
             resources: theirs.task,
-            movable: true,
+            preemptible: true,
             cost_s: f64::from(task),
-            left_s: 60.0,
+            remaining_s: 60.0,
         })
         .collect();
     let snapshot = ClusterSnapshot {
@@ -215,7 +227,7 @@
                 stops.push(task);
                 let v = snapshot.running.iter_mut().find(|r| r.task == task);
                 let v = v.expect("running");
-                v.movable = false;
+                v.preemptible = false;
                 let res = v.resources;
                 snapshot.teams[1].used.sub(&res);
                 snapshot.teams[0].used.add(&res);
@@ -230,12 +242,12 @@
             guarantee: bounds(0.0, 0.0),
             limit: bounds(0.0, 3.0),
             used: Resources::default(),
-            leaving: Resources::default(),
+            stopping: Resources::default(),
         }],
         jobs: vec![job(1, false, 9, 1.0)],
         running: vec![],
     };
-    assert_eq!(placed(&decide(limited.clone()), 0).len(), 3);
+    assert_eq!(placements_of(&decide(limited.clone()), 0).len(), 3);
     limited.teams[0].used.gpus = 3.0;
     assert!(decide(limited).is_empty());
 }
@@ -256,11 +268,11 @@
         guarantee: bounds(0.0, 1.0),
         limit: bounds(0.0, 4.0),
         used: res(4.0),
-        leaving: Resources::default(),
+        stopping: Resources::default(),
     };
     let mut full = machine(0, 4.0);
     full.free = Resources::default();
-    full.soon = Resources::default();
+    full.free_after_stops = Resources::default();
     let mut elsewhere = machine(1, 4.0);
     elsewhere.kind = 1;
     let mut wants_room = job(1, false, 1, 1.0);
@@ -274,9 +286,9 @@
         team: 1,
         priority: 1,
         resources: res(1.0),
-        movable: true,
+        preemptible: true,
         cost_s: 0.0,
-        left_s: 60.0,
+        remaining_s: 60.0,
     }];
     let d = decide(ClusterSnapshot {
         machines: vec![full, elsewhere],
@@ -298,11 +310,11 @@
 fn a_gang_reserves_the_machine_that_empties_for_it() {
     let mut emptying = machine(0, 4.0);
     emptying.free.gpus = 2.0;
-    emptying.soon.gpus = 2.0;
+    emptying.free_after_stops.gpus = 2.0;
     emptying.busy_s = 9.0;
     let mut full = machine(0, 4.0);
     full.free.gpus = 0.0;
-    full.soon.gpus = 0.0;
+    full.free_after_stops.gpus = 0.0;
     full.busy_s = 5.0;
     let mut waiting = job(1, true, 1, 4.0);
     waiting.reserved_machines = vec![0];
@@ -333,7 +345,10 @@
         steps += 1;
         steps <= 4
     });
-    assert_eq!((placed(&cut.decisions, 0).len(), cut.finished), (4, false));
+    assert_eq!(
+        (placements_of(&cut.decisions, 0).len(), cut.finished),
+        (4, false)
+    );
 }
 
 /// Each of many large gangs sat on most of what it needed, a quarter of a fleet idle between them.
@@ -344,7 +359,7 @@
     second.reserved_machines = vec![1, 3];
     let mut coming = machine(0, 4.0);
     coming.usable = false;
-    coming.coming_s = Some(5.0);
+    coming.ready_in_s = Some(5.0);
     let snapshot = ClusterSnapshot {
         machines: vec![machine(0, 4.0), machine(0, 4.0), coming.clone(), coming],
         teams: vec![TeamSnapshot::default()],
@@ -352,8 +367,8 @@
         running: vec![],
     };
     let d = decide(snapshot);
-    assert_eq!(placed(&d, 0), vec![(0, 0), (1, 1)]);
-    assert!(placed(&d, 1).is_empty());
+    assert_eq!(placements_of(&d, 0), vec![(0, 0), (1, 1)]);
+    assert!(placements_of(&d, 1).is_empty());
     let reserves =
         |d: &Decision| matches!(d, Decision::Reserve { job: 1, machines } if machines == &[2, 3]);
     assert!(d.iter().any(reserves), "the other waits for what is coming");
@@ -376,9 +391,12 @@
         }
     };
     let full = decide(snapshot(6.0));
-    assert!(placed(&full, 0).is_empty() && placed(&full, 1).is_empty());
+    assert!(placements_of(&full, 0).is_empty() && placements_of(&full, 1).is_empty());
     let room = decide(snapshot(3.0));
-    assert_eq!((placed(&room, 0).len(), placed(&room, 1).len()), (1, 1));
+    assert_eq!(
+        (placements_of(&room, 0).len(), placements_of(&room, 1).len()),
+        (1, 1)
+    );
     // Where another gang keeps it out for long, the rest is not held back.
     let mut lasting = snapshot(6.0);
     lasting.running = vec![RunningTask {
@@ -392,11 +410,11 @@
             gpus: 6.0,
             memory_gb: 1.0,
         },
-        movable: false,
+        preemptible: false,
         cost_s: 0.0,
-        left_s: 400.0,
+        remaining_s: 400.0,
     }];
-    assert_eq!(placed(&decide(lasting), 1).len(), 2);
+    assert_eq!(placements_of(&decide(lasting), 1).len(), 2);
 }
 
 /// Of a stage with hundreds of tasks some were always lost with spot machines, and the pipeline was late.
@@ -413,15 +431,15 @@
         gpus: 0.0,
         memory_gb: 50.0,
     };
-    let mut fragile = job(1, false, 4, 0.0);
-    fragile.fragile = true;
+    let mut uncheckpointed = job(1, false, 4, 0.0);
+    uncheckpointed.uncheckpointed = true;
     let snapshot = ClusterSnapshot {
         machines: vec![machine(0, 4.0), spot, busy],
         teams: vec![TeamSnapshot::default()],
-        jobs: vec![fragile],
+        jobs: vec![uncheckpointed],
         running: vec![],
     };
-    let on: Vec<usize> = placed(&decide(snapshot), 0)
+    let on: Vec<usize> = placements_of(&decide(snapshot), 0)
         .iter()
         .map(|(_, m)| *m)
         .collect();
@@ -436,15 +454,19 @@
 #[test]
 fn what_is_in_an_unknown_zone_counts_in_every_zone_where_only_half_may_be() {
     let mut spread = job(1, false, 4, 1.0);
-    spread.zone_cap = Some(3);
-    spread.zones_used = vec![(UNKNOWN_ZONE, 2), (0, 1)];
+    spread.max_per_zone = Some(3);
+    spread.tasks_by_zone = vec![(UNKNOWN_ZONE, 2), (0, 1)];
     let snapshot = ClusterSnapshot {
         machines: vec![machine(0, 4.0), machine(1, 4.0)],
         teams: vec![TeamSnapshot::default()],
         jobs: vec![spread],
         running: vec![],
     };
-    assert_eq!(placed(&decide(snapshot), 0), vec![(0, 1)], "none in zone 0");
+    assert_eq!(
+        placements_of(&decide(snapshot), 0),
+        vec![(0, 1)],
+        "none in zone 0"
+    );
 }
 
 /// A gang larger than its team's guarantee ranks behind all that fits into it: small work of the team went on taking
@@ -477,7 +499,7 @@
     };
     let counts = |snapshot: ClusterSnapshot| {
         let d = decide(snapshot);
-        [0, 1, 2].map(|j| placed(&d, j).len())
+        [0, 1, 2].map(|j| placements_of(&d, j).len())
     };
     assert_eq!(counts(snapshot(true)), [0, 0, 3]);
     assert_eq!(
@@ -487,11 +509,11 @@
     );
 }
 
-/// Held tasks of work that nobody waits for went by arrival, before those of every sweep with a deadline.
+/// Deferred tasks of work that nobody waits for went by arrival, before those of every sweep with a deadline.
 #[test]
 fn held_tasks_of_work_without_an_aim_get_idle_room_after_those_with_one() {
     let mut idle_time = job(1, false, 8, 1.0);
-    (idle_time.sampling, idle_time.aims) = (true, false);
+    (idle_time.sampling, idle_time.has_objective) = (true, false);
     let mut sweep = job(50, false, 3, 1.0);
     sweep.sampling = true;
     let snapshot = ClusterSnapshot {
@@ -501,5 +523,5 @@
         running: vec![],
     };
     let d = decide(snapshot);
-    assert_eq!([0, 1].map(|j| placed(&d, j).len()), [1, 3]);
+    assert_eq!([0, 1].map(|j| placements_of(&d, j).len()), [1, 3]);
 }
--- a/crates/sched/src/sampling.rs
+++ b/crates/sched/src/sampling.rs
@@ -1,8 +1,11 @@
-//! Pilots, sizes and queues.
+//! Pilot tasks, which sample the size of a job, and queues by estimated size.
 
 use constants::{FIRST_BOUND, PILOT_SHARE, QUEUES, QUEUE_GROWTH, THIN_TASKS};
 
-/// Numbers of the design that operators may set.
+/// Queue beyond which weights no longer fall, so that they stay far from zero.
+const LOWEST_WEIGHTED_QUEUE: usize = 64;
+
+/// Scheduling parameters that operators may set.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
     /// Tasks up to which an array skips sampling.
@@ -37,7 +40,7 @@
     ((policy.pilot_share * f64::from(tasks)) as u32).max(1)
 }
 
-/// Queue of a job with that many task-seconds.
+/// Queue of a job whose estimated size is that many task-seconds.
 pub fn queue_of(policy: &Policy, size: f64) -> usize {
     let mut bound = policy.first_bound;
     for queue in 0..policy.queues.saturating_sub(1) {
@@ -51,24 +54,10 @@
 
 /// Weight of a queue when free room is shared.
 pub fn weight_of(policy: &Policy, queue: usize) -> f64 {
-    policy.growth.powi(-(queue.min(64) as i32))
+    policy
+        .growth
+        .powi(-(queue.min(LOWEST_WEIGHTED_QUEUE) as i32))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn pilots_queues_and_weights_start_at_the_designs_values() {
-        let p = Policy::default();
-        assert_eq!(
-            [1, 7, 8, 39, 40, 100_000].map(|n| pilots_of(&p, n)),
-            [0, 0, 1, 1, 2, 5_000]
-        );
-        assert_eq!(
-            [0.0, 600.0, 601.0, 6_001.0, 1e30].map(|s| queue_of(&p, s)),
-            [0, 0, 1, 2, 9]
-        );
-        assert!((weight_of(&p, 0) / weight_of(&p, 1) - 10.0).abs() < 1e-9);
-    }
-}
+mod tests;
--- a/crates/sched/src/snapshot.rs
+++ b/crates/sched/src/snapshot.rs
@@ -1,8 +1,8 @@
-//! The cluster as one round of decisions sees it.
+//! The cluster as one round of decisions sees it. Types, zones, images, teams and jobs are numbered by the caller.
 
 use crate::resources::{ResourceBounds, Resources, EPS};
 
-/// Number of the zone of a place whose machine has not been heard of yet.
+/// Number of the zone of a machine that has not reported yet.
 pub const UNKNOWN_ZONE: usize = usize::MAX;
 
 /// A machine that tasks could be placed on.
@@ -14,54 +14,54 @@
     pub zone: usize,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// What is free now.
+    /// Resources that are free now.
     pub free: Resources,
-    /// What will be free once the tasks that are being stopped have gone.
-    pub soon: Resources,
-    /// What it has in all.
+    /// Resources that will be free once the tasks being stopped have ended.
+    pub free_after_stops: Resources,
+    /// All resources of the machine.
     pub total: Resources,
     /// Whether new tasks may go there.
     pub usable: bool,
-    /// How many more tasks it may hold, whatever their size.
-    pub slots: u32,
+    /// How many more tasks it may take, whatever their size.
+    pub free_slots: u32,
     /// Pilots running there.
     pub pilots: u32,
-    /// Whether it is slower than its kin.
+    /// Whether it is slower than others of its type.
     pub slow: bool,
-    /// Images it holds, as the caller numbers them.
+    /// Images it has fetched, as the caller numbers them.
     pub images: Vec<usize>,
-    /// Seconds until its tasks are expected to be over.
+    /// Seconds until its tasks are expected to have ended.
     pub busy_s: f64,
     /// Seconds until a start can be sent there.
-    pub reach_s: f64,
-    /// Of a machine on its way: seconds until it is expected to be up. Nothing can be placed there yet, but a
-    /// gang may reserve it.
-    pub coming_s: Option<f64>,
+    pub dispatch_delay_s: f64,
+    /// Seconds until a booting machine is expected to be up. Nothing can be placed there yet, but a gang may reserve
+    /// it.
+    pub ready_in_s: Option<f64>,
 }
 
-/// A team.
+/// Guarantee, limit and usage of a team.
 #[derive(Debug, Clone, Default)]
 pub struct TeamSnapshot {
-    /// What it may use ahead of other teams.
+    /// Resources it may use ahead of other teams.
     pub guarantee: ResourceBounds,
-    /// What it may use at most.
+    /// Resources it may use at most.
     pub limit: ResourceBounds,
-    /// In use, unsure places included.
+    /// Resources in use, orphans included.
     pub used: Resources,
-    /// Of that, what is being stopped. It still counts against the limit until it has gone.
-    pub leaving: Resources,
+    /// The part of `used` whose tasks are being stopped. It counts against the limit until they have ended.
+    pub stopping: Resources,
 }
 
 impl TeamSnapshot {
     /// Whether `more` stays within the limit.
     pub fn allows(&self, more: &Resources) -> bool {
-        self.limit.contain(&self.used, more, true)
+        self.limit.allow(&self.used, more, true)
     }
 
     /// Whether `more` stays within the guarantee. A resource without a guarantee does not count when the other
     /// has one: a team with GPUs guaranteed needs CPUs to use them.
     pub fn entitles(&self, more: &Resources) -> bool {
-        let within = |unbounded: bool| self.guarantee.contain(&self.used, more, unbounded);
+        let within = |unbounded: bool| self.guarantee.allow(&self.used, more, unbounded);
         match (self.guarantee.cpus, self.guarantee.gpus) {
             (None, None) => false,
             (None, Some(_)) => more.gpus > 0.0 && within(true),
@@ -72,19 +72,19 @@
 
     /// Whether the team would still have its guarantee filled after losing `less`.
     pub(crate) fn borrows(&self, less: &Resources) -> bool {
-        let staying = |used: f64, leaving: f64, less: f64| used - leaving - less;
+        let staying = |used: f64, stopping: f64, less: f64| used - stopping - less;
         let (staying, guaranteed) = if self.guarantee.gpus.is_some() || less.gpus > 0.0 {
-            let staying = staying(self.used.gpus, self.leaving.gpus, less.gpus);
+            let staying = staying(self.used.gpus, self.stopping.gpus, less.gpus);
             (staying, self.guarantee.gpus)
         } else {
-            let staying = staying(self.used.cpus, self.leaving.cpus, less.cpus);
+            let staying = staying(self.used.cpus, self.stopping.cpus, less.cpus);
             (staying, self.guarantee.cpus)
         };
         staying >= guaranteed.unwrap_or(0.0) - EPS
     }
 }
 
-/// A job with tasks to place.
+/// A job, with its tasks that wait for a machine.
 #[derive(Debug, Clone)]
 pub struct JobSnapshot {
     /// Team, as the caller numbers them.
@@ -104,13 +104,14 @@
     /// All tasks in one zone.
     pub one_zone: bool,
     /// At most this many tasks in one zone.
-    pub zone_cap: Option<u32>,
+    pub max_per_zone: Option<u32>,
     /// Tasks that are or may be on machines, by zone.
-    pub zones_used: Vec<(usize, u32)>,
+    pub tasks_by_zone: Vec<(usize, u32)>,
     /// Whether spot machines may be used.
     pub spot: bool,
-    /// Its tasks never save and take no GPU: all is lost with a spot machine, and room beside GPU work costs nothing.
-    pub fragile: bool,
+    /// Whether its tasks take no checkpoints and no GPU: all work is lost with a spot instance, and room beside GPU
+    /// work costs nothing.
+    pub uncheckpointed: bool,
     /// Image, as the caller numbers them.
     pub image: usize,
     /// Tasks to place, in order; of a gang all that are missing. May be cut to what one round can use.
@@ -123,20 +124,21 @@
     pub queue: usize,
     /// Order within a queue, smallest first.
     pub order: u64,
-    /// Whether anybody asks when it is over: it has a deadline, or its class an aim.
-    pub aims: bool,
-    /// Tasks of it on machines.
+    /// Whether its end matters to anybody: it has a deadline, or its class an objective.
+    pub has_objective: bool,
+    /// Number of its tasks on machines.
     pub running: u32,
-    /// Machines its tasks should keep away from.
+    /// Machines on which its tasks are not placed.
     pub avoid: Vec<usize>,
     /// Machines that an earlier round reserved for it.
     pub reserved_machines: Vec<usize>,
-    /// Whether it has waited so long without a start, or is so near the latest one, that the queues' weights count no
-    /// more.
-    pub overdue: bool,
-    /// A gang that has waited in vain for long: nothing is reserved, stopped or rented for it for a while.
-    pub resting: bool,
-    /// Whether a gang may at this time keep its team's other work from what is left of the team's limit.
+    /// Whether it skips the weighted sharing of queues: it has waited too long for its first start, or is close to the
+    /// latest start that meets an objective.
+    pub urgent: bool,
+    /// Whether it is a gang that has waited in vain for long: for a while nothing is reserved, stopped or rented for
+    /// it.
+    pub backed_off: bool,
+    /// Whether a gang may now set aside part of its team's limit.
     pub may_claim_limit: bool,
 }
 
@@ -145,7 +147,7 @@
 pub struct RunningTask {
     /// Job, by its number among all jobs of the snapshot.
     pub job: usize,
-    /// Task.
+    /// Number of the task.
     pub task: u32,
     /// Machine.
     pub machine: usize,
@@ -153,14 +155,14 @@
     pub team: usize,
     /// Priority.
     pub priority: u8,
-    /// What it takes.
+    /// Resources it takes.
     pub resources: Resources,
-    /// Whether it may be stopped: not a gang's, not being stopped, not about to end.
-    pub movable: bool,
-    /// Seconds of work that stopping would cost.
+    /// Whether it may be preempted: it is not part of a gang, not being stopped, not about to end.
+    pub preemptible: bool,
+    /// Seconds of work that preemption would cost.
     pub cost_s: f64,
-    /// Seconds it is expected to go on for.
-    pub left_s: f64,
+    /// Seconds it is expected to run on.
+    pub remaining_s: f64,
 }
 
 /// The cluster as one round sees it.
