--- a/crates/control/src/leader/consolidation.rs
+++ b/crates/control/src/leader/consolidation.rs
@@ -1,34 +1,48 @@
-//! Where money counts: machines that are emptied, and those that must stay because work waits for them.
-
-use super::model::*;
-use super::*;
-use sched::Resources;
-
-/// Machines that waiting work could use.
-pub(super) struct Wanted {
-    kind: String,
-    zone: String,
-    spot: bool,
-    /// How many of them all that work fills.
-    machines: usize,
-}
+//! Consolidation: where cost counts, machines with few tasks are drained, so that they can be returned.
+//!
+//! | module | subject |
+//! | --- | --- |
+//! | `demand` | machines that must stay because waiting work could use them |
 
-impl Wanted {
-    /// Whether the machine is one of these. Each is counted once: a few waiting tasks are no reason to keep all
-    /// the machines they could use.
-    pub(super) fn takes(&mut self, m: &Machine) -> bool {
-        let suits = self.kind == m.kind && self.zone == m.zone && self.spot == m.spot;
-        let takes = suits && self.machines > 0;
-        self.machines -= usize::from(takes);
-        takes
-    }
-}
+mod demand;
+
+pub(super) use demand::WantedMachines;
+
+use super::model::Job;
+use super::planning::SchedulingSnapshot;
+use super::Leader;
+use crate::effects::Effects;
+use constants::{CONSOLIDATE_LEFT_S, CONSOLIDATE_PART, CONSOLIDATE_S};
+use sched::{ClusterSnapshot, JobSnapshot, Resources, RunningTask};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Why a machine is drained whose tasks fit elsewhere.
 pub(super) const CONSOLIDATED: &str = "consolidated";
 
+/// Share of its GPUs that must be free on a machine for it to be drained.
+const LEAST_FREE_GPU_SHARE: f64 = 0.5;
+/// Share of its CPUs that must be free.
+const LEAST_FREE_CPU_SHARE: f64 = 0.4;
+
+/// Free capacity on a machine that tasks may be moved to.
+struct Target {
+    machine: usize,
+    free: Resources,
+}
+
+/// The choice of machines to drain.
+struct Consolidation<'a> {
+    view: &'a ClusterSnapshot,
+    tasks_by_machine: Vec<Vec<&'a RunningTask>>,
+    /// The fullest first: what is moved fills up what stays.
+    targets: Vec<Target>,
+    /// Machines that are to take tasks of chosen ones, and so are not drained themselves.
+    receiving: BTreeSet<usize>,
+    chosen: Vec<usize>,
+}
+
 impl Leader {
-    /// Where money counts, empties ordinary machines whose few tasks fit on others, so that they can go back. A
+    /// Where cost counts, drains on-demand machines whose few tasks fit on others, so that they can be returned: a
     /// small part of the fleet at a time, and only while nothing waits.
     pub(super) fn consolidate(&mut self, effects: &mut Effects) {
         let now = effects.now;
@@ -36,164 +50,164 @@
             return;
         }
         self.next_consolidation = now.mono + (CONSOLIDATE_S * 1000.0) as u64;
-        let scheduling_snapshot = self.scheduling_snapshot(now);
-        let view = &scheduling_snapshot.view;
-        let waiting = view.jobs.iter().any(|j| !j.waiting.is_empty());
-        let emptying = self
-            .machines
-            .values()
+        let snapshot = self.scheduling_snapshot(now);
+        let view = &snapshot.view;
+        let is_waiting = view.jobs.iter().any(|job| !job.waiting.is_empty());
+        let machines = self.machines.values();
+        let draining = machines
             .filter(|m| m.draining == Some(CONSOLIDATED) && !m.returning)
             .count();
         let most = 1 + view.machines.len() / CONSOLIDATE_PART;
-        if waiting || emptying >= most {
+        if is_waiting || draining >= most {
             return;
         }
-        let mut on: Vec<Vec<&sched::RunningTask>> = vec![Vec::new(); view.machines.len()];
-        for r in &view.running {
-            on[r.machine].push(r);
+        let mut consolidation = Consolidation::new(view);
+        consolidation.choose(most - draining, &snapshot, &self.jobs);
+        for machine in consolidation.chosen {
+            self.drain_consolidated(&snapshot.machines[machine]);
         }
-        let mut rooms: Vec<(usize, Resources)> = (0..view.machines.len())
-            .filter(|&o| view.machines[o].usable && (view.machines[o].spot || !on[o].is_empty()))
-            .filter(|&o| view.machines[o].free.gpus > 0.0 || view.machines[o].total.gpus <= 0.0)
-            .map(|o| (o, view.machines[o].free))
-            .collect();
-        // Fullest first: what is moved fills up what stays.
-        rooms.sort_by(|a, b| a.1.gpus.total_cmp(&b.1.gpus));
-        let mut candidates: Vec<usize> = (0..view.machines.len())
-            .filter(|&m| {
-                let machine = &view.machines[m];
-                let few = machine.free.gpus >= machine.total.gpus * 0.5
-                    && machine.free.cpus >= machine.total.cpus * 0.4;
-                let long = machine.busy_s >= CONSOLIDATE_LEFT_S;
-                let movable = || {
-                    on[m].iter().all(|r| {
-                        let job = self.jobs.get(&scheduling_snapshot.jobs[r.job]);
-                        r.preemptible && job.is_some_and(|j| !j.is_gang() && j.spec.checkpoint_s > 0.0)
-                    })
-                };
-                let busy = !on[m].is_empty();
-                machine.usable && !machine.spot && busy && few && long && movable()
+    }
+
+    fn drain_consolidated(&mut self, name: &str) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            log::info!(
+                "event=consolidate kind={} tasks={}",
+                machine.kind,
+                machine.assignments.len()
+            );
+            machine.draining = Some(CONSOLIDATED);
+        }
+    }
+}
+
+impl<'a> Consolidation<'a> {
+    fn new(view: &'a ClusterSnapshot) -> Self {
+        let mut tasks_by_machine: Vec<Vec<&RunningTask>> = vec![Vec::new(); view.machines.len()];
+        for task in &view.running {
+            tasks_by_machine[task.machine].push(task);
+        }
+        let mut consolidation = Consolidation {
+            view,
+            tasks_by_machine,
+            targets: Vec::new(),
+            receiving: BTreeSet::new(),
+            chosen: Vec::new(),
+        };
+        consolidation.targets = consolidation.targets();
+        consolidation
+    }
+
+    /// Machines that tasks may be moved to: spot instances, and on-demand machines that have tasks already.
+    fn targets(&self) -> Vec<Target> {
+        let may_receive = |&machine: &usize| {
+            let host = &self.view.machines[machine];
+            host.usable
+                && (host.spot || !self.tasks_by_machine[machine].is_empty())
+                && (host.free.gpus > 0.0 || host.total.gpus <= 0.0)
+        };
+        let machines = (0..self.view.machines.len()).filter(may_receive);
+        let mut targets: Vec<Target> = machines
+            .map(|machine| Target {
+                machine,
+                free: self.view.machines[machine].free,
             })
             .collect();
-        candidates.sort_by(|&a, &b| {
-            let free = |m: usize| view.machines[m].free.gpus;
-            free(b).total_cmp(&free(a))
-        });
-        let mut filled = BTreeSet::new();
-        let mut chosen: Vec<usize> = Vec::new();
-        for m in candidates {
-            if chosen.len() + emptying >= most {
+        targets.sort_by(|a, b| a.free.gpus.total_cmp(&b.free.gpus));
+        targets
+    }
+
+    /// Chooses at most so many machines whose tasks all fit elsewhere.
+    fn choose(&mut self, most: usize, snapshot: &SchedulingSnapshot, jobs: &BTreeMap<String, Job>) {
+        for machine in self.candidates(snapshot, jobs) {
+            if self.chosen.len() >= most {
                 break;
             }
-            if filled.contains(&m) {
-                continue;
-            }
-            let mut taken: Vec<(usize, Resources)> = Vec::new();
-            let all = on[m].iter().all(|r| {
-                let job = &view.jobs[r.job];
-                let plain = job.spot && job.zone.is_none() && !job.one_zone;
-                let fits = |(o, room): &&mut (usize, Resources)| {
-                    *o != m && !chosen.contains(o) && room.can_fit(&r.resources)
-                };
-                let found = rooms.iter_mut().find(fits).map(|(o, room)| {
-                    room.sub(&r.resources);
-                    taken.push((*o, r.resources));
-                });
-                found.is_some() && plain && job.max_per_zone.is_none()
-            });
-            if all {
-                filled.extend(taken.iter().map(|(o, _)| *o));
-                chosen.push(m);
-                continue;
-            }
-            for (o, res) in taken {
-                if let Some((_, room)) = rooms.iter_mut().find(|(at, _)| *at == o) {
-                    room.add(&res);
-                }
-            }
-        }
-        for m in chosen {
-            if let Some(m) = self.machines.get_mut(&scheduling_snapshot.machines[m]) {
-                log::info!(
-                    "event=consolidate kind={} tasks={}",
-                    m.kind,
-                    m.assignments.len()
-                );
-                m.draining = Some(CONSOLIDATED);
+            if !self.receiving.contains(&machine) && self.move_tasks(machine) {
+                self.chosen.push(machine);
             }
         }
     }
 
-    /// What waits for machines, so that none is given back that the next round may need: the machines of a large
-    /// gang come up one by one, and the first would otherwise be gone before the last is there.
-    pub(super) fn wanted(&self, now: Now) -> Vec<Wanted> {
-        let teams = &self.settings.deployment.teams;
-        let mut used: HashMap<&str, Resources> = HashMap::new();
-        for job in self.jobs.values() {
-            let all = job.res().times(f64::from(job.assigned));
-            used.entry(&job.spec.team).or_default().add(&all);
-        }
-        let full = |job: &Job| {
-            let Some(team) = teams.iter().find(|t| t.name == job.spec.team) else {
-                return false;
-            };
-            let used = used
-                .get(job.spec.team.as_str())
-                .copied()
-                .unwrap_or_default();
-            let n = if job.is_gang() {
-                job.spec.tasks as f64
-            } else {
-                1.0
-            };
-            let over = |max: f64, used: f64, more: f64| max > 0.0 && used + more * n > max;
-            over(team.cpus_max, used.cpus, job.spec.cpus)
-                || over(team.gpus_max, used.gpus, job.spec.gpus)
+    /// Machines that could be drained, the emptiest first.
+    fn candidates(
+        &self,
+        snapshot: &SchedulingSnapshot,
+        jobs: &BTreeMap<String, Job>,
+    ) -> Vec<usize> {
+        let is_movable = |task: &&RunningTask| {
+            let job = jobs.get(&snapshot.jobs[task.job]);
+            let saves = job.is_some_and(|job| !job.is_gang() && job.spec.checkpoint_s > 0.0);
+            task.preemptible && saves
         };
-        let waits = |job: &&Job| {
-            !job.aborted
-                && !job.awaits_dependencies()
-                && u64::from(job.assigned) + job.done < job.spec.tasks
-                && job.failures == 0
-                && !job.is_resting(now.unix)
-                && !full(job)
+        let all_movable = |machine: usize| self.tasks_by_machine[machine].iter().all(is_movable);
+        let machines = 0..self.view.machines.len();
+        let mut candidates: Vec<usize> = machines
+            .filter(|&machine| self.is_worth_draining(machine) && all_movable(machine))
+            .collect();
+        candidates.sort_by(|&a, &b| {
+            let free_gpus = |machine: usize| self.view.machines[machine].free.gpus;
+            free_gpus(b).total_cmp(&free_gpus(a))
+        });
+        candidates
+    }
+
+    /// Whether a machine is on-demand and has few tasks that run on for long enough.
+    fn is_worth_draining(&self, machine: usize) -> bool {
+        let host = &self.view.machines[machine];
+        host.usable
+            && !host.spot
+            && !self.tasks_by_machine[machine].is_empty()
+            && host.free.gpus >= host.total.gpus * LEAST_FREE_GPU_SHARE
+            && host.free.cpus >= host.total.cpus * LEAST_FREE_CPU_SHARE
+            && host.busy_s >= CONSOLIDATE_LEFT_S
+    }
+
+    /// Takes up capacity on other machines for all tasks of a machine; false, with nothing taken up, if some don't fit.
+    fn move_tasks(&mut self, from: usize) -> bool {
+        let mut moved: Vec<Target> = Vec::new();
+        let tasks = std::mem::take(&mut self.tasks_by_machine[from]);
+        let all_fit = tasks.iter().all(|task| {
+            let target = self.take_target(from, &task.resources);
+            let found = target.is_some();
+            moved.extend(target.map(|machine| Target {
+                machine,
+                free: task.resources,
+            }));
+            found && is_unconstrained(&self.view.jobs[task.job])
+        });
+        self.tasks_by_machine[from] = tasks;
+        if all_fit {
+            let machines = moved.iter().map(|target| target.machine);
+            self.receiving.extend(machines);
+        } else {
+            self.release(moved);
+        }
+        all_fit
+    }
+
+    /// Takes up capacity on the first machine where a task fits, and returns the machine.
+    fn take_target(&mut self, from: usize, task: &Resources) -> Option<usize> {
+        let chosen = &self.chosen;
+        let fits = |target: &&mut Target| {
+            target.machine != from && !chosen.contains(&target.machine) && target.free.can_fit(task)
         };
-        let types = self.types.desired.iter().flatten();
-        let jobs: Vec<&Job> = self.jobs.values().filter(waits).collect();
-        let mut wanted: Vec<Wanted> = Vec::new();
-        for t in types {
-            for zone in &t.zones {
-                for spot in [false, true] {
-                    let suits = |j: &&&Job| {
-                        let s = &j.spec;
-                        (s.spot || !spot)
-                            && s.zone.as_ref().is_none_or(|z| z == zone)
-                            && s.types.as_ref().is_none_or(|k| k.contains(&t.name))
-                            && s.cpus <= t.cpus
-                            && s.gpus <= t.gpus
-                            && s.mem_gb <= t.mem_gb
-                    };
-                    let total = Resources {
-                        cpus: t.cpus,
-                        gpus: t.gpus,
-                        memory_gb: t.mem_gb,
-                    };
-                    let filled = |j: &&Job| {
-                        let waiting = (j.spec.tasks - j.done) as u32 - j.assigned;
-                        waiting.div_ceil(total.capacity_for(&j.res(), waiting).max(1)) as usize
-                    };
-                    let machines = jobs.iter().filter(suits).map(filled).sum();
-                    if machines > 0 {
-                        wanted.push(Wanted {
-                            kind: t.name.clone(),
-                            zone: zone.clone(),
-                            spot,
-                            machines,
-                        });
-                    }
-                }
+        let target = self.targets.iter_mut().find(fits)?;
+        target.free.sub(task);
+        Some(target.machine)
+    }
+
+    /// Frees capacity that was taken up in vain.
+    fn release(&mut self, moved: Vec<Target>) {
+        for taken in moved {
+            let mut targets = self.targets.iter_mut();
+            if let Some(target) = targets.find(|target| target.machine == taken.machine) {
+                target.free.add(&taken.free);
             }
         }
-        wanted
     }
 }
+
+/// Whether tasks of a job may go to any machine with room.
+fn is_unconstrained(job: &JobSnapshot) -> bool {
+    job.spot && job.zone.is_none() && !job.one_zone && job.max_per_zone.is_none()
+}
--- /dev/null
+++ b/crates/control/src/leader/fleet/costs.rs
@@ -0,0 +1,123 @@
+//! Accounting of what machines cost, by what their GPUs did, or their CPUs where they have no GPUs.
+
+use crate::effects::Now;
+use crate::leader::model::{Job, Machine};
+use crate::leader::Leader;
+use constants::ACCOUNT_MS;
+use std::collections::{BTreeMap, HashMap};
+use wire::cloud::MachineType;
+use wire::workers::TaskPhase;
+
+const MS_PER_HOUR: f64 = 3_600_000.0;
+
+/// CPUs of a machine type at least, so that a type that names none can be divided by.
+const LEAST_CPUS: f64 = 1e-9;
+
+/// Cost of all machines in this leader's term, in the currency of the cloud's prices.
+#[derive(Debug, Clone, Copy, Default)]
+pub(in crate::leader) struct CostAccount {
+    /// Machines that have not reported yet.
+    boot: f64,
+    /// Machines without tasks.
+    idle: f64,
+    /// Unassigned share of machines with tasks.
+    unused: f64,
+    /// Tasks that do not run yet.
+    starting: f64,
+    /// Tasks that save a checkpoint or have ended.
+    stopping: f64,
+    /// Tasks that run.
+    running: f64,
+    /// Up to when costs are counted, by the steady clock.
+    at: u64,
+}
+
+impl CostAccount {
+    /// Adds what a machine cost.
+    fn add(
+        &mut self,
+        machine: &Machine,
+        machine_type: &MachineType,
+        cost: f64,
+        jobs: &BTreeMap<String, Job>,
+    ) {
+        if !machine.synced {
+            self.boot += cost;
+            return;
+        }
+        if machine.assignments.is_empty() {
+            self.idle += cost;
+            return;
+        }
+        let mut unassigned = 1.0;
+        for (id, task) in &machine.assignments {
+            let Some(job) = jobs.get(id) else {
+                continue;
+            };
+            let share = task_share(job, machine_type);
+            let phase = job.assignment(*task).and_then(|a| a.phase);
+            *self.part(phase) += cost * share;
+            unassigned -= share;
+        }
+        self.unused += cost * unassigned.max(0.0);
+    }
+
+    /// The part that tasks in this phase count towards.
+    fn part(&mut self, phase: Option<TaskPhase>) -> &mut f64 {
+        match phase {
+            Some(TaskPhase::Running) => &mut self.running,
+            Some(TaskPhase::Saving | TaskPhase::Ended) => &mut self.stopping,
+            _ => &mut self.starting,
+        }
+    }
+}
+
+/// The share of a machine that one task of the job takes.
+fn task_share(job: &Job, machine_type: &MachineType) -> f64 {
+    if machine_type.gpus > 0.0 {
+        job.spec.gpus / machine_type.gpus
+    } else {
+        job.spec.cpus / machine_type.cpus.max(LEAST_CPUS)
+    }
+}
+
+impl Leader {
+    /// Accounts for the time since the last call that did.
+    pub(super) fn account_costs(&mut self, now: Now) {
+        if now.mono < self.next_account {
+            return;
+        }
+        self.next_account = now.mono + ACCOUNT_MS;
+        // After a standstill only a bounded time counts.
+        let elapsed_ms = now.mono.saturating_sub(self.costs.at).min(2 * ACCOUNT_MS);
+        let hours = elapsed_ms as f64 / MS_PER_HOUR;
+        self.costs.at = now.mono;
+        let types = self.types.desired.iter().flatten();
+        let types: HashMap<&str, &MachineType> = types.map(|t| (t.name.as_str(), t)).collect();
+        for machine in self.machines.values() {
+            let Some(machine_type) = types.get(machine.kind.as_str()) else {
+                continue;
+            };
+            let price = match machine.spot {
+                true => machine_type.spot_price,
+                false => machine_type.price,
+            };
+            self.costs
+                .add(machine, machine_type, hours * price, &self.jobs);
+        }
+    }
+
+    pub(super) fn log_costs(&self) {
+        let costs = &self.costs;
+        log::info!(
+            "event=cost term={} boot={:.2} idle={:.2} unused={:.2} starting={:.2} stopping={:.2} running={:.2}",
+            self.term,
+            costs.boot,
+            costs.idle,
+            costs.unused,
+            costs.starting,
+            costs.stopping,
+            costs.running
+        );
+    }
+}
--- a/crates/sched/src/round/gangs.rs
+++ b/crates/sched/src/round/gangs.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// A machine for each waiting task of the gang, in the order of the candidates, in the only zone allowed if there is
-    /// one.
+    /// A machine for each waiting task of the gang, in the order of the candidates, in the only zone allowed if there
+    /// is one.
     fn fill(
         &self,
         job: usize,
