--- a/crates/control/src/leader/dependencies/lookups.rs
+++ b/crates/control/src/leader/dependencies/lookups.rs
@@ -57,6 +57,7 @@
 }
 
 impl Leader {
+    /// Sends lookups that are due, as many as may be in progress at a time.
     pub(super) fn send_lookups(&mut self, effects: &mut Effects) {
         while let Some(id) = self.dependencies.lookups.pop_due(effects.now.mono) {
             let needed = self.dependencies.dependents.contains_key(&id);
--- a/crates/control/src/leader/fleet/costs.rs
+++ b/crates/control/src/leader/fleet/costs.rs
@@ -8,6 +8,7 @@
 use wire::cloud::MachineType;
 use wire::workers::TaskPhase;
 
+/// Milliseconds of an hour, for which prices are given.
 const MS_PER_HOUR: f64 = 3_600_000.0;
 
 /// CPUs of a machine type at least, so that a type that names none can be divided by.
@@ -107,6 +108,7 @@
         }
     }
 
+    /// Logs what machines have cost in this term.
     pub(super) fn log_costs(&self) {
         let costs = &self.costs;
         log::info!(
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -1,5 +1,7 @@
 //! Scale in: which machines are returned to the cloud, and why.
 
+mod reason;
+
 use crate::effects::{Effects, Now};
 use crate::leader::consolidation::{WantedMachines, CONSOLIDATED};
 use crate::leader::machine_health::MachineHealth;
@@ -11,6 +13,7 @@
     IDLE_SPOT, IDLE_SURPLUS_MS, NOTICE_OVER_MS, RETURN_MAX, SILENT_LEASES, SILENT_UNSURE_MS,
     UNREACHABLE_LEASES,
 };
+use reason::ReturnReason;
 
 /// Complete listings in a row without a machine after which it may count as taken away.
 const MISSED_LISTINGS: u32 = 2;
@@ -26,49 +29,6 @@
 /// Milliseconds after which a return that has failed is sent again.
 const RETURN_RETRY_MS: u64 = 2_000;
 
-/// Why a machine is returned.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ReturnReason {
-    /// The cloud lists it as failed.
-    Failed,
-    /// The cloud no longer lists it.
-    Unlisted,
-    /// Its termination notice has run out.
-    NoticeOver,
-    /// It has never reported.
-    NeverUp,
-    /// It has stopped reporting.
-    Silent,
-    /// It has a termination notice and no tasks.
-    EmptyUnderNotice,
-    /// Its tasks were moved to other machines.
-    Consolidated,
-    /// Tasks fail on it.
-    Faulty,
-    /// Our answers do not reach it.
-    Unreachable,
-    /// It has been idle for too long.
-    Idle,
-}
-
-impl ReturnReason {
-    /// The reason as the log has it.
-    fn as_str(self) -> &'static str {
-        match self {
-            ReturnReason::Failed => "failed",
-            ReturnReason::Unlisted => "taken",
-            ReturnReason::NoticeOver => "its notice is over",
-            ReturnReason::NeverUp => "never came up",
-            ReturnReason::Silent => "silent",
-            ReturnReason::EmptyUnderNotice => "under notice and empty",
-            ReturnReason::Consolidated => CONSOLIDATED,
-            ReturnReason::Faulty => "faulty",
-            ReturnReason::Unreachable => "answers do not reach it",
-            ReturnReason::Idle => "idle",
-        }
-    }
-}
-
 /// Times in milliseconds that decide on returns, the same for all machines of a decision.
 struct ReturnLimits {
     /// After our last answer a worker's lease has certainly expired.
--- a/crates/control/src/leader/planning.rs
+++ b/crates/control/src/leader/planning.rs
@@ -5,6 +5,7 @@
 //! | --- | --- |
 //! | `snapshot` | the snapshot of teams and machines, and its assembly |
 //! | `job_snapshots` | the jobs and running tasks of the snapshot |
+//! | `waiting_tasks` | tasks that wait for a machine |
 //! | `numbering` | numbers for names |
 //! | `estimates` | run times, deadlines and latest starts |
 //! | `decisions` | decisions of a round carried out |
@@ -14,6 +15,7 @@
 mod job_snapshots;
 mod numbering;
 mod snapshot;
+mod waiting_tasks;
 
 pub(super) use snapshot::{type_resources, SchedulingSnapshot};
 
--- a/crates/control/src/leader/planning/decisions.rs
+++ b/crates/control/src/leader/planning/decisions.rs
@@ -17,6 +17,7 @@
 }
 
 impl JobQueue {
+    /// Where the job is queued in this round.
     pub fn of(job: &JobSnapshot) -> Self {
         JobQueue {
             queue: job.queue,
@@ -27,8 +28,11 @@
 
 /// What the numbers in a round's decisions stand for.
 pub(super) struct RoundSubjects {
+    /// Ids of the jobs, by number.
     pub jobs: Vec<String>,
+    /// Queues of the jobs, by number.
     pub queues: Vec<JobQueue>,
+    /// Names of the machines, by number.
     pub machines: Vec<String>,
 }
 
--- a/crates/control/src/leader/planning/job_snapshots.rs
+++ b/crates/control/src/leader/planning/job_snapshots.rs
@@ -2,12 +2,11 @@
 
 use super::estimates::TaskEstimate;
 use super::snapshot::SnapshotBuilder;
+use super::waiting_tasks::unassigned_tasks;
 use crate::leader::model::{Assignment, AssignmentStage, Job};
 use constants::{AGED_S, CLAIM_PAUSE_S, CLAIM_S, URGENT_S};
 use sched::{pilots_of, queue_of, JobSnapshot, Resources, RunningTask, TeamSnapshot, UNKNOWN_ZONE};
 
-/// Waiting tasks of a job that one round sees: what could be placed on an empty fleet, with a margin.
-const WAITING_TASKS_PER_ROUND: usize = 256;
 /// Share of its estimate that a task is expected to go on for at least: one that has outrun it may run on for a while.
 const LEAST_REMAINING_SHARE: f64 = 0.25;
 /// Seconds of a task's time, its checkpoint apart, below which preemption does not pay.
@@ -287,40 +286,3 @@
     let saves = job.spec.checkpoint_s > 0.0;
     gang_cost_s + if saves { job.spec.save_s } else { elapsed_s }
 }
-
-/// Tasks that are neither done nor assigned, as many as one round can use.
-fn unassigned_tasks(job: &Job, now: u64) -> Vec<u32> {
-    if job.is_gang() && !may_complete_gang(job) {
-        return Vec::new();
-    }
-    // A wide array submitted with a mistake filled all free room again after each pause: until one of its tasks runs
-    // on, a single one is tried.
-    let on_trial = job.seems_to_fail_everywhere() && !job.is_sound(now, |_| true);
-    let most = match (job.is_gang(), on_trial) {
-        (true, _) => usize::MAX,
-        (false, true) => usize::from(job.assigned == 0),
-        (false, false) => WAITING_TASKS_PER_ROUND,
-    };
-    let mut tasks = Vec::new();
-    let mut next = 0;
-    while tasks.len() < most {
-        next = job.busy.next_missing(next);
-        if next >= job.tasks() {
-            break;
-        }
-        tasks.push(next);
-        next += 1;
-    }
-    tasks
-}
-
-/// Whether missing tasks of a gang may join those that are assigned. Not once its attempt has started or can't be
-/// completed, nor while it is unsure whether some of its tasks run.
-fn may_complete_gang(job: &Job) -> bool {
-    if job.assigned == 0 {
-        return true;
-    }
-    let is_unsure = |a: &Assignment| a.stop.is_some() || a.stage == AssignmentStage::Recorded;
-    let unsure = job.assignments().any(|(_, a)| is_unsure(a));
-    !job.started && !job.broken && !unsure
-}
--- a/crates/control/src/leader/planning/snapshot.rs
+++ b/crates/control/src/leader/planning/snapshot.rs
@@ -35,16 +35,27 @@
 
 /// A snapshot that is being assembled.
 pub(super) struct SnapshotBuilder<'a> {
+    /// The state that is shown.
     pub leader: &'a Leader,
+    /// The moment for which it is shown.
     pub now: Now,
+    /// The operators' scheduling parameters.
     pub policy: Policy,
+    /// What is complete of the snapshot.
     pub view: ClusterSnapshot,
+    /// Ids of the jobs, by number.
     pub jobs: Vec<String>,
+    /// Names of the machines, by number.
     pub machines: Vec<String>,
+    /// Numbers of the machines.
     pub machine_numbers: HashMap<&'a str, usize>,
+    /// Numbers of the machine types.
     pub kinds: Numbering,
+    /// Numbers of the zones.
     pub zones: Numbering,
+    /// Numbers of the images.
     pub images: Numbering,
+    /// Numbers of the teams.
     pub teams: Numbering,
 }
 
