--- a/crates/rollout/src/gates.rs
+++ b/crates/rollout/src/gates.rs
@@ -10,13 +10,12 @@
     newest: Level,
     active: Level,
     finalized: Level,
-    /// Version of the level record that `active` was read from. Nothing where it may have changed since, for all this
-    /// process knows.
+    /// Version of the level record that `active` was read from. `None` where the record may have changed since.
     version: Option<u64>,
 }
 
 impl Gates {
-    /// Nothing is open: nothing has been read.
+    /// All gates closed: nothing has been read.
     pub fn closed(range: LevelRange) -> Self {
         Gates {
             newest: range.newest(),
@@ -26,7 +25,7 @@
         }
     }
 
-    /// What was read.
+    /// Takes in what was read.
     pub(crate) fn learn(&mut self, active: Level, finalized: Level, version: u64) {
         self.active = active;
         self.finalized = self.finalized.max(finalized);
@@ -43,7 +42,7 @@
         self.version = None;
     }
 
-    /// Whether what was read last may still hold, for all this process knows.
+    /// Whether the last reading may still be current, as far as this process knows.
     pub fn is_fresh(&self) -> bool {
         self.version.is_some()
     }
@@ -62,7 +61,7 @@
     /// The condition under which to write what a feature changes, and the level that is written. A transaction that was
     /// built under an open gate fails if the level has changed since, however late it is executed.
     ///
-    /// Nothing if the gate is closed. What is final needs no condition: it never becomes less.
+    /// `None` if the gate is closed. What is final needs no condition, since the final level never decreases.
     pub fn condition(&self, feature: Feature) -> Option<(Level, Compare)> {
         let version = self.version.filter(|_| self.is_open(feature))?;
         Some((self.active, Compare::new(LEVEL, version)))
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -1,11 +1,11 @@
 //! The upgrade from the build without pipelines, where rollouts are not switched on.
 //!
 //! Each process leaves its generation under its controller's label in the state service, once. A controller whose label
-//! is there never runs an older build again, and so once every label is there, nobody is left who could not read what is
-//! new. That moment is made durable as a mark that only grows, raised under the conditions that it rests on.
+//! is there never runs an older build again. So once every label is there, every controller can read the new formats. That
+//! moment is made durable as a mark that only grows, raised under the conditions that it depends on.
 //!
-//! Users' requests can prove the same: what only the new build is asked for, or a refusal for a size that only the limits
-//! to come explain, comes after the upgrade is over. A controller that is down for good then holds up nothing.
+//! Users' requests can prove the same: a request that only the new build accepts, or a refusal for a size that only the
+//! future limits explain, comes after the upgrade is over. A controller that is permanently down then blocks nothing.
 
 use crate::gates::Gates;
 use crate::levels::{Level, LevelRange, GENERATION_1};
@@ -16,7 +16,7 @@
 use wire::records::{node_key, GenerationRecord, UnknownFields, GENERATIONS, MARK};
 use wire::state::{Compare, Item, Txn, Write};
 
-/// Labels that are conditions of raising the mark: the conditions of the smallest transaction allowed are sixteen.
+/// Labels that are conditions of raising the mark. The smallest transaction limit allows sixteen conditions.
 const GUARDED_LABELS: usize = 14;
 
 /// A generation as it was read.
@@ -32,7 +32,7 @@
     label: String,
     /// Labels of all controllers, this one included.
     labels: Vec<String>,
-    /// Why no old process can be left, if that was proven by something else than the records.
+    /// Why no old process can be left, if something other than the records proves it.
     proof: Option<&'static str>,
     raised: bool,
     busy: bool,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// When [`GenerationMachine::tick`] wants to be called.
+    /// When [`GenerationMachine::tick`] is to be called next.
     pub fn next_wake(&self) -> u64 {
         match self.raised || self.busy {
             true => u64::MAX,
@@ -100,7 +100,7 @@
         self.busy = false;
         self.next_at = now + GENERATION_POLL_MS;
         match reply {
-            // Read again: that tells what came of an unknown outcome or a conflict.
+            // After a conflict or an unknown outcome the next reading shows what is stored.
             Reply::Page(page) => return self.on_page(page.items),
             Reply::Committed => self.next_at = now,
             _ => {}
@@ -130,8 +130,8 @@
     }
 
     fn act(&mut self, known: &BTreeMap<String, Read>) -> Output {
-        let of = |key: &str| known.get(key).cloned().unwrap_or_default();
-        let mark = of(MARK);
+        let read = |key: &str| known.get(key).cloned().unwrap_or_default();
+        let mark = read(MARK);
         if mark.generation >= GENERATION_1 {
             self.raised = true;
             return Output {
@@ -142,7 +142,7 @@
             };
         }
         let own_key = node_key(&self.label);
-        let own = of(&own_key);
+        let own = read(&own_key);
         if own.generation < GENERATION_1 {
             let request = raise(own_key, own, Vec::new());
             return self.ask(request, vec![Event::GenerationTold]);
@@ -151,18 +151,19 @@
             .labels
             .iter()
             .map(|label| node_key(label))
-            .map(|key| (key.clone(), of(&key)))
+            .map(|key| (key.clone(), read(&key)))
             .collect();
-        let has_told = |(_, read): &&(String, Read)| read.generation >= GENERATION_1;
-        let missing = nodes.len() - nodes.iter().filter(has_told).count();
+        let has_recorded = |(_, read): &&(String, Read)| read.generation >= GENERATION_1;
+        let missing = nodes.len() - nodes.iter().filter(has_recorded).count();
         if missing > 0 && self.proof.is_none() {
             return Output::default();
         }
         let compares = match self.proof {
             Some(_) => Vec::new(),
             None => {
-                let told = nodes.into_iter().take(GUARDED_LABELS);
-                told.map(|(key, read)| Compare::new(key, read.version))
+                let guarded = nodes.into_iter().take(GUARDED_LABELS);
+                guarded
+                    .map(|(key, read)| Compare::new(key, read.version))
                     .collect()
             }
         };
--- a/crates/rollout/src/identity.rs
+++ b/crates/rollout/src/identity.rs
@@ -1,8 +1,8 @@
-//! Who a process is, and how operators want upgrades to go.
+//! The identity of a process, and the operators' policy for upgrades.
 
 use crate::levels::LevelRange;
 
-/// Who a process is.
+/// Identity of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Identity {
     /// Label of the controller.
@@ -15,10 +15,10 @@
     pub range: LevelRange,
 }
 
-/// How operators want upgrades to go.
+/// The operators' policy for upgrades.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// Whether a level is finalized once it has soaked; else it stays reversible.
+    /// Whether a level is finalized once it has soaked. Otherwise it stays reversible.
     pub finalizes: bool,
     /// Milliseconds that it soaks.
     pub soak_ms: u64,
--- a/crates/rollout/src/levels.rs
+++ b/crates/rollout/src/levels.rs
@@ -1,4 +1,4 @@
-//! Feature levels: which there are, what each changes, and when that may be used.
+//! Feature levels: which exist, what each changes, and when a feature may be used.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,14 +9,14 @@
 pub const BASE: Level = 0;
 /// Generation 1: small values and pipelines.
 pub const GENERATION_1: Level = 1;
-/// Planned hand-over of the lead, and what keeps older builds from leading.
+/// Planned handover of leadership, and the fencing of older builds from leading.
 pub const HANDOVER: Level = 2;
 /// Partitions of the fleet, whose owners answer workers.
 pub const PARTITIONS: Level = 3;
 /// Newest level of this build.
 pub const NEWEST: Level = PARTITIONS;
 
-/// Something that behaves differently from some level on.
+/// A behavior that changes with a level.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 pub enum Feature {
     /// Dense parts of jobs in small pages, submissions in several records, the rates of `state.next`.
@@ -27,7 +27,7 @@
     PlannedHandover,
     /// The record of the term is in a layout that builds without rollouts can't read.
     FencedTerm,
-    /// Owners of partitions answer workers under grants of the leader, and tell each other so in frames.
+    /// Owners of partitions answer workers under grants of the leader, and exchange frames about them.
     Partitions,
 }
 
@@ -55,7 +55,7 @@
 pub struct FeatureEntry {
     /// The feature.
     pub feature: Feature,
-    /// Level from which on there is it.
+    /// Level that introduces it.
     pub level: Level,
     /// What it changes.
     pub changes: Changes,
@@ -145,7 +145,7 @@
         newest: NEWEST,
     };
 
-    /// A part of what this build can run, as an operator may hold it to.
+    /// A part of this build's range, to which an operator may restrict it.
     pub fn held(oldest: Level, newest: Level) -> Result<Self, RangeError> {
         if newest > NEWEST {
             return Err(RangeError::Unsupported { newest });
--- /dev/null
+++ b/crates/rollout/src/machine/status.rs
@@ -0,0 +1,45 @@
+//! The state of the upgrade, for operators.
+
+use super::RolloutMachine;
+use crate::observation::Liveness;
+use crate::plan::Controller;
+use crate::snapshot::Snapshot;
+use crate::status::{ControllerStatus, RolloutStatus};
+
+impl RolloutMachine {
+    /// The state of the upgrade, if it has been read.
+    pub fn status(&self, now: u64) -> Option<RolloutStatus> {
+        let snapshot = self.snapshot.as_ref()?;
+        let level = snapshot.level.record()?;
+        let controllers = self.supervision.controllers(snapshot, now);
+        let view = self.view(snapshot, &controllers, now, level.since);
+        let statuses = controllers.iter();
+        let statuses = statuses.map(|controller| controller_status(controller, snapshot));
+        Some(RolloutStatus {
+            phase: level.phase,
+            active: snapshot.active(),
+            target: level.target,
+            finalized: snapshot.finalized(),
+            since: level.since,
+            pause: level.pause.clone(),
+            waits_for: view.waits_for(level),
+            admitted: self.is_admitted(),
+            controllers: statuses.collect(),
+        })
+    }
+}
+
+fn controller_status(controller: &Controller, snapshot: &Snapshot) -> ControllerStatus {
+    let member = snapshot.member(&controller.label);
+    ControllerStatus {
+        label: controller.label.clone(),
+        levels: member.map(|member| (member.oldest, member.newest)),
+        build: member.map(|member| member.build.clone()),
+        liveness: match controller.liveness {
+            Liveness::Confirmed => "confirmed",
+            Liveness::Silent => "silent",
+            Liveness::Starting => "settling",
+            Liveness::Unannounced => "unannounced",
+        },
+    }
+}
--- a/crates/rollout/src/observation.rs
+++ b/crates/rollout/src/observation.rs
@@ -6,13 +6,13 @@
 /// How what a controller has announced compares with its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Liveness {
-    /// Heard lately, and the process is the one that announced.
+    /// A recent heartbeat came from the process that announced.
     Confirmed,
-    /// Not heard lately.
+    /// There was no recent heartbeat.
     Silent,
-    /// Heard lately, as a process that has not announced yet.
-    Settling,
-    /// The same for so long that it must be a build that does not announce.
+    /// A recent heartbeat came from a process that has not announced yet.
+    Starting,
+    /// The process has not announced for so long that it must be a build that does not announce.
     Unannounced,
 }
 
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Default)]
 struct Observed {
     process: Option<Process>,
-    /// When its process was another one than before.
+    /// When its process was found to have changed.
     restarts: Vec<u64>,
 }
 
@@ -63,20 +63,24 @@
 
     /// How a controller's heartbeats compare with what it has announced.
     pub fn liveness(&self, label: &str, announced_boot: Option<u64>, now: u64) -> Liveness {
-        let process = self.controllers.get(label).and_then(|o| o.process);
-        let Some(process) = process.filter(|p| now < p.last_heard + PEER_FRESH_MS) else {
+        let process = self
+            .controllers
+            .get(label)
+            .and_then(|observed| observed.process);
+        let Some(process) = process.filter(|process| now < process.last_heard + PEER_FRESH_MS)
+        else {
             return Liveness::Silent;
         };
         if announced_boot == Some(process.boot) {
             return Liveness::Confirmed;
         }
         match now < process.first_heard + ANNOUNCE_GRACE_MS {
-            true => Liveness::Settling,
+            true => Liveness::Starting,
             false => Liveness::Unannounced,
         }
     }
 
-    /// A controller that restarts again and again.
+    /// A controller that restarts repeatedly.
     pub fn restarting(&self, now: u64) -> Option<&str> {
         let oldest = now.saturating_sub(RESTART_WINDOW_MS);
         let recent = |o: &Observed| o.restarts.iter().filter(|at| **at >= oldest).count();
@@ -85,12 +89,12 @@
         found.map(|(label, _)| label.as_str())
     }
 
-    /// When a controller's process was last another one than before.
+    /// When the process of any controller last changed.
     pub fn last_restart(&self) -> Option<u64> {
         self.last_restart
     }
 
-    /// Whether none has restarted for a while.
+    /// Whether no controller has restarted for [`CALM_MS`].
     pub fn is_calm(&self, now: u64) -> bool {
         self.last_restart.is_none_or(|at| now >= at + CALM_MS)
     }
--- /dev/null
+++ b/crates/rollout/src/plan/transactions.rs
@@ -0,0 +1,55 @@
+//! The transactions by which transitions are written.
+
+use crate::levels::{Feature, Level};
+use crate::plan::Transition;
+use crate::snapshot::Snapshot;
+use wire::records::{GenerationRecord, Phase, TermRecord, LEVEL, MARK, TERM};
+use wire::state::{Compare, Txn, Write};
+
+/// The transaction of a transition. Finalizing raises the mark, and writes the term in the layout that keeps builds without
+/// rollouts from leading, if the level has it; `None` if the term can't be read.
+pub fn transaction(snapshot: &Snapshot, transition: &Transition) -> Option<Txn> {
+    let mut txn = Txn {
+        compares: vec![
+            Compare::new(LEVEL, snapshot.level.version()),
+            Compare::new(MARK, snapshot.mark.version()),
+        ],
+        writes: vec![Write::put(LEVEL, &transition.level)],
+    };
+    let finalizes = transition.level.phase == Phase::Finalized
+        && transition.level.active > snapshot.finalized();
+    if finalizes {
+        let term = snapshot.term.record()?;
+        txn.compares
+            .push(Compare::new(TERM, snapshot.term.version()));
+        txn.writes.push(Write::put(
+            MARK,
+            &raised_mark(snapshot, transition.level.active),
+        ));
+        if Feature::FencedTerm.is_in(transition.level.active) && !term.fenced {
+            let fenced = TermRecord {
+                fenced: true,
+                ..term.clone()
+            };
+            txn.writes.push(Write::put(TERM, &fenced));
+        }
+    }
+    Some(txn)
+}
+
+/// The transaction that makes a level final by proof, whoever has announced what.
+pub fn proven(snapshot: &Snapshot, level: Level) -> Txn {
+    Txn {
+        compares: vec![Compare::new(MARK, snapshot.mark.version())],
+        writes: vec![Write::put(MARK, &raised_mark(snapshot, level))],
+    }
+}
+
+/// The mark as it is once a level is final, with the fields that this build does not know.
+fn raised_mark(snapshot: &Snapshot, level: Level) -> GenerationRecord {
+    let unknown = snapshot.mark.record().map(|mark| mark.unknown.clone());
+    GenerationRecord {
+        generation: level,
+        unknown: unknown.unwrap_or_default(),
+    }
+}
--- a/crates/rollout/src/request.rs
+++ b/crates/rollout/src/request.rs
@@ -1,4 +1,4 @@
-//! What the state machines ask of the state service, and what they tell.
+//! Requests of the state machines to the state service, its replies, and the events that they emit.
 
 use crate::levels::{Level, LevelRange};
 use wire::records::{PauseReason, Phase};
@@ -20,7 +20,7 @@
     Commit(Txn),
 }
 
-/// What came of it.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
     /// Keys under a prefix.
@@ -31,7 +31,7 @@
     Missing,
     /// The transaction was executed.
     Committed,
-    /// It was not executed, or nobody knows: what is stored tells.
+    /// It was not executed, or its outcome is unknown. The stored records show which.
     Failed,
 }
 
@@ -52,7 +52,7 @@
         /// Phase of the upgrade.
         phase: Phase,
     },
-    /// This controller has moved the upgrade on, or back.
+    /// This controller has committed a transition, forward or back.
     Moved {
         /// Phase before.
         from: Phase,
@@ -65,13 +65,13 @@
     },
     /// This controller has paused the upgrade.
     Paused(PauseReason),
-    /// It has let it go on.
+    /// This controller has resumed the upgrade.
     Resumed,
     /// A controller runs a process that has announced nothing.
     Unannounced {
         /// Its label.
         label: String,
-        /// Level that is final, below which there is no way back.
+        /// Level that is final. No older build may run.
         finalized: Level,
     },
     /// A controller that is not configured has announced itself.
@@ -93,16 +93,16 @@
         /// Its key.
         key: String,
     },
-    /// Generation 1: this node's generation has been told.
+    /// Generation 1: this node has recorded its generation.
     GenerationTold,
     /// Generation 1: the mark is about to be raised.
     MarkRaised {
-        /// Nodes that have not told.
+        /// Nodes that have not recorded their generation.
         missing: usize,
         /// Why no old process can be left.
         proof: &'static str,
     },
-    /// Generation 1: the mark is known to be up.
+    /// Generation 1: the mark is known to be raised.
     MarkSeen {
         /// Its number.
         generation: Level,
--- a/crates/rollout/src/snapshot.rs
+++ b/crates/rollout/src/snapshot.rs
@@ -17,7 +17,7 @@
     },
     /// There is one.
     Known {
-        /// What it says.
+        /// Its content.
         record: T,
         /// Its version.
         version: u64,
@@ -25,7 +25,7 @@
 }
 
 impl<T> Stored<T> {
-    /// What it says, if it can be read.
+    /// Its content, if it can be read.
     pub fn record(&self) -> Option<&T> {
         match self {
             Stored::Known { record, .. } => Some(record),
@@ -47,19 +47,19 @@
     }
 }
 
-/// What was read of the cluster's level. The records were read one after the other; each write that rests on them has
-/// their versions as conditions.
+/// The records of the cluster's level as they were read, one after the other. Each write that depends on them has their
+/// versions as conditions.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Snapshot {
     /// Level.
     pub level: Stored<LevelRecord>,
-    /// Level that is final, as builds of generation 1 have called it: the generation that all are known to run.
+    /// Level that is final. Builds of generation 1 call it the generation that all controllers are known to run.
     pub mark: Stored<GenerationRecord>,
     /// Announcements by label.
     pub members: BTreeMap<String, Stored<MemberRecord>>,
     /// Last term. Read only where an upgrade may be finalized, and before the leader.
     pub term: Stored<TermRecord>,
-    /// Leader. As the last.
+    /// Leader. Read under the same condition, after the term.
     pub leader: Stored<LeaderRecord>,
 }
 
@@ -69,7 +69,7 @@
         self.mark.record().map_or(BASE, |mark| mark.generation)
     }
 
-    /// Level that is active: what is final always is.
+    /// Level that is active. What is final is always active.
     pub fn active(&self) -> Level {
         let active = self.level.record().map_or(BASE, |level| level.active);
         active.max(self.finalized())
--- a/crates/rollout/src/supervision.rs
+++ b/crates/rollout/src/supervision.rs
@@ -1,5 +1,5 @@
-//! Watching over an upgrade: who is heard, for how long a level has been active without trouble, and what speaks against
-//! going on.
+//! Supervision of an upgrade: which controllers are alive, for how long a level has been active without trouble, and
+//! which reasons there are to pause.
 
 use crate::identity::{Identity, Policy};
 use crate::observation::{Liveness, Observations};
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use wire::records::{PauseReason, Phase};
 
-/// Since when something of the level record has been the same, by our own steady clock.
+/// A value of the level record, and since when it has been unchanged by our own monotonic clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Since<T> {
     value: T,
@@ -18,7 +18,7 @@
 }
 
 impl<T: PartialEq> Since<T> {
-    /// Notes a value; counts anew if it is another one.
+    /// Notes a value. The time restarts if the value has changed.
     fn note(slot: &mut Option<Since<T>>, value: T, now: u64) {
         if slot.as_ref().is_none_or(|known| known.value != value) {
             *slot = Some(Since { value, at: now });
@@ -35,19 +35,20 @@
     labels: Vec<String>,
     policy: Policy,
     observations: Observations,
-    /// The transition since which the level soaks, without trouble.
+    /// Number of the transition with which the soak began, and since when there was no trouble.
     soak: Option<Since<u64>>,
-    /// Transition and announcement after which nothing has moved.
+    /// Numbers of the last transition and announcement, and when they were first seen.
     progress: Option<Since<(u64, u64)>>,
-    /// Processes of controllers that are not configured.
-    strangers: BTreeMap<String, u64>,
-    /// One of those that was seen to be new, and when.
-    stranger_seen: Option<Since<String>>,
-    /// Controllers that were said to be unannounced.
+    /// Processes of controllers that are not configured, by label.
+    unconfigured: BTreeMap<String, u64>,
+    /// The last of those that was seen to restart, and when.
+    unconfigured_restart: Option<Since<String>>,
+    /// Controllers that were reported as unannounced.
     unannounced: Vec<String>,
 }
 
 impl Supervision {
+    /// Nothing has been observed yet.
     pub fn new(
         identity: &Identity,
         siblings: impl Iterator<Item = String>,
@@ -61,8 +62,8 @@
             observations: Observations::default(),
             soak: None,
             progress: None,
-            strangers: BTreeMap::new(),
-            stranger_seen: None,
+            unconfigured: BTreeMap::new(),
+            unconfigured_restart: None,
             unannounced: Vec::new(),
         }
     }
@@ -72,11 +73,12 @@
         &self.labels
     }
 
+    /// A heartbeat of another controller arrived.
     pub fn on_heartbeat(&mut self, label: &str, boot: u64, now: u64) {
         self.observations.on_heartbeat(label, boot, now);
     }
 
-    /// The time without trouble counts anew.
+    /// Restarts the time without trouble.
     pub fn forget_soak(&mut self) {
         self.soak = None;
     }
@@ -93,24 +95,24 @@
             let moved = (level.number, level.announcements);
             Since::note(&mut self.progress, moved, now);
         }
-        self.note_strangers(snapshot, now, events);
+        self.note_unconfigured(snapshot, now, events);
         self.note_unannounced(snapshot, now, events);
         self.note_soak(snapshot, now);
     }
 
-    /// Announcements of controllers that are not configured don't count, but one that has just been made shows that such
-    /// a controller is running.
-    fn note_strangers(&mut self, snapshot: &Snapshot, now: u64, events: &mut Vec<Event>) {
+    /// Announcements of controllers that are not configured are ignored. But a new one shows that such a controller is
+    /// running.
+    fn note_unconfigured(&mut self, snapshot: &Snapshot, now: u64, events: &mut Vec<Event>) {
         for (label, member) in &snapshot.members {
             let Some(member) = member.record().filter(|_| !self.labels.contains(label)) else {
                 continue;
             };
-            match self.strangers.insert(label.clone(), member.boot) {
+            match self.unconfigured.insert(label.clone(), member.boot) {
                 None => events.push(Event::UnknownMember {
                     label: label.clone(),
                 }),
                 Some(boot) if boot != member.boot => {
-                    self.stranger_seen = Some(Since {
+                    self.unconfigured_restart = Some(Since {
                         value: label.clone(),
                         at: now,
                     });
@@ -120,6 +122,7 @@
         }
     }
 
+    /// Reports controllers that were found to run a build which announces nothing.
     fn note_unannounced(&mut self, snapshot: &Snapshot, now: u64, events: &mut Vec<Event>) {
         let controllers = self.controllers(snapshot, now);
         let unannounced = controllers
@@ -135,8 +138,8 @@
         self.unannounced = unannounced;
     }
 
-    /// The time for which a level has been active without trouble is taken by the steady clock of the controller that
-    /// decides, from when it first saw it, and anew after each restart or silence.
+    /// The time without trouble is measured by the monotonic clock of the controller that decides, from when it first
+    /// saw the level active. It restarts after each restart or silence of a controller.
     fn note_soak(&mut self, snapshot: &Snapshot, now: u64) {
         let level = snapshot.level.record();
         let Some(level) = level.filter(|l| l.phase == Phase::Soaking && l.pause.is_none()) else {
@@ -165,7 +168,7 @@
         if label == self.label {
             return match announced == Some(self.boot) {
                 true => Liveness::Confirmed,
-                false => Liveness::Settling,
+                false => Liveness::Starting,
             };
         }
         self.observations.liveness(label, announced, now)
@@ -180,7 +183,7 @@
         self.labels.iter().map(controller).collect()
     }
 
-    /// What speaks against going on.
+    /// A reason to pause the upgrade, if there is one.
     ///
     /// `before` is what was read before `snapshot`.
     pub fn trouble(
@@ -194,9 +197,9 @@
         if level.target <= level.active && level.phase != Phase::Soaking {
             return None;
         }
-        let stranger = self.stranger_seen.as_ref();
-        if let Some(stranger) = stranger.filter(|s| now < s.at + CALM_MS) {
-            let label = stranger.value.clone();
+        let unconfigured = self.unconfigured_restart.as_ref();
+        if let Some(running) = unconfigured.filter(|seen| now < seen.at + CALM_MS) {
+            let label = running.value.clone();
             return Some(PauseReason::Unknown { label });
         }
         if let Some(label) = self.observations.restarting(now) {
@@ -217,7 +220,7 @@
         self.stall(before, snapshot, controllers, now)
     }
 
-    /// An upgrade in which nothing has moved for too long.
+    /// An upgrade that has made no progress for too long.
     fn stall(
         &self,
         before: Option<&Snapshot>,
@@ -226,14 +229,14 @@
         now: u64,
     ) -> Option<PauseReason> {
         let level = snapshot.level.record()?;
-        let stalls = matches!(level.phase, Phase::Mixed | Phase::Ready);
-        // The pause itself is no progress.
+        let may_stall = matches!(level.phase, Phase::Mixed | Phase::Ready);
+        // A pause is itself a transition, but no progress.
         let was_stalled = matches!(level.pause, Some(PauseReason::Stalled { .. }));
-        let for_long = self.progress.is_some_and(|p| {
+        let is_overdue = self.progress.is_some_and(|progress| {
             let waits_ms = self.policy.stall_ms;
-            now >= p.at + waits_ms || (was_stalled && !has_announced(before, snapshot))
+            now >= progress.at + waits_ms || (was_stalled && !has_announced(before, snapshot))
         });
-        if !stalls || !for_long {
+        if !may_stall || !is_overdue {
             return None;
         }
         let target = level.target;
