--- a/crates/partitions/src/handover.rs
+++ b/crates/partitions/src/handover.rs
@@ -1,4 +1,4 @@
-//! Moves of partitions: the ownership table as the leader holds it, the moves under way, and the writes that commit them.
+//! Moves of partitions: the leader's copy of the ownership table, the moves under way, and the writes that commit them.
 
 use crate::table::{OwnershipTable, TableError};
 use constants::MOVE_TIMEOUT_MS;
@@ -15,7 +15,7 @@
     since: u64,
 }
 
-/// A write under way: the table as it will be, and the moves that it commits.
+/// A write under way: the table after it, and the moves that it commits.
 #[derive(Debug)]
 struct PendingWrite {
     record: u16,
@@ -23,22 +23,22 @@
     moves: Vec<PartitionId>,
 }
 
-/// The ownership table in the hands of the leader.
+/// The leader's copy of the ownership table, and the moves under way.
 ///
 /// A partition that moves is granted to nobody. The write that commits a move is fenced by the leader key and by the
-/// version of the record, so that of two leaders, or of two tries, one succeeds.
+/// version of the record, so that of two leaders, or of two attempts, one succeeds.
 #[derive(Debug)]
 pub struct Handover {
     table: OwnershipTable,
     moves: BTreeMap<PartitionId, Move>,
     pending: Option<PendingWrite>,
     is_loaded: bool,
-    /// The outcome of a write is unknown, or the record is not as it was thought to be.
+    /// The outcome of a write is unknown, or the stored record differs from the copy.
     must_reload: bool,
 }
 
 impl Handover {
-    /// The table of a new leader, which has yet to read it.
+    /// The table of a new leader, which has not read it yet.
     pub fn new(leader: &str) -> Self {
         Handover {
             table: OwnershipTable::new(leader),
@@ -69,7 +69,7 @@
         self.table.load(key, record, version)
     }
 
-    /// All records have been read. Moves that an unknown write had committed are over.
+    /// All records have been read. Moves that were committed by a write of unknown outcome are complete.
     pub fn loaded(&mut self) {
         self.is_loaded = true;
         self.must_reload = false;
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Whether a partition moves.
+    /// Whether a move of a partition is under way.
     pub fn is_moving(&self, partition: PartitionId) -> bool {
         self.moves.contains_key(&partition)
     }
@@ -90,7 +90,7 @@
         self.moves.len()
     }
 
-    /// Begins to move a partition; false if it moves already or belongs there.
+    /// Begins to move a partition. Returns false if it is moving already or is owned and pinned as requested.
     pub fn begin(&mut self, partition: PartitionId, to: &str, pinned: bool, now: u64) -> bool {
         let row = self.table.row(partition);
         let is_there = row.is_none_or(|row| row.owner == to && row.pinned == pinned);
@@ -106,21 +106,21 @@
         true
     }
 
-    /// Partitions that an owner may be granted: its own in the recorded table, less those that move.
+    /// Partitions that an owner may be granted: those it owns in the recorded table, without those that are moving.
     pub fn entitled(&self, owner: &str) -> Vec<PartitionEpoch> {
         if !self.is_loaded || !self.table.is_recorded() {
             return Vec::new();
         }
         let owned = self.table.rows().filter(|(_, row)| row.owner == owner);
-        let settled = owned.filter(|(partition, _)| !self.is_moving(*partition));
-        let entitled = settled.map(|(partition, row)| PartitionEpoch {
+        let stationary = owned.filter(|(partition, _)| !self.is_moving(*partition));
+        let entitled = stationary.map(|(partition, row)| PartitionEpoch {
             partition,
             epoch: row.epoch,
         });
         entitled.collect()
     }
 
-    /// The next write, if there is one to make and none under way. Moves that have waited for too long are given up.
+    /// The next write, if there is one to make and none under way. Moves that have waited for too long are abandoned.
     pub fn next_write(&mut self, leader_version: u64, now: u64) -> Option<Txn> {
         if !self.is_loaded || self.must_reload || self.pending.is_some() {
             return None;
@@ -153,7 +153,7 @@
         })
     }
 
-    /// The write was committed under this version; the partitions that have moved.
+    /// The write was committed under this version. Returns the partitions that have moved.
     pub fn committed(&mut self, version: u64) -> Vec<PartitionId> {
         let Some(pending) = self.pending.take() else {
             return Vec::new();
@@ -166,12 +166,12 @@
         pending.moves
     }
 
-    /// The write was certainly not executed; it may be made again.
+    /// The write was certainly not executed and may be retried.
     pub fn refused(&mut self) {
         self.pending = None;
     }
 
-    /// The write failed on a condition, or nobody knows what became of it: the records are read again.
+    /// The write failed on a condition, or its outcome is unknown: the records are read again.
     pub fn unknown(&mut self) {
         self.pending = None;
         self.must_reload = true;
--- a/crates/partitions/src/table.rs
+++ b/crates/partitions/src/table.rs
@@ -1,11 +1,11 @@
-//! The ownership table: who owns each partition, in which epoch, and how that is recorded.
+//! The ownership table: which controller owns each partition, in which epoch, and how that is recorded.
 
 use crate::hash::{HASH, PARTITION_COUNT};
 use std::collections::BTreeMap;
 use wire::partitions::PartitionId;
 use wire::records::{partitions_key, PartitionRow, PartitionsRecord, UnknownFields};
 
-/// Partitions of a record: with labels of 40 characters it takes less than the smallest value known, 1 KiB.
+/// Partitions of a record. With labels of 40 characters it takes less than the smallest value limit known, 1 KiB.
 const ROWS_A_RECORD: PartitionId = 16;
 /// Records of the table.
 const RECORDS: u16 = PARTITION_COUNT / ROWS_A_RECORD;
@@ -25,7 +25,7 @@
         /// Mapping that is recorded.
         hash: String,
     },
-    /// Its rows are not those that its key promises, or name no owner.
+    /// Its rows do not match its key, or name no owner.
     #[error("the rows of {key} are not as this build writes them")]
     Rows {
         /// Its key.
@@ -33,7 +33,7 @@
     },
 }
 
-/// Who owns a partition.
+/// The owner of a partition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PartitionOwner {
     /// Label of the controller.
@@ -44,7 +44,7 @@
     pub pinned: bool,
 }
 
-/// A record of the table as it was read or written last.
+/// What is kept of a record of the table since it was last read or written.
 #[derive(Debug, Clone, Default)]
 struct StoredRecord {
     version: u64,
@@ -59,7 +59,7 @@
 }
 
 impl OwnershipTable {
-    /// A table that nobody has recorded yet: one controller owns everything.
+    /// A table that has not been recorded yet: one controller owns everything.
     pub fn new(owner: &str) -> Self {
         let row = PartitionOwner {
             owner: owner.to_string(),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Takes a record in, as it was read under its key.
+    /// Loads a record that was read under its key.
     pub fn load(
         &mut self,
         key: &str,
@@ -100,7 +100,7 @@
         };
         for (offset, (row, owner)) in record.rows.iter().zip(owners).enumerate() {
             let known = &mut self.rows[usize::from(record.first) + offset];
-            // What is recorded never goes back; a reading that was overtaken by a write of ours may be older.
+            // Epochs never decrease. A reading that was overtaken by our own write may be older.
             if row.epoch >= known.epoch {
                 *known = PartitionOwner {
                     owner: owner.clone(),
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Who owns a partition.
+    /// The owner of a partition.
     pub fn row(&self, partition: PartitionId) -> Option<&PartitionOwner> {
         self.rows.get(usize::from(partition))
     }
@@ -153,7 +153,7 @@
         (0..RECORDS).filter(missing).collect()
     }
 
-    /// Gives a partition to another owner, under the next epoch.
+    /// Assigns a partition to another owner, under the next epoch.
     pub(crate) fn change_owner(&mut self, partition: PartitionId, owner: &str, pinned: bool) {
         if let Some(row) = self.rows.get_mut(usize::from(partition)) {
             *row = PartitionOwner {
@@ -171,9 +171,9 @@
         let mut owners: Vec<String> = rows.iter().map(|row| row.owner.clone()).collect();
         owners.sort_unstable();
         owners.dedup();
-        let place = |owner: &String| owners.binary_search(owner).unwrap_or(0) as u16;
+        let index = |owner: &String| owners.binary_search(owner).unwrap_or(0) as u16;
         let rows = rows.iter().map(|row| PartitionRow {
-            owner: place(&row.owner),
+            owner: index(&row.owner),
             epoch: row.epoch,
             pinned: row.pinned,
         });
@@ -190,7 +190,7 @@
         (partitions_key(number), record, stored.version)
     }
 
-    /// A record was written as it is here.
+    /// A record was written as it is in this table.
     pub(crate) fn recorded(&mut self, number: u16, version: u64) {
         self.records.entry(number).or_default().version = version;
     }
