--- a/crates/control/src/partitions/load.rs
+++ b/crates/control/src/partitions/load.rs
@@ -1,11 +1,11 @@
-//! How busy this process is, for the rebalancing of partitions.
+//! The load of this process, for the rebalancing of partitions.
 
 use constants::GRANT_RENEW_MS;
 use wire::partitions::ControllerLoad;
 
 /// Share of the last measurement that the next one replaces.
 const NEW_SHARE: f64 = 0.3;
-/// Thousandths that a process counts as which is short of sockets.
+/// Load in thousandths of a process that is short of sockets.
 const CROWDED_PERMILLE: u16 = 950;
 
 /// Measures the time that turns take.
@@ -18,6 +18,7 @@
 }
 
 impl LoadMeter {
+    /// Begins to measure.
     pub fn new(now: u64) -> Self {
         LoadMeter {
             since: now,
@@ -38,7 +39,7 @@
         self.reports += 1;
     }
 
-    /// Whether sockets are short.
+    /// Notes whether sockets are short.
     pub fn set_crowded(&mut self, is_crowded: bool) {
         self.is_crowded = is_crowded;
     }
--- a/crates/control/src/partitions/mod.rs
+++ b/crates/control/src/partitions/mod.rs
@@ -1,7 +1,8 @@
-//! Partitions of the fleet in one controller: as an owner it answers workers under the leader's grants, as the leader it gives
-//! them and moves partitions between controllers.
+//! Partitions of the fleet in one controller. As an owner it answers workers under the leader's grants. As the leader
+//! it issues grants and moves partitions between controllers.
 //!
-//! The state machines are in the `partitions` crate; here they meet the state service, the peers and the leader's tables.
+//! The state machines are in the `partitions` crate. This module connects them to the state service, the peers and the
+//! leader's state.
 
 mod leading;
 mod load;
@@ -36,19 +37,22 @@
     pub moving: usize,
 }
 
-/// What the rest of the node says at this moment.
+/// The state of the rest of the node at this moment.
 pub(crate) struct View<'a> {
+    /// Which features may be used.
     pub rollout: &'a Rollout,
+    /// Which processes of the other controllers are heard.
     pub peers: &'a Peers,
     /// Label of the leader, if one is known.
     pub leader: Option<&'a str>,
     /// Highest term known.
     pub term: u64,
-    /// Milliseconds for which owners may be granted partitions: for no longer than this node may answer itself.
+    /// Milliseconds for which owners may be granted partitions: no longer than this node may answer itself.
     pub grant_ms: u64,
 }
 
 impl<'a> View<'a> {
+    /// The view at the time `now`.
     pub fn new(
         rollout: &'a Rollout,
         peers: &'a Peers,
@@ -66,19 +70,26 @@
     }
 }
 
-/// The actor.
+/// A leader that has granted partitions.
+struct GrantingLeader {
+    label: String,
+    term: u64,
+}
+
+/// Partitions of the fleet, from the point of view of this controller.
 pub(crate) struct Partitions {
     label: String,
     pins: Pins,
     owner: Owner,
     load: LoadMeter,
     leading: Option<Leading>,
-    /// Who granted us partitions last, and in which term.
-    granted_by: Option<(String, u64)>,
+    /// The leader that granted us partitions last.
+    granted_by: Option<GrantingLeader>,
     next_status_log: u64,
 }
 
 impl Partitions {
+    /// A process that has just started.
     pub fn new(settings: &Settings, pins: Pins, boot: u64, now: u64) -> Self {
         let report_ms = (settings.deployment.workers.report_s * 1000.0) as u64;
         Partitions {
@@ -92,11 +103,12 @@
         }
     }
 
-    /// Measures how busy this process is.
+    /// The meter of this process's load.
     pub fn load(&mut self) -> &mut LoadMeter {
         &mut self.load
     }
 
+    /// What this controller knows of partitions.
     pub fn status(&self, now: u64) -> PartitionsStatus {
         let mut status = PartitionsStatus {
             granted: self.owner.partitions_held(now),
@@ -109,6 +121,7 @@
         status
     }
 
+    /// When [`Partitions::tick`] is to be called next.
     pub fn next_wake(&self) -> u64 {
         let leading = self.leading.as_ref().map(Leading::next_wake);
         let wake = leading.unwrap_or(self.owner.next_wake());
@@ -133,11 +146,11 @@
         leading.is_some_and(|leading| leading.begin_move(partition, to, now))
     }
 
-    /// The leader of a term, if it has granted us partitions: known also without the state service.
+    /// The leader of a term, if it has granted us partitions. Known also while the state service is not.
     pub fn granting_leader(&self, term: u64) -> Option<&str> {
         let granted_by = self.granted_by.as_ref();
-        let current = granted_by.filter(|(_, granted_in)| *granted_in == term);
-        current.map(|(label, _)| label.as_str())
+        let current = granted_by.filter(|leader| leader.term == term);
+        current.map(|leader| leader.label.as_str())
     }
 
     /// What to do with a worker's report at a node that does not lead.
@@ -146,7 +159,7 @@
         self.owner.decide(report, now)
     }
 
-    /// The owner that a worker is to report to instead of this leader, if it is to.
+    /// The owner to which a worker that reported to this leader is redirected, if it is.
     pub fn redirect(
         &mut self,
         report: &WorkerHeartbeat,
@@ -156,7 +169,7 @@
         self.leading.as_mut()?.redirect(report, leader, now)
     }
 
-    /// The leader answered a report that a peer passed on, without orders: the machine may be steady.
+    /// The leader answered a report that a peer forwarded, without orders: the machine may be steady.
     pub fn on_answered(
         &mut self,
         peer: &str,
@@ -169,6 +182,7 @@
         }
     }
 
+    /// The state service replied to a request of this term and number.
     pub fn on_state_reply(&mut self, term: u64, number: u64, reply: StateReply, now: u64) {
         let leading = self.leading.as_mut();
         if let Some(leading) = leading.filter(|leading| leading.term() == term) {
@@ -176,6 +190,7 @@
         }
     }
 
+    /// Time passed.
     pub fn tick(&mut self, view: &View, leader: Option<&mut Leader>, effects: &mut Effects) {
         let now = effects.now.mono;
         self.owner.on_term(view.term, now);
@@ -183,13 +198,13 @@
             (Some(leading), Some(leader)) => {
                 leading.tick(view, self.load.measure(now), leader, effects);
             }
-            _ => self.ask_for_grant(view, effects),
+            _ => self.request_grant(view, effects),
         }
         self.log_status(now);
     }
 
-    /// Asks the leader for this node's partitions, if that is due and it knows of partitions.
-    fn ask_for_grant(&mut self, view: &View, effects: &mut Effects) {
+    /// Requests a grant from the leader, if that is due and the leader has partitions.
+    fn request_grant(&mut self, view: &View, effects: &mut Effects) {
         let now = effects.now.mono;
         let load = self.load.measure(now);
         let Some(request) = self.owner.request(load, now) else {
@@ -197,10 +212,10 @@
         };
         let leader = view.leader.or(self.granting_leader(view.term));
         let leader = leader.filter(|leader| *leader != self.label);
-        let knows = |leader: &&str| view.rollout.peer_has_partitions(leader, now);
+        let has_partitions = |leader: &&str| view.rollout.peer_has_partitions(leader, now);
         let Some(leader) = leader
             .filter(|_| view.rollout.has_partitions())
-            .filter(knows)
+            .filter(has_partitions)
         else {
             return;
         };
@@ -208,7 +223,7 @@
         send(leader, view.term, body, effects);
     }
 
-    /// A peer says something about partitions.
+    /// A message of a peer about partitions arrived.
     pub fn on_message(
         &mut self,
         from: &str,
@@ -230,7 +245,8 @@
             PartitionBody::Grant(grant) => {
                 let number = grant.number;
                 if self.owner.on_grant(term, grant, now) {
-                    self.granted_by = Some((from.to_string(), term));
+                    let label = from.to_string();
+                    self.granted_by = Some(GrantingLeader { label, term });
                 } else {
                     log::info!(
                         "event=grant_refused from={from} term={term} number={number} \
--- a/crates/control/src/partitions/redirects.rs
+++ b/crates/control/src/partitions/redirects.rs
@@ -1,4 +1,5 @@
-//! Workers that the leader sends to the owners of their partitions: a few at a time, and no worker to and fro.
+//! Redirects of workers from the leader to the owners of their partitions: rate-limited, and with a growing pause for
+//! workers that come back.
 
 use crate::token_bucket::TokenBucket;
 use constants::{
@@ -13,36 +14,46 @@
     at: u64,
     /// How often it has come back.
     returns: u32,
-    /// Whether it has come back from this one.
-    is_back: bool,
+    /// Whether it has come back after this redirect.
+    has_returned: bool,
+}
+
+/// Workers in a row that came back from an owner.
+#[derive(Debug, Default)]
+struct Failures {
+    count: u32,
+    last_at: u64,
 }
 
 /// Redirects of one term.
 pub(super) struct Redirects {
     rate: TokenBucket,
     workers: HashMap<String, Redirected>,
-    /// Workers in a row that came back from an owner, with the time of the last.
-    failed: HashMap<String, (u32, u64)>,
+    /// Failed redirects in a row, by owner.
+    failures: HashMap<String, Failures>,
 }
 
 impl Redirects {
+    /// Nothing has been redirected in this term.
     pub fn new() -> Self {
         Redirects {
             rate: TokenBucket::new(REDIRECTS_A_SECOND, REDIRECTS_A_SECOND),
             workers: HashMap::new(),
-            failed: HashMap::new(),
+            failures: HashMap::new(),
         }
     }
 
-    /// Whether a worker that reports to the leader may be sent to its owner now; if so, that is noted.
-    pub fn take(&mut self, machine: &str, owner: &str, now: u64) -> bool {
+    /// Notes a redirect of a worker that reports to the leader, if it may be redirected to its owner now. Returns
+    /// whether it may.
+    pub fn try_redirect(&mut self, machine: &str, owner: &str, now: u64) -> bool {
         let mut returns = 0;
         if let Some(last) = self.workers.get_mut(machine) {
-            if !last.is_back {
-                last.is_back = true;
+            if !last.has_returned {
+                last.has_returned = true;
                 last.returns += 1;
-                let (count, at) = self.failed.entry(last.owner.clone()).or_default();
-                (*count, *at) = (*count + 1, now);
+                let failures = self.failures.entry(last.owner.clone()).or_default();
+                failures.count += 1;
+                failures.last_at = now;
             }
             let pause_ms = REDIRECT_PAUSE_MS << (last.returns - 1).min(REDIRECT_DOUBLINGS);
             if now < last.at + pause_ms {
@@ -60,27 +71,28 @@
             owner: owner.to_string(),
             at: now,
             returns,
-            is_back: false,
+            has_returned: false,
         };
         self.workers.insert(machine.to_string(), redirected);
         true
     }
 
-    /// An owner passed on a worker's report: it was reached.
+    /// An owner forwarded a worker's report: the worker reached it.
     pub fn reached(&mut self, machine: &str, owner: &str) {
         self.workers.remove(machine);
-        self.failed.remove(owner);
+        self.failures.remove(owner);
     }
 
-    /// An owner has heard workers.
-    pub fn owner_hears(&mut self, owner: &str) {
-        self.failed.remove(owner);
+    /// An owner has received workers' reports.
+    pub fn owner_received_reports(&mut self, owner: &str) {
+        self.failures.remove(owner);
     }
 
-    /// Whether workers that were sent to an owner lately came back.
+    /// Whether workers that were recently redirected to an owner came back.
     pub fn is_unreachable(&self, owner: &str, now: u64) -> bool {
-        let failed = self.failed.get(owner);
-        failed.is_some_and(|(count, at)| *count >= REDIRECTS_FAILED && now < at + REDIRECT_PAUSE_MS)
+        self.failures.get(owner).is_some_and(|failures| {
+            failures.count >= REDIRECTS_FAILED && now < failures.last_at + REDIRECT_PAUSE_MS
+        })
     }
 }
 
