--- a/crates/fakes/examples/fleet_size.rs
+++ b/crates/fakes/examples/fleet_size.rs
@@ -99,7 +99,8 @@
         ("round", &small.rounds, &large.rounds),
     ] {
         println!(
-            "{name}: {} and {} measured; mean at 4,000 machines {:.2} times that at 2,000, p99 {:.2} times, total {:.2} times",
+            "{name}: {} and {} measured; mean at 4,000 machines {:.2} times that at 2,000, p99 {:.2} times, \
+             total {:.2} times",
             small.len(),
             large.len(),
             large.mean() / small.mean(),
--- a/crates/fakes/examples/partition_load.rs
+++ b/crates/fakes/examples/partition_load.rs
@@ -1,8 +1,9 @@
-//! What partitions take off the leader: its time in turns, its messages and its workers at 1,000, 2,000 and 4,000 machines with
-//! three and five controllers, with partitions on and off, as ratios within one run; and what they cost elsewhere.
+//! What partitions take off the leader: its time in turns, its messages and its workers at 1,000, 2,000 and 4,000
+//! machines with three and five controllers, with partitions on and off, as ratios within one run; and what they cost
+//! elsewhere.
 //!
-//! `cargo run --release -p vetchmount-fakes --example partition_load`. Not part of CI, since it measures real time. Most machines
-//! are full of long tasks, one in sixteen has room. Delays are simulated milliseconds.
+//! `cargo run --release -p vetchmount-fakes --example partition_load`. Not part of CI, since it measures real time.
+//! Most machines are full of long tasks, one in sixteen has room. Delays are simulated milliseconds.
 
 mod measuring;
 
@@ -163,7 +164,8 @@
 
 fn main() {
     println!(
-        "| machines, controllers | leader's time for reports, a report | its other messages | leader's time in all | leader's turns | others' time | workers at the leader | \
+        "| machines, controllers | leader's time for reports, a report | its other messages | leader's time in all | \
+         leader's turns | others' time | workers at the leader | \
          report to answer ms p50/p99 | placed to started ms p50/p99 | all answered after a change ms | a move, ms of all |"
     );
     for machines in [1_000, 2_000, 4_000] {
@@ -175,7 +177,8 @@
                 format!("{}/{}", h.value_at_quantile(0.5), h.value_at_quantile(0.99))
             };
             println!(
-                "| {machines}, {nodes} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {} to {} | {} to {} | {} to {} | {} to {} | {:.1} |",
+                "| {machines}, {nodes} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | \
+                 {} to {} | {} to {} | {} to {} | {} to {} | {:.1} |",
                 each(&on) / each(&off),
                 on.leader_other_us as f64 / off.leader_other_us as f64,
                 on.leader_us as f64 / off.leader_us as f64,
--- a/crates/fakes/src/network.rs
+++ b/crates/fakes/src/network.rs
@@ -1,36 +1,30 @@
 //! The network: what nodes send, where it arrives, and what is lost, late or refused on the way.
 
-use super::*;
+mod state_service;
+mod workers;
+
+use crate::events::{Call, CallResult, Event, Sender};
+use crate::turns::{note_turn, TurnAbout};
+use crate::{Cut, Party, World, DELAY_MS};
+use control::{CallError, Input, Node, Output, Target};
+use wire::peers::PeerMessage;
 
 impl World {
-    pub(crate) fn drain(&mut self, i: usize) {
-        let life = self.nodes[i].life;
+    /// Sends everything that a node has to send.
+    pub(crate) fn drain(&mut self, node: usize) {
+        let start = self.nodes[node].start;
         loop {
-            let Some(output) = self.nodes[i].node.as_mut().and_then(Node::next_output) else {
+            let running = self.nodes[node].node.as_mut();
+            let Some(output) = running.and_then(Node::next_output) else {
                 return;
             };
-            let at = self.now + DELAY;
             match output {
                 Output::Respond {
                     id,
                     status,
                     retry_after_s,
                     body,
-                } => match self.reporters.remove(&id) {
-                    Some(_) if self.troubles.is_cut(i, Party::Workers, Cut::Answers) => {}
-                    Some((worker, seq)) => {
-                        self.push(at, Event::Answer(worker, seq, status, body));
-                    }
-                    None if self.troubles.is_cut(i, Party::Users, Cut::Answers) => {}
-                    None => {
-                        // A user that is not told when to come back comes back after a second, flood or not.
-                        if matches!(status, 429 | 503) && retry_after_s.is_none() {
-                            let breach = format!("no Retry-After with {status} at {}", self.now);
-                            self.broken.push(breach);
-                        }
-                        self.respond(id, status, body);
-                    }
-                },
+                } => self.send_response(node, id, status, retry_after_s, body),
                 Output::Call {
                     call,
                     target,
@@ -38,266 +32,173 @@
                     path,
                     body,
                     timeout_ms,
-                } => match target {
-                    Target::State => {
-                        let late = self.draw(self.troubles.slow_to_state.get(&i).copied());
-                        let deadline = self.now + timeout_ms;
-                        let mut from = Some((i, life, call));
-                        if at + late > deadline {
-                            from = None;
-                            let result = Err(CallError::Unknown);
-                            let input = Input::Reply { call, result };
-                            self.push(deadline, Event::ToNode(i, life, input));
-                        }
-                        let call = StateCall {
-                            from,
-                            method,
-                            path,
-                            body,
-                            deadline,
-                        };
-                        self.push(at + late, Event::ToState(call));
-                    }
-                    Target::Cloud => {
-                        self.push(at, Event::ToCloud(i, life, call, method, path, body));
-                    }
-                    Target::Worker(_) if self.troubles.is_cut(i, Party::Workers, Cut::Answers) => {}
-                    Target::Worker(addr) => {
-                        let name = addr.split(':').next().unwrap_or_default().to_string();
-                        self.push(at, Event::ToWorker(i, name, body));
-                    }
-                },
-                Output::Peer { to, message } => {
-                    let from = self.settings[i].label.clone();
-                    for j in 0..self.nodes.len() {
-                        let named = to.as_ref().is_none_or(|l| *l == self.settings[j].label);
-                        let cut = |n: usize| self.silent_peers.contains(&n);
-                        let lost = self.troubles.loses_frame(i, j, self.now);
-                        if j != i && named && !cut(i) && !cut(j) && !lost {
-                            let life = self.nodes[j].life;
-                            let (from, message) = (from.clone(), message.clone());
-                            let input = Input::Peer { from, message };
-                            let late = self.draw(self.troubles.slow_frames.get(&(i, j)).copied());
-                            self.push(at + late, Event::ToNode(j, life, input));
-                        }
-                    }
+                } => {
+                    let sender = Sender { node, start, call };
+                    let call = Call {
+                        from: Some(sender),
+                        method,
+                        path,
+                        body,
+                        deadline: self.now + timeout_ms,
+                    };
+                    self.send_call(sender, target, call);
                 }
+                Output::Peer { to, message } => self.send_to_peers(node, to.as_deref(), &message),
             }
         }
     }
 
-    pub(crate) fn happen(&mut self, event: Event) {
-        let back = self.now + DELAY;
-        match event {
-            Event::ToNode(i, life, input) => {
-                if let Some(until) = self.troubles.frozen_until(i, self.now) {
-                    return self.push(until, Event::ToNode(i, life, input));
-                }
-                let now = self.clock();
-                let slot = &mut self.nodes[i];
-                if slot.life == life {
-                    if let Some(node) = &mut slot.node {
-                        let turn = (i, TurnAbout::of(&input));
-                        let started = (self.stopwatch)();
-                        node.handle(now, input);
-                        note_turn(&mut self.turns, turn, started, self.stopwatch);
-                    }
-                }
-                self.drain(i);
-            }
-            Event::ToState(call) => self.serve_state(call),
-            Event::ToCloud(i, life, call, method, path, body) => {
-                let result = Ok(self.serve_cloud(method, &path, &body));
-                let input = Input::Reply { call, result };
-                self.push(back, Event::ToNode(i, life, input));
+    /// A node calls the state service, the cloud or a worker.
+    fn send_call(&mut self, sender: Sender, target: Target, call: Call) {
+        match target {
+            Target::State => self.send_to_state(sender, call),
+            Target::Cloud => {
+                let event = Event::ToCloud {
+                    sender,
+                    method: call.method,
+                    path: call.path,
+                    body: call.body,
+                };
+                self.push(self.now + DELAY_MS, event);
             }
-            Event::ToWorker(from, name, body) => self.direct(from, name, body),
-            Event::Answer(name, seq, status, body) => match self.held(&name) {
-                Some(until) => self.push(until, Event::Answer(name, seq, status, body)),
-                None => self.answered(&name, seq, status, &body),
-            },
+            Target::Worker(addr) => self.send_to_worker(sender.node, &addr, call.body),
         }
     }
 
-    /// Until when messages to a machine wait, because they are held or because it hangs.
-    pub(crate) fn held(&self, name: &str) -> Option<u64> {
-        let hung = self.workers.get(name).map(|w| w.hung_until);
-        let hung = hung.filter(|until| self.now < *until);
-        self.troubles.held_until(name, self.now).max(hung)
-    }
-
-    /// The state service gets a request.
-    pub(crate) fn serve_state(&mut self, call: StateCall) {
-        let txn = call.path == "/multi";
-        let Some((i, life, number)) = call.from else {
-            // Too late for an answer. An outage only makes it later.
-            if self.state_down {
-                return self.push(self.now + 1_000, Event::ToState(call));
-            }
-            if !call.path.starts_with("/changes") {
-                let waiter = (usize::MAX, 0);
-                self.state
-                    .serve(self.now, waiter, call.method, &call.path, &call.body);
-            }
-            return;
+    /// A node answers a worker or a user.
+    fn send_response(
+        &mut self,
+        node: usize,
+        id: u64,
+        status: u16,
+        retry_after_s: Option<u32>,
+        body: Vec<u8>,
+    ) {
+        let reporter = self.reporters.remove(&id);
+        let party = match reporter {
+            Some(_) => Party::Workers,
+            None => Party::Users,
         };
-        self.txns += u64::from(txn);
-        if txn && changes(&call.body, self.counted_keys) && self.crashes_at_counted_write(i, &call)
-        {
+        if self.troubles.is_cut(node, party, Cut::Answers) {
             return;
         }
-        let lost = txn && self.lose_txns > 0 && self.txns.is_multiple_of(self.lose_txns);
-        let mut at = self.now + DELAY;
-        let deadline = call.deadline;
-        let late = match self.late_txns.get(&i).copied() {
-            Some(ms) if txn => Some((ms, at)),
-            _ if txn && self.happens(self.troubles.late_txns) => {
-                Some((self.rng.u64(LATE_TXN_MS), deadline))
-            }
-            _ => None,
-        };
-        let is_cut = |cut| self.troubles.is_cut(i, Party::State, cut);
-        let (refuses, answers_lost) = (is_cut(Cut::Refused), is_cut(Cut::Answers));
-        let result = if self.troubles.cut_from_state.contains(&i) || is_cut(Cut::Requests) {
-            at = deadline;
-            Some(Err(CallError::Unknown))
-        } else if self.state_down || self.refused.contains(&i) || refuses {
-            Some(Ok((503, vec![])))
-        } else if answers_lost {
-            at = deadline;
-            let call = StateCall { from: None, ..call };
-            self.serve_state(call);
-            Some(Err(CallError::Unknown))
-        } else if let Some((ms, told_at)) = late {
-            // Executed later, long after the sender has given up.
-            let call = StateCall { from: None, ..call };
-            self.push(self.now + ms, Event::ToState(call));
-            at = told_at;
-            Some(Err(CallError::Unknown))
-        } else if (self.break_watches && call.path.starts_with("/changes"))
-            || (self.break_lists && call.path.starts_with("/kv?"))
-            || (lost && !self.txns.is_multiple_of(2 * self.lose_txns))
-        {
-            Some(Err(CallError::Unknown))
-        } else {
-            let waiter = (i, number);
-            let served = self
-                .state
-                .serve(self.now, waiter, call.method, &call.path, &call.body);
-            if lost {
-                Some(Err(CallError::Unknown))
-            } else if txn && self.happens(self.troubles.lost_answers) {
-                at = deadline;
-                Some(Err(CallError::Unknown))
-            } else {
-                at += self.draw(self.troubles.slow_state.get(&i).copied());
-                let in_time = |answer| {
-                    if at > deadline {
-                        Err(CallError::Unknown)
-                    } else {
-                        Ok(answer)
-                    }
-                };
-                served.map(in_time)
-            }
-        };
-        if let Some(result) = result {
-            let call = number;
-            let input = Input::Reply { call, result };
-            self.push(at.min(deadline), Event::ToNode(i, life, input));
+        if let Some((machine, seq)) = reporter {
+            let event = Event::Answer {
+                machine,
+                seq,
+                status,
+                body,
+            };
+            self.push(self.now + DELAY_MS, event);
+            return;
+        }
+        // Without a given delay a refused user retries after a second, however many users there are.
+        if matches!(status, 429 | 503) && retry_after_s.is_none() {
+            let breach = format!("no Retry-After with {status} at {}", self.now);
+            self.broken.push(breach);
         }
+        self.respond(id, status, body);
     }
 
-    /// Ends the process that sends a change of the counted keys, if it is the one chosen for that.
-    pub(crate) fn crashes_at_counted_write(&mut self, node: usize, call: &StateCall) -> bool {
-        self.counted_writes += 1;
-        let Some((_, executed)) = self
-            .crash_at_counted_write
-            .take_if(|(number, _)| *number == self.counted_writes)
-        else {
-            return false;
-        };
-        if executed {
-            let waiter = (usize::MAX, 0);
-            self.state
-                .serve(self.now, waiter, call.method, &call.path, &call.body);
+    /// A node calls the state service. A call that arrives after its deadline is executed without an answer.
+    fn send_to_state(&mut self, sender: Sender, call: Call) {
+        let slow_ms = self.troubles.slow_to_state.get(&sender.node).copied();
+        let late_ms = self.draw(slow_ms);
+        let arrives_at = self.now + DELAY_MS + late_ms;
+        let mut from = Some(sender);
+        if arrives_at > call.deadline {
+            from = None;
+            self.reply(call.deadline, sender, Err(CallError::Unknown));
         }
-        self.crash(node);
-        true
+        self.push(arrives_at, Event::ToState(Call { from, ..call }));
     }
 
-    /// A worker's own address gets commands.
-    pub(crate) fn direct(&mut self, from: usize, name: String, body: Vec<u8>) {
-        if let Some(until) = self.held(&name) {
-            return self.push(until, Event::ToWorker(from, name, body));
-        }
-        let Ok(direct) = wire::decode::<DirectOrders>(&body) else {
-            return;
-        };
-        let (jobs, now, rules) = (&self.behaviour, self.now, &mut self.rules);
-        let Some(w) = self.workers.get_mut(&name) else {
+    /// A node sends orders to a worker's own address.
+    fn send_to_worker(&mut self, node: usize, addr: &str, body: Vec<u8>) {
+        if self.troubles.is_cut(node, Party::Workers, Cut::Answers) {
             return;
+        }
+        let machine = addr.split(':').next().unwrap_or_default().to_string();
+        let event = Event::ToWorker {
+            from: node,
+            machine,
+            body,
         };
-        let reached = self.stuck_workers.is_none() && w.only.is_none_or(|n| n == from);
-        let heard = reached && now >= w.cut_until && !w.one_way;
-        if heard && direct.term >= w.term && direct.incarnation == w.incarnation {
-            w.term = direct.term;
-            let fresh = w.execute(&direct.orders, |t| behave(jobs, t), now);
-            for (task, attempt) in fresh {
-                rules.started(&task, attempt, &name, now);
+        self.push(self.now + DELAY_MS, event);
+    }
+
+    /// A node sends a message to one peer, or to all.
+    fn send_to_peers(&mut self, from: usize, to: Option<&str>, message: &PeerMessage) {
+        for peer in 0..self.nodes.len() {
+            let is_addressed = to.is_none_or(|label| label == self.settings[peer].label);
+            let is_silent = |node: usize| self.silent_peers.contains(&node);
+            let is_lost = self.troubles.loses_frame(from, peer, self.now);
+            if peer == from || !is_addressed || is_silent(from) || is_silent(peer) || is_lost {
+                continue;
             }
+            let input = Input::Peer {
+                from: self.settings[from].label.clone(),
+                message: message.clone(),
+            };
+            let late_ms = self.draw(self.troubles.slow_frames.get(&(from, peer)).copied());
+            self.push_input(self.now + DELAY_MS + late_ms, peer, input);
         }
     }
 
-    pub(crate) fn answered(&mut self, name: &str, seq: u64, status: u16, body: &[u8]) {
-        let (jobs, now, nodes) = (&self.behaviour, self.now, self.nodes.len());
-        let Some(w) = self.workers.get_mut(name) else {
-            return;
+    /// Schedules the reply to a call.
+    fn reply(&mut self, at: u64, sender: Sender, result: CallResult) {
+        let call = sender.call;
+        let event = Event::ToNode {
+            node: sender.node,
+            start: sender.start,
+            input: Input::Reply { call, result },
         };
-        let Some((sent, _)) = w.in_flight.filter(|f| f.1 == seq) else {
-            return;
-        };
-        if now < w.cut_until || w.one_way || now > sent + REPORT_DROP_MS {
-            return;
-        }
-        if w.lose_answers > 0 {
-            w.lose_answers -= 1;
-            return;
-        }
-        w.in_flight = None;
-        if status == 200 {
-            if let Ok(answer) = wire::decode::<HeartbeatResponse>(body) {
-                if answer.term >= w.term {
-                    if answer.term > w.term {
-                        w.report_at = w.report_at.min(now + 500);
-                    }
-                    w.term = answer.term;
-                    if let Some(delays) = &mut self.answer_delays_ms {
-                        delays.push(now - sent);
-                    }
-                    w.lease_from = sent;
-                    w.redirects = 0;
-                    let fresh = w.execute(&answer.orders, |t| behave(jobs, t), now);
-                    for (task, attempt) in fresh {
-                        self.rules.started(&task, attempt, name, now);
-                    }
-                }
+        self.push(at, event);
+    }
+
+    /// A message arrives.
+    pub(crate) fn deliver(&mut self, event: Event) {
+        match event {
+            Event::ToNode { node, start, input } => self.deliver_input(node, start, input),
+            Event::ToState(call) => self.serve_state(call),
+            Event::ToCloud {
+                sender,
+                method,
+                path,
+                body,
+            } => {
+                let result = Ok(self.serve_cloud(method, &path, &body));
+                self.reply(self.now + DELAY_MS, sender, result);
             }
-            return;
+            Event::ToWorker {
+                from,
+                machine,
+                body,
+            } => self.deliver_orders(from, machine, body),
+            Event::Answer {
+                machine,
+                seq,
+                status,
+                body,
+            } => self.deliver_answer(machine, seq, status, body),
         }
-        let named = wire::decode::<Elsewhere>(body).ok().and_then(|e| e.leader);
-        let leader = named.and_then(|n| self.settings.iter().position(|s| s.label == n));
-        match leader.filter(|l| *l != w.node) {
-            Some(l) => {
-                w.node = l;
-                w.report_at = now;
-                w.redirects += 1;
-                w.most_redirects = w.most_redirects.max(w.redirects);
-            }
-            None => {
-                w.node = (w.node + 1) % nodes;
-                w.report_at = now + 1000;
+    }
+
+    /// Hands input to a node, once it is not frozen, if the process that it is for still runs.
+    fn deliver_input(&mut self, node: usize, start: u64, input: Input) {
+        if let Some(until) = self.troubles.frozen_until(node, self.now) {
+            return self.push(until, Event::ToNode { node, start, input });
+        }
+        let now = self.clock();
+        let slot = &mut self.nodes[node];
+        if slot.start == start {
+            if let Some(running) = &mut slot.node {
+                let turn = (node, TurnAbout::of(&input));
+                let started = (self.stopwatch)();
+                running.handle(now, input);
+                note_turn(&mut self.turns, turn, started, self.stopwatch);
             }
         }
+        self.drain(node);
     }
 }
--- a/crates/fakes/src/troubles.rs
+++ b/crates/fakes/src/troubles.rs
@@ -1,5 +1,5 @@
-//! What can go wrong in the world, apart from what a worker has in itself ([`crate::FakeWorker`]): one vocabulary, so
-//! that any two troubles can meet. Drawn from the world's seed, never from a clock.
+//! Faults of the simulated cluster, apart from those of a worker itself ([`crate::FakeWorker`]). All are described by
+//! one type, so that any two can be combined. They are drawn from the world's seed, never from a clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
@@ -20,18 +20,18 @@
     NextLeader,
 }
 
-/// Who is at the other end of a controller's connection.
+/// The other end of a controller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Party {
     /// The state service, which the controller asks.
     State,
-    /// Workers, which report to the controller and get commands.
+    /// Workers, which report to the controller and receive orders.
     Workers,
     /// Users, who ask the controller.
     Users,
 }
 
-/// In which way a connection between two parties fails.
+/// How a connection between two parties fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cut {
     /// Requests are lost: nobody executes them.
@@ -55,17 +55,18 @@
     pub slow_to_state: BTreeMap<usize, u64>,
     /// Nodes whose requests to the state service are lost on their way, while it answers others.
     pub cut_from_state: BTreeSet<usize>,
-    /// Frames from one node to another are lost with their connection until then; later ones go on.
+    /// Frames from one node to another are lost with their connection until then. Later ones arrive.
     pub lost_frames: BTreeMap<(usize, usize), u64>,
-    /// Frames from one node to another take up to so many milliseconds more, each for itself, so that they overtake others.
+    /// Frames from one node to another take up to so many milliseconds more, each for itself, so that they overtake
+    /// others.
     pub slow_frames: BTreeMap<(usize, usize), u64>,
     /// Share of workers' reports of which a copy arrives again, 2 s to one and a half leases later.
     pub late_reports: Option<(f64, CopyTo)>,
-    /// Direct commands and answers to these machines are held until then, and delivered in order.
+    /// Direct orders and answers to these machines are delayed until then, and delivered in order.
     pub held_commands: BTreeMap<String, u64>,
-    /// One-sided cuts between a controller and a party. Commands sent to workers directly go with their answers.
+    /// One-sided cuts between a controller and a party. Direct orders to workers are cut like answers.
     pub cuts: BTreeSet<(usize, Party, Cut)>,
-    /// Controllers that get neither input nor ticks until then, and go on with their backlog.
+    /// Controllers that get neither input nor ticks until then, and process their backlog afterwards.
     pub frozen: BTreeMap<usize, u64>,
 }
 
@@ -86,7 +87,7 @@
         until.is_some_and(|until| now < *until)
     }
 
-    /// Until when messages to a machine are held.
+    /// Until when messages to a machine are delayed.
     pub(crate) fn held_until(&self, machine: &str, now: u64) -> Option<u64> {
         let until = self.held_commands.get(machine).copied();
         until.filter(|until| now < *until)
--- a/crates/fakes/src/users.rs
+++ b/crates/fakes/src/users.rs
@@ -1,9 +1,9 @@
-//! Users: what they ask, and what they hear.
+//! Users: their requests, and the answers to them.
 
-use crate::{Behaviour, Cut, Event, Party, Question, World, DELAY};
+use crate::{Behaviour, Cut, Party, Question, World, DELAY_MS};
 use control::Input;
 use std::collections::BTreeSet;
-use wire::users::*;
+use wire::users::{JobStatus, JustId, Phase, Submission};
 
 impl World {
     /// Sends a request to a node and waits for the answer, for 3 s at most.
@@ -29,7 +29,7 @@
         let question = match (method, target.strip_prefix("/submissions")) {
             ("POST", Some("")) => wire::decode(&body)
                 .ok()
-                .map(|just: JustId| (Question::Submit, just.id)),
+                .map(|submitted: JustId| (Question::Submit, submitted.id)),
             (_, Some(rest)) => {
                 let rest = rest.trim_start_matches('/');
                 Some(match rest.strip_suffix("/abort") {
@@ -69,16 +69,17 @@
 
     /// A node answers a user.
     pub(crate) fn respond(&mut self, request: u64, status: u16, body: Vec<u8>) {
-        let told: Option<JobStatus> = wire::decode(&body).ok();
-        let before = told.as_ref().map(|t| self.before(&t.id));
-        let about = (&self.jobs, &before.unwrap_or_default());
-        let phase = told.map(|t| t.phase);
+        let answer: Option<JobStatus> = wire::decode(&body).ok();
+        let dependencies = answer.as_ref().map(|answer| self.dependencies(&answer.id));
+        let about = (&self.jobs, &dependencies.unwrap_or_default());
+        let phase = answer.map(|answer| answer.phase);
         self.rules.answered(request, status, phase, about, self.now);
         self.broken.append(&mut self.rules.broken);
         self.answers.insert(request, (status, body));
         self.answered_at.insert(request, self.now);
     }
 
+    /// Sends a request to a node.
     pub(crate) fn request(
         &mut self,
         node: usize,
@@ -94,8 +95,7 @@
             target: target.to_string(),
             body,
         };
-        let life = self.nodes[node].life;
-        self.push(self.now + DELAY, Event::ToNode(node, life, input));
+        self.push_input(self.now + DELAY_MS, node, input);
         id
     }
 
@@ -113,7 +113,7 @@
         self.behaviour.insert(job.id.clone(), behaviour);
     }
 
-    /// Asks a node for the phases of many jobs at the same moment.
+    /// Asks a node for the phases of many jobs at once.
     pub fn phases(&mut self, node: usize, ids: &[String]) -> Vec<Option<Phase>> {
         let targets = ids.iter().map(|id| format!("/submissions/{id}"));
         let sent: Vec<u64> = targets
@@ -138,8 +138,8 @@
         wire::decode::<JobStatus>(&body).ok().map(|s| s.phase)
     }
 
-    /// Jobs before a job, directly or through others.
-    pub(crate) fn before(&self, id: &str) -> BTreeSet<String> {
+    /// Jobs that a job depends on, directly or through others.
+    fn dependencies(&self, id: &str) -> BTreeSet<String> {
         let mut all = BTreeSet::new();
         let mut stack = vec![id.to_string()];
         while let Some(id) = stack.pop() {
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,7 +1,10 @@
-//! A worker, as the protocol page describes it: tokens, lease, commands, gangs.
+//! A worker, as the protocol page describes it: tokens, lease, orders, gangs.
+
+mod orders;
+mod progress;
 
 use std::collections::{BTreeMap, BTreeSet};
-use wire::workers::*;
+use wire::workers::{Cause, TaskPhase, TaskStatus, WorkerHeartbeat};
 
 /// A task on a fake machine.
 #[derive(Debug, Clone)]
@@ -10,20 +13,20 @@
     pub phase: TaskPhase,
     /// Why it ended.
     pub cause: Option<Cause>,
-    /// When it goes on to the next state.
+    /// When it changes to the next state.
     pub next_at: u64,
-    /// Since when it misses others of its gang.
-    alone_since: Option<u64>,
+    /// Since when other tasks of its gang are missing.
+    incomplete_since: Option<u64>,
 }
 
-/// Who of a gang's attempt is there, on machines that don't hang.
+/// Tasks of a gang's attempt on machines that don't hang.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Gang {
     /// Tasks that have their image and have not ended.
     pub present: u32,
     /// Those of them that wait for the others.
     pub waiting: u32,
-    /// Those of them whose run time is over: they complete together.
+    /// Those of them whose run time is over. They complete together.
     pub due: u32,
 }
 
@@ -34,7 +37,7 @@
     pub fetch_ms: u64,
     /// Milliseconds of running.
     pub run_ms: u64,
-    /// Milliseconds to save, 0 for tasks that never save.
+    /// Milliseconds to save a checkpoint, 0 for tasks that take none.
     pub save_ms: u64,
     /// Size of its gang, 0 for arrays.
     pub gang: u32,
@@ -66,20 +69,20 @@
     pub in_flight: Option<(u64, u64)>,
     /// Sent-time of the last answered report, or start of the session.
     pub lease_from: u64,
-    /// Cut from the network until then.
+    /// Until when it is cut off from the network.
     pub cut_until: u64,
-    /// When the cloud takes it, if it gave notice.
+    /// When the cloud takes it away, if it has given notice.
     pub taken_at: Option<u64>,
     /// Answers still to be lost on their way here.
     pub lose_answers: u32,
-    /// Its reports arrive, but neither answers nor commands reach it.
+    /// Its reports arrive, but neither answers nor orders reach it.
     pub one_way: bool,
-    /// Its reports reach no node, but direct commands reach it.
+    /// Its reports reach no node, but direct orders reach it.
     pub mute: bool,
-    /// It hangs until then: it does nothing, and executes afterwards what came meanwhile.
+    /// Until when it hangs. Meanwhile it does nothing, and afterwards it executes what has arrived.
     pub hung_until: u64,
-    /// When it last did something.
-    awake_at: u64,
+    /// When it was last active.
+    active_at: u64,
     /// The only node that it reaches and that reaches it.
     pub only: Option<usize>,
     /// Jobs whose image it has.
@@ -94,6 +97,14 @@
     pub most_redirects: u32,
 }
 
+impl FakeTask {
+    fn end(&mut self, cause: Cause) {
+        self.phase = TaskPhase::Ended;
+        self.cause = Some(cause);
+        self.next_at = u64::MAX;
+    }
+}
+
 impl FakeWorker {
     /// A machine that has just come up.
     pub fn new(name: &str, zone: &str, spot: bool, now: u64) -> Self {
@@ -115,7 +126,7 @@
             one_way: false,
             mute: false,
             hung_until: 0,
-            awake_at: now,
+            active_at: now,
             only: None,
             images: BTreeSet::new(),
             started: Vec::new(),
@@ -125,10 +136,10 @@
         }
     }
 
-    /// Whether nodes reach it and are reached, as far as it lies with itself.
+    /// Whether the worker itself can exchange messages with all nodes.
     pub fn is_reached(&self, now: u64) -> bool {
-        let whole = !self.one_way && !self.mute && self.only.is_none();
-        whole && now >= self.cut_until && now >= self.hung_until
+        let is_connected = !self.one_way && !self.mute && self.only.is_none();
+        is_connected && now >= self.cut_until && now >= self.hung_until
     }
 
     /// Ends its troubles, apart from the notice that it has.
@@ -141,16 +152,16 @@
         self.only = None;
     }
 
-    /// Adds a task to what is known of its gang's attempt.
+    /// Adds a task to the counts of its gang's attempt.
     pub fn join(&self, task: &str, attempt: u64, gang: &mut Gang, now: u64) {
-        if let Some(t) = self.tasks.get(&(task.to_string(), attempt)) {
+        if let Some(state) = self.tasks.get(&(task.to_string(), attempt)) {
             gang.present += 1;
-            gang.waiting += u32::from(t.phase == TaskPhase::Waiting);
-            gang.due += u32::from(t.phase == TaskPhase::Running && now >= t.next_at);
+            gang.waiting += u32::from(state.phase == TaskPhase::Waiting);
+            gang.due += u32::from(state.phase == TaskPhase::Running && now >= state.next_at);
         }
     }
 
-    /// Its present report, numbered anew.
+    /// Its present report, under the next number.
     pub fn report(&mut self, kind: &str, now: u64) -> WorkerHeartbeat {
         self.seq += 1;
         WorkerHeartbeat {
@@ -168,104 +179,29 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|((task, attempt), t)| TaskStatus {
+                .map(|((task, attempt), state)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
-                    phase: t.phase,
-                    cause: t.cause,
+                    phase: state.phase,
+                    cause: state.cause,
                     saved: None,
                 })
                 .collect(),
         }
     }
 
-    /// Whether a task occupies its place.
+    /// Tasks that occupy their place.
     pub fn live(&self) -> impl Iterator<Item = (&String, u64)> {
-        let live = |t: &FakeTask| !matches!(t.phase, TaskPhase::Ended | TaskPhase::Fetching);
+        let is_live =
+            |state: &FakeTask| !matches!(state.phase, TaskPhase::Ended | TaskPhase::Fetching);
         self.tasks
             .iter()
-            .filter(move |(_, t)| live(t))
-            .map(|((n, a), _)| (n, *a))
-    }
-
-    /// Executes commands in order; returns the starts that took effect.
-    pub fn execute(
-        &mut self,
-        orders: &[Order],
-        behave: impl Fn(&str) -> Option<Behaviour>,
-        now: u64,
-    ) -> Vec<(String, u64)> {
-        let mut fresh_starts = Vec::new();
-        for order in orders {
-            match order {
-                Order::Start { task, attempt } => {
-                    if self.tasks.contains_key(&(task.clone(), *attempt)) {
-                        continue;
-                    }
-                    let busy = self
-                        .tasks
-                        .iter()
-                        .any(|((n, _), t)| n == task && t.phase != TaskPhase::Ended);
-                    let b = behave(task);
-                    let refused = match (busy, b) {
-                        (true, _) => Some(Cause::Busy),
-                        (_, None) => Some(Cause::Unknown),
-                        _ => None,
-                    };
-                    let (phase, next_at) = match b {
-                        Some(b) if refused.is_none() => {
-                            let has = self.images.contains(job_of(task));
-                            let fetch_ms = if has { 0 } else { b.fetch_ms };
-                            (TaskPhase::Fetching, now + fetch_ms)
-                        }
-                        _ => (TaskPhase::Ended, u64::MAX),
-                    };
-                    if refused.is_none() {
-                        self.started.push((task.clone(), *attempt));
-                        fresh_starts.push((task.clone(), *attempt));
-                    }
-                    let fresh = FakeTask {
-                        phase,
-                        cause: refused,
-                        next_at,
-                        alone_since: None,
-                    };
-                    self.tasks.insert((task.clone(), *attempt), fresh);
-                }
-                Order::Stop {
-                    task,
-                    attempt,
-                    grace_s,
-                } => {
-                    let save_ms = behave(task).map_or(0, |b| b.save_ms);
-                    if let Some(t) = self.tasks.get_mut(&(task.clone(), *attempt)) {
-                        let saves = save_ms > 0 && *grace_s * 1000.0 >= save_ms as f64;
-                        match t.phase {
-                            TaskPhase::Ended => {}
-                            TaskPhase::Running if saves => {
-                                t.phase = TaskPhase::Saving;
-                                t.next_at = now + save_ms;
-                            }
-                            TaskPhase::Saving if saves => {}
-                            _ => end(t, Cause::Stopped),
-                        }
-                        self.report_at = self.report_at.min(now + 100);
-                    }
-                }
-                Order::Forget { task, attempt } => {
-                    let key = (task.clone(), *attempt);
-                    let ended = self.tasks.get(&key).map(|t| t.phase);
-                    if ended == Some(TaskPhase::Ended) {
-                        self.tasks.remove(&key);
-                    }
-                }
-            }
-        }
-        fresh_starts
+            .filter(move |(_, state)| is_live(state))
+            .map(|((task, attempt), _)| (task, *attempt))
     }
 
-    /// Looks at its clock: ends its session if no report was answered for too long, by itself also while it hangs, and
-    /// goes on with its tasks where they were when it hung.
+    /// Checks its clock. Ends its session if no report was answered for the time of a lease, also while it hangs.
+    /// After it has hung, its tasks continue where they were.
     pub fn wake(&mut self, now: u64, lease_ms: u64) {
         if now > self.lease_from + lease_ms {
             self.tasks.clear();
@@ -276,99 +212,12 @@
         if now < self.hung_until {
             return;
         }
-        let hung_ms = self.hung_until.saturating_sub(self.awake_at);
-        self.awake_at = now.max(self.hung_until);
+        let hung_ms = self.hung_until.saturating_sub(self.active_at);
+        self.active_at = now.max(self.hung_until);
         if hung_ms > 0 && self.hung_until > 0 {
-            for t in self.tasks.values_mut() {
-                t.next_at = t.next_at.saturating_add(hung_ms);
+            for task in self.tasks.values_mut() {
+                task.next_at = task.next_at.saturating_add(hung_ms);
             }
         }
     }
-
-    /// Lets time pass for its tasks, given the time after which a gang's tasks miss each other. `gang`
-    /// tells who of an attempt is there, `has_result` which tasks have completed before. Returns tasks that completed.
-    pub fn advance(
-        &mut self,
-        now: u64,
-        peer_ms: u64,
-        behave: impl Fn(&str) -> Option<Behaviour>,
-        has_result: impl Fn(&str) -> bool,
-        gang: impl Fn(&str, u64) -> Gang,
-    ) -> Vec<String> {
-        if now < self.hung_until {
-            return Vec::new();
-        }
-        let mut completed = Vec::new();
-        let mut changed = false;
-        for ((name, attempt), t) in &mut self.tasks {
-            let Some(b) = behave(name) else { continue };
-            let there = match b.gang {
-                0 => Gang::default(),
-                _ => gang(job_of(name), *attempt),
-            };
-            let whole = there.present >= b.gang;
-            match t.phase {
-                TaskPhase::Fetching if now >= t.next_at => {
-                    changed = true;
-                    self.images.insert(job_of(name).to_string());
-                    if self.faulty {
-                        end(t, Cause::Error);
-                    } else if has_result(name) {
-                        end(t, Cause::Done);
-                    } else if b.gang > 0 {
-                        t.phase = TaskPhase::Waiting;
-                        t.next_at = now + 35_000;
-                    } else {
-                        t.phase = TaskPhase::Running;
-                        t.next_at = now + b.run_ms;
-                    }
-                }
-                TaskPhase::Waiting => {
-                    if there.waiting >= b.gang {
-                        changed = true;
-                        t.phase = TaskPhase::Running;
-                        t.next_at = now + b.run_ms;
-                    } else if now >= t.next_at {
-                        changed = true;
-                        end(t, Cause::Alone);
-                    }
-                }
-                TaskPhase::Running if b.fails && now >= t.next_at => {
-                    changed = true;
-                    end(t, Cause::Error);
-                }
-                TaskPhase::Running if !whole => {
-                    let since = *t.alone_since.get_or_insert(now);
-                    if now >= since + peer_ms {
-                        changed = true;
-                        end(t, Cause::Peers);
-                    }
-                }
-                TaskPhase::Running if now >= t.next_at && there.due >= b.gang => {
-                    changed = true;
-                    end(t, Cause::Done);
-                    completed.push(name.clone());
-                }
-                TaskPhase::Saving if now >= t.next_at => {
-                    changed = true;
-                    end(t, Cause::Stopped);
-                }
-                _ => {}
-            }
-        }
-        if changed {
-            self.report_at = self.report_at.min(now + 100);
-        }
-        completed
-    }
-}
-
-fn job_of(task: &str) -> &str {
-    task.split('/').next().unwrap_or_default()
-}
-
-fn end(t: &mut FakeTask, cause: Cause) {
-    t.phase = TaskPhase::Ended;
-    t.cause = Some(cause);
-    t.next_at = u64::MAX;
 }
--- a/crates/fakes/tests/checks.rs
+++ b/crates/fakes/tests/checks.rs
@@ -2,9 +2,13 @@
 
 use control::settings::Team;
 use std::collections::BTreeSet;
-use vetchmount_fakes::{array, FakeLimits, FakeState, Jobs, Placed, Question, Rules};
+use vetchmount_fakes::{array, FakeLimits, FakeState, Jobs, Placed, Question, Rules, Waiter};
 use wire::users::{Phase, Submission};
 
+fn waiter(call: u64) -> Waiter {
+    Waiter { node: 0, call }
+}
+
 fn rules() -> Rules {
     let team = |name: &str| Team {
         name: name.into(),
@@ -67,7 +71,7 @@
 }
 
 fn look(r: &mut Rules, all: &[Submission], placed: &[Placed<'_>], now: u64) {
-    r.look(placed, &jobs(all), |_| false, now);
+    r.check_placement(placed, &jobs(all), |_| false, now);
 }
 
 #[test]
@@ -305,16 +309,16 @@
         ..array("run-1", 1)
     };
     let on = [placed("m1", "a", "run-1/0")];
-    r.look(&on, &jobs(std::slice::from_ref(&job)), |_| true, 1_000);
+    r.check_placement(&on, &jobs(std::slice::from_ref(&job)), |_| true, 1_000);
     clean(&r);
-    r.look(&on, &jobs(&[job]), |_| false, 1_010);
+    r.check_placement(&on, &jobs(&[job]), |_| false, 1_010);
     broke(&r, "too_early run-1/0 before run-2");
 }
 
 #[test]
 fn a_job_called_open_long_after_the_one_before_it_was_cancelled() {
     let mut r = accepted();
-    r.told_cancelled("run-2", 2_000);
+    r.confirm_cancelled("run-2", 2_000);
     let all = jobs(&[array("run-1", 1)]);
     let before = BTreeSet::from(["run-2".to_string()]);
     let mut ask = |at: u64| {
@@ -355,13 +359,13 @@
 fn a_task_that_waits_beside_room() {
     let mut r = rules();
     for at in (0..200_000).step_by(1_000) {
-        r.waits_beside_room("run-1", true, at);
+        r.note_waiting("run-1", true, at);
     }
     clean(&r);
     r.troubles_over(200_000);
     for at in (200_000..400_000).step_by(1_000) {
         // Once in between there is no room.
-        r.waits_beside_room("run-1", at != 280_000, at);
+        r.note_waiting("run-1", at != 280_000, at);
         if at < 371_000 {
             clean(&r);
         }
@@ -386,7 +390,7 @@
     for n in 0..10 {
         let body = wire::encode(&write(n));
         let (status, _) = state
-            .serve(5_000, (0, n), "POST", "/multi", &body)
+            .serve(5_000, waiter(n), "POST", "/multi", &body)
             .expect("answer");
         statuses.push(status);
     }
@@ -397,7 +401,7 @@
     );
     for n in 0..15 {
         let (status, _) = state
-            .serve(5_000, (0, n), "GET", "/kv/k/1", &[])
+            .serve(5_000, waiter(n), "GET", "/kv/k/1", &[])
             .expect("answer");
         assert_eq!(status, if n < 10 { 404 } else { 429 }, "request {n}");
     }
@@ -405,7 +409,7 @@
     assert_eq!(refused, (5, 5));
     assert_eq!((state.counts.commits, state.counts.reads), (10, 15));
     // Half a second later half of the rate is there again.
-    let answers = (0..11).map(|n| state.serve(5_500, (0, n), "GET", "/kv/k/1", &[]));
+    let answers = (0..11).map(|n| state.serve(5_500, waiter(n), "GET", "/kv/k/1", &[]));
     let served = answers.flatten().filter(|(status, _)| *status == 404);
     assert_eq!(served.count(), 10);
 }
--- a/crates/standins/examples/local_outside.rs
+++ b/crates/standins/examples/local_outside.rs
@@ -1,7 +1,7 @@
 //! State service, cloud and workers on loopback, for trying the service by hand.
 //!
-//! `local_outside FOLDER MINUTES` writes settings of three controllers to FOLDER, `n0.toml` to `n2.toml`, and ends after so
-//! many minutes.
+//! `local_outside FOLDER MINUTES` writes settings of three controllers to FOLDER, `n0.toml` to `n2.toml`, and ends
+//! after so many minutes.
 
 use std::path::Path;
 use std::process::ExitCode;
--- a/crates/standins/examples/upgrade_rounds.rs
+++ b/crates/standins/examples/upgrade_rounds.rs
@@ -1,7 +1,8 @@
-//! Rounds of upgrade, rollback and upgrade again with an older build on loopback, under load; see `scripts/upgrade-rounds`.
+//! Rounds of upgrade, rollback and upgrade again with an older build on loopback, under load; see
+//! `scripts/upgrade-rounds`.
 //!
-//! `upgrade_rounds OLD NEW ROUNDS FOLDER`: OLD and NEW are programs, OLD is started without operators' settings. Measures
-//! each pass through the controllers, and compares it with plain restarts of the same build. Not part of CI.
+//! `upgrade_rounds OLD NEW ROUNDS FOLDER`: OLD and NEW are programs, OLD is started without operators' settings.
+//! Measures each pass through the controllers, and compares it with plain restarts of the same build. Not part of CI.
 
 use hdrhistogram::Histogram;
 use std::path::{Path, PathBuf};
--- a/crates/standins/src/connections.rs
+++ b/crates/standins/src/connections.rs
@@ -8,14 +8,16 @@
 use std::time::Duration;
 
 /// Bytes read at a time.
-const CHUNK: usize = 16 * 1024;
-/// How long a server waits for the next request until it looks whether all is over.
-const LOOK: Duration = Duration::from_millis(200);
+const READ_CHUNK: usize = 16 * 1024;
+/// How long a server waits for the next request until it checks whether it must end.
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
+/// How often a server without a new connection checks again.
+const ACCEPT_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Answers a request: method, target, body; status and body.
+/// Answers a request, given method, target and body, with status and body.
 pub type Handler = dyn Fn(&str, &str, &[u8]) -> (u16, Vec<u8>) + Send + Sync;
 
-/// Serves a free port of the loopback interface, each connection in a thread of its own, until all is over.
+/// Serves a free port of the loopback interface until all threads are to end, with one thread per connection.
 pub fn serve(shared: Arc<Shared>, handler: Arc<Handler>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("its address");
@@ -27,7 +29,7 @@
                     let (shared, handler) = (Arc::clone(&shared), Arc::clone(&handler));
                     std::thread::spawn(move || serve_connection(&shared, &handler, stream));
                 }
-                Err(_) => std::thread::sleep(Duration::from_millis(2)),
+                Err(_) => std::thread::sleep(ACCEPT_INTERVAL),
             }
         }
     });
@@ -37,9 +39,9 @@
 fn serve_connection(shared: &Shared, handler: &Arc<Handler>, mut stream: TcpStream) {
     let _ = stream.set_nonblocking(false);
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_read_timeout(Some(LOOK));
+    let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
     let mut parser = RequestParser::default();
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; READ_CHUNK];
     while !shared.is_over() {
         match parser.next_request() {
             Ok(Some(request)) => {
@@ -57,7 +59,7 @@
         match stream.read(&mut chunk) {
             Ok(0) => return,
             Ok(n) => parser.feed(&chunk[..n]),
-            Err(e) if is_timeout(&e) => {}
+            Err(error) if is_timeout(&error) => {}
             Err(_) => return,
         }
     }
@@ -81,7 +83,7 @@
     Client::default().call(addr, method, target, body, timeout)
 }
 
-/// A caller that keeps its connection until one side closes it, or it calls somebody else.
+/// A client that keeps its connection until one side closes it or another address is called.
 #[derive(Default)]
 pub struct Client {
     open: Option<(SocketAddr, TcpStream)>,
@@ -116,7 +118,7 @@
 
 fn read_response(stream: &mut TcpStream) -> io::Result<Response> {
     let mut parser = ResponseParser::default();
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; READ_CHUNK];
     loop {
         let n = stream.read(&mut chunk)?;
         if n == 0 {
--- a/crates/standins/src/controllers.rs
+++ b/crates/standins/src/controllers.rs
@@ -10,20 +10,24 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long an orderly stop may take until the process is ended.
-const STOP_WITHIN: Duration = Duration::from_secs(5);
+/// How long an orderly stop may take until the process is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Sockets of a controller, unless they are limited.
 const SOCKETS: usize = 400;
-/// Ports of the controllers of one run: a block of these.
+/// First port of the first block. Each run of this process takes the ports of its controllers from one block.
 const FIRST_PORT: u16 = 12_000;
+/// Ports of a block.
 const PORTS_IN_BLOCK: u16 = 100;
+/// Number of blocks: all lie below the ports that the system assigns by itself.
 const PORT_BLOCKS: u32 = 190;
+/// How often a stopping process is checked.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Ports of this process's block that were given out.
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// A build of the service, and what it is started with.
+/// A build of the service, and the settings that it is started with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Build {
     /// Its program.
@@ -36,16 +40,19 @@
 pub struct Controllers {
     folder: PathBuf,
     labels: Vec<String>,
+    /// Addresses for users and workers.
     public: Vec<SocketAddr>,
+    /// Addresses for the other controllers.
     back: Vec<SocketAddr>,
     processes: Vec<Option<Child>>,
+    /// Starts so far, which number the log files.
     starts: usize,
-    /// Sockets that each may hold.
+    /// Sockets that each controller may use.
     sockets: usize,
 }
 
 impl Controllers {
-    /// Chooses addresses for so many controllers; their files go into `folder`.
+    /// Chooses addresses for that many controllers. Their files go into `folder`.
     pub fn new(folder: &Path, count: usize) -> io::Result<Self> {
         std::fs::create_dir_all(folder)?;
         let mut ports = free_ports();
@@ -67,7 +74,7 @@
         })
     }
 
-    /// Controllers that are started from now on may hold so many sockets.
+    /// Limits the sockets of controllers that are started from now on.
     pub fn limit_sockets(&mut self, sockets: usize) {
         self.sockets = sockets;
     }
@@ -102,7 +109,7 @@
         Ok(())
     }
 
-    /// Writes the settings file of a controller, and says where.
+    /// Writes the settings file of a controller and returns its path.
     pub fn write_settings(&self, number: usize, outside: &Outside) -> io::Result<PathBuf> {
         let settings = self.folder.join(format!("n{number}.toml"));
         std::fs::write(&settings, self.settings(number, outside))?;
@@ -124,13 +131,13 @@
         };
         let id = process.id().to_string();
         Command::new("kill").arg("-TERM").arg(id).status()?;
-        let until = Instant::now() + STOP_WITHIN;
+        let until = Instant::now() + STOP_TIMEOUT;
         while Instant::now() < until {
             if process.try_wait()?.is_some() {
                 self.processes[number] = None;
                 return Ok(());
             }
-            std::thread::sleep(Duration::from_millis(20));
+            std::thread::sleep(STOP_CHECK_INTERVAL);
         }
         self.kill(number);
         Err(io::Error::new(io::ErrorKind::TimedOut, "it did not stop"))
@@ -142,11 +149,12 @@
             .into_iter()
             .flatten()
             .flatten();
-        let logs = files.filter(|f| f.path().extension().is_some_and(|e| e == "log"));
-        let texts = logs.filter_map(|f| std::fs::read_to_string(f.path()).ok());
+        let logs = files.filter(|file| file.path().extension().is_some_and(|end| end == "log"));
+        let texts = logs.filter_map(|file| std::fs::read_to_string(file.path()).ok());
         texts.collect()
     }
 
+    /// The settings of a controller, in TOML.
     fn settings(&self, number: usize, outside: &Outside) -> String {
         let mut text = format!(
             "label = \"{}\"\narea = \"a\"\npublic_addr = \"{}\"\nback = \"{}\"\n\
@@ -178,8 +186,8 @@
     }
 }
 
-/// Addresses that nobody listens on, below the ports that the system hands out by itself: a controller that is down for a
-/// moment finds its own free again. No two clusters of this process get the same.
+/// Addresses that nobody listens on. They lie below the ports that the system assigns by itself, so that the port of a
+/// controller that is down for a moment stays free. No two clusters of this process get the same.
 fn free_ports() -> impl Iterator<Item = SocketAddr> {
     let first = FIRST_PORT + (std::process::id() % PORT_BLOCKS) as u16 * PORTS_IN_BLOCK;
     let next = || Some(NEXT_PORT.fetch_add(1, Ordering::Relaxed)).filter(|n| *n < PORTS_IN_BLOCK);
--- a/crates/standins/src/history.rs
+++ b/crates/standins/src/history.rs
@@ -1,16 +1,16 @@
-//! What users and workers saw, and whether it fits together.
+//! What users and workers observed, and whether it is consistent.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::Phase;
 
-/// A user's knowledge of a job.
+/// What a user knows of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Known {
     phase: Phase,
     cancelled: bool,
 }
 
-/// The history of a cluster. Breaches of what was promised are collected as they are seen.
+/// The history of a cluster. Broken rules are collected as they are observed.
 #[derive(Default)]
 pub struct History {
     jobs: BTreeMap<String, Known>,
@@ -18,21 +18,24 @@
     live: BTreeMap<String, BTreeSet<String>>,
     /// Tasks that have completed.
     completed: BTreeSet<String>,
-    /// When a request of a user was answered well, and when a task was started, in milliseconds.
+    /// When requests of users were answered successfully, in milliseconds.
     answers: Vec<u64>,
+    /// When tasks were started, in milliseconds.
     starts: Vec<u64>,
     refused: u64,
+    /// Leases of workers that have expired.
     lapses: u64,
     breaches: Vec<String>,
-    ends: bool,
+    /// Whether no more jobs are submitted.
+    has_ended: bool,
 }
 
-/// The longest times without something, in milliseconds, and requests refused.
+/// The longest times without an answer or a start, and the number of refused requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Gaps {
-    /// Without a good answer to any user.
+    /// Milliseconds without a successful answer to any user.
     pub answers_ms: u64,
-    /// Without the start of a task.
+    /// Milliseconds without the start of a task.
     pub starts_ms: u64,
     /// Requests that were refused, or not answered.
     pub refused: u64,
@@ -41,14 +44,15 @@
 impl History {
     /// No more jobs are to be submitted.
     pub(crate) fn submissions_end(&mut self) {
-        self.ends = true;
+        self.has_ended = true;
     }
 
+    /// Whether jobs may still be submitted.
     pub(crate) fn takes_jobs(&self) -> bool {
-        !self.ends
+        !self.has_ended
     }
 
-    /// A submission was answered well.
+    /// A submission was accepted.
     pub(crate) fn accepted(&mut self, job: &str, now: u64) {
         self.answers.push(now);
         self.jobs.entry(job.to_string()).or_insert(Known {
@@ -57,27 +61,28 @@
         });
     }
 
+    /// A request was refused or not answered.
     pub(crate) fn refused(&mut self) {
         self.refused += 1;
     }
 
-    /// A worker's lease has ended.
-    pub(crate) fn lapsed(&mut self) {
+    /// A worker's lease has expired.
+    pub(crate) fn lease_expired(&mut self) {
         self.lapses += 1;
     }
 
-    /// Leases of workers that have ended.
+    /// Leases of workers that have expired.
     pub fn lapses(&self) -> u64 {
         self.lapses
     }
 
-    /// Machines on which something runs now.
+    /// Machines that run tasks now.
     pub fn busy_machines(&self) -> usize {
         self.live.values().filter(|tasks| !tasks.is_empty()).count()
     }
 
-    /// A user was told of a job's phase; `None` that there is no such job.
-    pub(crate) fn told(&mut self, job: &str, phase: Option<Phase>, now: u64) {
+    /// A user was answered with a job's phase, or with `None` if there is no such job.
+    pub(crate) fn answered(&mut self, job: &str, phase: Option<Phase>, now: u64) {
         self.answers.push(now);
         let Some(known) = self.jobs.get_mut(job) else {
             return;
@@ -98,7 +103,7 @@
     }
 
     /// A user is about to cancel a job.
-    pub(crate) fn cancels(&mut self, job: &str) {
+    pub(crate) fn cancel_requested(&mut self, job: &str) {
         if let Some(known) = self.jobs.get_mut(job) {
             known.cancelled = true;
         }
@@ -106,11 +111,12 @@
 
     /// Jobs whose users do not know yet how they ended.
     pub(crate) fn open_job_names(&self) -> Vec<String> {
-        let open = |known: &Known| !matches!(known.phase, Phase::Done | Phase::Aborted);
-        let jobs = self.jobs.iter().filter(|(_, known)| open(known));
+        let is_open = |known: &Known| !matches!(known.phase, Phase::Done | Phase::Aborted);
+        let jobs = self.jobs.iter().filter(|(_, known)| is_open(known));
         jobs.map(|(job, _)| job.clone()).collect()
     }
 
+    /// Number of those jobs.
     pub(crate) fn open_jobs(&self) -> usize {
         self.open_job_names().len()
     }
@@ -122,7 +128,7 @@
             let elsewhere = self
                 .live
                 .iter()
-                .find(|(m, t)| *m != machine && t.contains(task));
+                .find(|(name, tasks)| *name != machine && tasks.contains(task));
             if let Some((other, _)) = elsewhere {
                 let breach = format!("{task} starts on {machine} and is on {other}");
                 self.breaches.push(breach);
@@ -134,9 +140,14 @@
         }
     }
 
-    /// What is on a machine now, and what has just completed there.
-    pub(crate) fn on_machine(&mut self, machine: &str, live: BTreeSet<String>, done: Vec<String>) {
-        for task in done {
+    /// The tasks on a machine now, and those that have just completed there.
+    pub(crate) fn on_machine(
+        &mut self,
+        machine: &str,
+        live: BTreeSet<String>,
+        completed: Vec<String>,
+    ) {
+        for task in completed {
             if !self.completed.insert(task.clone()) {
                 self.breaches.push(format!("{task} completed twice"));
             }
@@ -144,7 +155,7 @@
         self.live.insert(machine.to_string(), live);
     }
 
-    /// What broke a promise.
+    /// Rules that were broken.
     pub fn breaches(&self) -> &[String] {
         &self.breaches
     }
@@ -154,7 +165,8 @@
         (self.jobs.len(), self.starts.len())
     }
 
-    /// The longest times without an answer or a start between two moments, and how much was refused since `refused`.
+    /// The longest times without an answer or a start between two moments, and the requests refused since there were
+    /// `refused`.
     pub fn gaps(&self, from: u64, to: u64, refused: u64) -> Gaps {
         let longest = |times: &[u64]| {
             let within = times.iter().copied().filter(|at| (from..=to).contains(at));
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,5 +1,5 @@
-//! The outside of a cluster on loopback, for tests and measurements with real controller processes: a state service, a
-//! cloud, workers and users that speak the published protocols, and a history of what they saw.
+//! The environment of a cluster on loopback, for tests and measurements with real controller processes: a state
+//! service, a cloud, workers and users that speak the published protocols, and a history of what they observed.
 //!
 //! Everything is bounded in count and time and ends with [`Outside::stop`].
 
@@ -18,17 +18,20 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::JoinHandle;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 use wire::records::{GenerationRecord, LevelRecord, TermRecord, LEVEL, MARK, TERM};
 
-/// A lock whose holder may have panicked: what it holds is still worth looking at.
+/// How often the end of the jobs is checked.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Locks a mutex, also after a thread that had locked it panicked: its content is still needed for the verdict.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// What all threads share.
+/// The state that all threads share.
 struct Shared {
     start: Instant,
     stop: AtomicBool,
@@ -39,11 +42,13 @@
 }
 
 impl Shared {
+    /// Milliseconds since the start.
     fn now_ms(&self) -> u64 {
-        // Moments start at 1 s, so that 0 can stand for never.
+        // Times start at 1 s, so that 0 can mean never.
         1_000 + self.start.elapsed().as_millis() as u64
     }
 
+    /// Whether all threads are to end.
     fn is_over(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
@@ -68,7 +73,9 @@
             labels,
         });
         let state = StateService::start(Arc::clone(&shared));
-        let names: Vec<String> = (0..machines).map(|m| format!("vm-{m:06}")).collect();
+        let names: Vec<String> = (0..machines)
+            .map(|number| format!("vm-{number:06}"))
+            .collect();
         let cloud = Cloud::start(Arc::clone(&shared), names.clone());
         let threads = names
             .into_iter()
@@ -96,7 +103,8 @@
         self.threads.extend(users::start(Arc::clone(&self.shared)));
     }
 
-    /// No more jobs are submitted; waits until each that was accepted is over, for so long at most.
+    /// Ends the submission of jobs, and waits until every accepted job is final. Returns false if that takes longer
+    /// than `within_ms`.
     pub fn drain(&mut self, within_ms: u64) -> bool {
         lock(&self.shared.history).submissions_end();
         let until = self.shared.now_ms() + within_ms;
@@ -104,12 +112,12 @@
             if lock(&self.shared.history).open_jobs() == 0 {
                 return true;
             }
-            std::thread::sleep(std::time::Duration::from_millis(100));
+            std::thread::sleep(DRAIN_CHECK_INTERVAL);
         }
         false
     }
 
-    /// What was seen so far.
+    /// What was observed so far.
     pub fn history(&self) -> MutexGuard<'_, History> {
         lock(&self.shared.history)
     }
@@ -121,7 +129,9 @@
 
     /// The last term: it grows by one with each election.
     pub fn term(&self) -> u64 {
-        self.state.read::<TermRecord>(TERM).map_or(0, |t| t.term)
+        self.state
+            .read::<TermRecord>(TERM)
+            .map_or(0, |record| record.term)
     }
 
     /// The cluster's feature level, where staged upgrades are on.
@@ -132,14 +142,14 @@
     /// Level that is final.
     pub fn finalized(&self) -> u32 {
         let mark: Option<GenerationRecord> = self.state.read(MARK);
-        mark.map_or(0, |m| m.generation)
+        mark.map_or(0, |record| record.generation)
     }
 
     /// Ends all threads.
     pub fn stop(mut self) {
         self.shared.stop.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
-            // A thread that panicked has left its mark in the history.
+            // A panic of a thread shows in the history.
             let _ = thread.join();
         }
     }
--- a/crates/standins/src/services.rs
+++ b/crates/standins/src/services.rs
@@ -2,7 +2,7 @@
 
 use crate::connections::serve;
 use crate::{lock, Shared};
-use fakes::FakeState;
+use fakes::{FakeState, Waiter};
 use serde::de::DeserializeOwned;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,30 +11,34 @@
 use wire::cloud::{ListedMachine, MachineList, MachinePhase, MachineType, MachineTypes};
 use wire::users::Refusal;
 
-/// How often leases and watches are looked at.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often leases and watches are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Watches that are over, by the number of who waits.
+/// Answers to watches, by the number of the request.
 type Answers = HashMap<u64, Vec<u8>>;
 
 /// The state service.
 pub struct StateService {
+    /// Its address.
     pub addr: SocketAddr,
     store: Arc<Store>,
 }
 
+/// The records and open watches.
 struct Store {
     state: Mutex<FakeState>,
-    waiters: Mutex<u64>,
+    /// Number of the last request.
+    last_call: Mutex<u64>,
     answers: Mutex<Answers>,
     answered: Condvar,
 }
 
 impl StateService {
+    /// Starts to serve, and the thread that expires leases and answers watches.
     pub fn start(shared: Arc<Shared>) -> Arc<Self> {
         let store = Arc::new(Store {
             state: Mutex::new(FakeState::default()),
-            waiters: Mutex::new(0),
+            last_call: Mutex::new(0),
             answers: Mutex::new(Answers::new()),
             answered: Condvar::new(),
         });
@@ -49,7 +53,7 @@
         std::thread::spawn(move || {
             while !shared.is_over() {
                 ticking.tick(shared.now_ms());
-                std::thread::sleep(LOOK);
+                std::thread::sleep(CHECK_INTERVAL);
             }
             ticking.answered.notify_all();
         });
@@ -63,40 +67,43 @@
 }
 
 impl Store {
+    /// Expires leases and answers watches.
     fn tick(&self, now: u64) {
-        let ripe = {
+        let due = {
             let mut state = lock(&self.state);
             state.expire(now);
-            state.ripe_watches(now, |_| false)
+            state.due_watches(now, |_| false)
         };
-        if ripe.is_empty() {
+        if due.is_empty() {
             return;
         }
         let mut answers = lock(&self.answers);
-        for ((_, waiter), body) in ripe {
-            answers.insert(waiter, body);
+        for (waiter, body) in due {
+            answers.insert(waiter.call, body);
         }
         self.answered.notify_all();
     }
 
     fn handle(&self, shared: &Shared, method: &str, target: &str, body: &[u8]) -> (u16, Vec<u8>) {
-        let waiter = {
-            let mut waiters = lock(&self.waiters);
-            *waiters += 1;
-            *waiters
+        let call = {
+            let mut last_call = lock(&self.last_call);
+            *last_call += 1;
+            *last_call
         };
         let now = shared.now_ms();
-        let served = lock(&self.state).serve(now, (0, waiter), method, target, body);
-        served.unwrap_or_else(|| self.wait(shared, waiter))
+        let waiter = Waiter { node: 0, call };
+        let served = lock(&self.state).serve(now, waiter, method, target, body);
+        served.unwrap_or_else(|| self.wait(shared, call))
     }
 
-    fn wait(&self, shared: &Shared, waiter: u64) -> (u16, Vec<u8>) {
+    /// Waits for the answer to a watch.
+    fn wait(&self, shared: &Shared, call: u64) -> (u16, Vec<u8>) {
         let mut answers = lock(&self.answers);
         while !shared.is_over() {
-            if let Some(body) = answers.remove(&waiter) {
+            if let Some(body) = answers.remove(&call) {
                 return (200, body);
             }
-            let waited = self.answered.wait_timeout(answers, LOOK * 10);
+            let waited = self.answered.wait_timeout(answers, CHECK_INTERVAL * 10);
             answers = match waited {
                 Ok((answers, _)) => answers,
                 Err(poisoned) => poisoned.into_inner().0,
@@ -106,12 +113,14 @@
     }
 }
 
-/// A cloud that has rented out all it has.
+/// A cloud whose machines are all rented.
 pub struct Cloud {
+    /// Its address.
     pub addr: SocketAddr,
 }
 
 impl Cloud {
+    /// Starts to serve a list of these machines.
     pub fn start(shared: Arc<Shared>, machines: Vec<String>) -> Arc<Self> {
         let handler = move |method: &str, target: &str, _: &[u8]| -> (u16, Vec<u8>) {
             match (method, target.split('?').next().unwrap_or_default()) {
--- a/crates/standins/src/users.rs
+++ b/crates/standins/src/users.rs
@@ -9,15 +9,17 @@
 use wire::users::{JobStatus, Phase};
 
 /// How long a user waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Milliseconds between two submissions.
-const SUBMIT_EVERY: Duration = Duration::from_millis(250);
-/// Between two questions.
-const ASK_EVERY: Duration = Duration::from_millis(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between two submissions.
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause between two status queries.
+const QUERY_INTERVAL: Duration = Duration::from_millis(60);
 /// One job in so many is cancelled.
 const CANCELLED_PART: u64 = 6;
-/// Tries of a request until its user gives up.
-const TRIES: usize = 60;
+/// Attempts of a request until its user gives up.
+const ATTEMPTS: usize = 60;
+/// Pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How the tasks of a job behave: some seconds each, by its number.
 pub(crate) fn behaviour(task: &str) -> Behaviour {
@@ -32,12 +34,12 @@
     }
 }
 
-/// One thread submits and cancels, another asks.
+/// Starts one thread that submits and cancels, and another that queries.
 pub fn start(shared: Arc<Shared>) -> Vec<JoinHandle<()>> {
-    let (submitting, asking) = (Arc::clone(&shared), shared);
+    let (submitting, querying) = (Arc::clone(&shared), shared);
     vec![
         std::thread::spawn(move || submit_jobs(&submitting)),
-        std::thread::spawn(move || ask_about_jobs(&asking)),
+        std::thread::spawn(move || query_jobs(&querying)),
     ]
 }
 
@@ -47,25 +49,25 @@
         number += 1;
         let id = format!("run-{number:06}");
         let body = wire::encode(&array(&id, 1 + number % 4));
-        if let Some((_, now)) = ask_any(shared, "POST", "/submissions", &body) {
+        if let Some((_, now)) = call_any(shared, "POST", "/submissions", &body) {
             lock(&shared.history).accepted(&id, now);
         }
         if number % CANCELLED_PART == 0 {
             cancel(shared, &id);
         }
-        std::thread::sleep(SUBMIT_EVERY);
+        std::thread::sleep(SUBMIT_INTERVAL);
     }
 }
 
 fn cancel(shared: &Shared, id: &str) {
-    lock(&shared.history).cancels(id);
+    lock(&shared.history).cancel_requested(id);
     let target = format!("/submissions/{id}/abort");
-    if let Some((body, now)) = ask_any(shared, "POST", &target, &[]) {
-        lock(&shared.history).told(id, phase_of(&body), now);
+    if let Some((body, now)) = call_any(shared, "POST", &target, &[]) {
+        lock(&shared.history).answered(id, phase_of(&body), now);
     }
 }
 
-fn ask_about_jobs(shared: &Shared) {
+fn query_jobs(shared: &Shared) {
     while !shared.is_over() {
         let open = lock(&shared.history).open_job_names();
         for id in open {
@@ -74,16 +76,22 @@
             }
             let target = format!("/submissions/{id}");
             let node = fastrand::usize(..shared.controllers.len());
-            match call(shared.controllers[node], "GET", &target, &[], PATIENCE) {
+            match call(
+                shared.controllers[node],
+                "GET",
+                &target,
+                &[],
+                REQUEST_TIMEOUT,
+            ) {
                 Ok((200, body)) => {
-                    lock(&shared.history).told(&id, phase_of(&body), shared.now_ms());
+                    lock(&shared.history).answered(&id, phase_of(&body), shared.now_ms());
                 }
-                Ok((404, _)) => lock(&shared.history).told(&id, None, shared.now_ms()),
+                Ok((404, _)) => lock(&shared.history).answered(&id, None, shared.now_ms()),
                 _ => lock(&shared.history).refused(),
             }
-            std::thread::sleep(ASK_EVERY);
+            std::thread::sleep(QUERY_INTERVAL);
         }
-        std::thread::sleep(ASK_EVERY);
+        std::thread::sleep(QUERY_INTERVAL);
     }
 }
 
@@ -93,19 +101,19 @@
         .map(|status| status.phase)
 }
 
-/// Asks one controller after the other until one answers well: its answer and when it came.
-fn ask_any(shared: &Shared, method: &str, target: &str, body: &[u8]) -> Option<(Vec<u8>, u64)> {
+/// Sends a request to one controller after the other until one accepts it. Returns its answer and when it arrived.
+fn call_any(shared: &Shared, method: &str, target: &str, body: &[u8]) -> Option<(Vec<u8>, u64)> {
     let first = fastrand::usize(..shared.controllers.len());
-    for number in 0..TRIES {
+    for number in 0..ATTEMPTS {
         if shared.is_over() {
             return None;
         }
         let addr = shared.controllers[(first + number) % shared.controllers.len()];
-        match call(addr, method, target, body, PATIENCE) {
+        match call(addr, method, target, body, REQUEST_TIMEOUT) {
             Ok((200 | 201, answer)) => return Some((answer, shared.now_ms())),
             _ => lock(&shared.history).refused(),
         }
-        std::thread::sleep(Duration::from_millis(200));
+        std::thread::sleep(RETRY_INTERVAL);
     }
     None
 }
--- a/crates/standins/src/workers.rs
+++ b/crates/standins/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers: one thread a machine, which reports and runs tasks.
+//! Workers: one thread per machine, which reports and runs tasks.
 
 use crate::connections::Client;
 use crate::users::behaviour;
@@ -11,15 +11,21 @@
 use wire::workers::{Elsewhere, HeartbeatResponse};
 
 /// How long a worker waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// How often it looks at its tasks.
-const LOOK: Duration = Duration::from_millis(20);
-/// Milliseconds between reports, and of a lease, as the controllers' settings have them.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
+/// How often it advances its tasks.
+const STEP: Duration = Duration::from_millis(20);
+/// Milliseconds between reports, as in the controllers' settings.
 pub(crate) const REPORT_MS: u64 = 1_000;
+/// Milliseconds of a lease, as in the controllers' settings.
 pub(crate) const LEASE_MS: u64 = 10_000;
-/// Milliseconds after which a gang's tasks miss each other; there are no gangs here.
+/// Milliseconds after which the tasks of an incomplete gang end. There are no gangs here.
 const GANG_PEER_MS: u64 = 8_000;
+/// Milliseconds until a worker that got no answer reports to the next controller.
+const NEXT_NODE_MS: u64 = 1_000;
+/// Milliseconds after a start until a worker reports at the latest.
+const START_REPORT_MS: u64 = 500;
 
+/// Starts the thread of a machine.
 pub fn start(shared: Arc<Shared>, name: String) -> JoinHandle<()> {
     std::thread::spawn(move || {
         let mut worker = FakeWorker::new(&name, "a", false, shared.now_ms());
@@ -36,9 +42,9 @@
     let incarnation = worker.incarnation;
     worker.wake(now, LEASE_MS);
     if worker.incarnation != incarnation {
-        lock(&shared.history).lapsed();
+        lock(&shared.history).lease_expired();
     }
-    let done = worker.advance(
+    let completed = worker.advance(
         now,
         GANG_PEER_MS,
         |task| Some(behaviour(task)),
@@ -46,9 +52,9 @@
         |_, _| Gang::default(),
     );
     let live: BTreeSet<String> = worker.live().map(|(task, _)| task.clone()).collect();
-    lock(&shared.history).on_machine(&worker.name, live, done);
+    lock(&shared.history).on_machine(&worker.name, live, completed);
     if now < worker.report_at {
-        return std::thread::sleep(LOOK);
+        return std::thread::sleep(STEP);
     }
     report(shared, worker, client, now);
 }
@@ -57,7 +63,7 @@
     worker.report_at = now + REPORT_MS;
     let body = wire::encode(&worker.report(KIND, now));
     let addr = shared.controllers[worker.node];
-    let answer = client.call(addr, "POST", "/v1/report", &body, PATIENCE);
+    let answer = client.call(addr, "POST", "/v1/report", &body, REPORT_TIMEOUT);
     let nodes = shared.controllers.len();
     match answer {
         Ok((200, body)) => {
@@ -66,9 +72,12 @@
             }
         }
         Ok((421, body)) => {
-            let named = wire::decode::<Elsewhere>(&body).ok().and_then(|e| e.leader);
-            let leader = named.and_then(|name| shared.labels.iter().position(|l| *l == name));
-            match leader.filter(|l| *l != worker.node) {
+            let named = wire::decode::<Elsewhere>(&body)
+                .ok()
+                .and_then(|elsewhere| elsewhere.leader);
+            let leader =
+                named.and_then(|name| shared.labels.iter().position(|label| *label == name));
+            match leader.filter(|leader| *leader != worker.node) {
                 Some(leader) => {
                     worker.node = leader;
                     worker.report_at = now;
@@ -82,7 +91,7 @@
 
 fn try_next(worker: &mut FakeWorker, now: u64, nodes: usize) {
     worker.node = (worker.node + 1) % nodes;
-    worker.report_at = now + 1_000;
+    worker.report_at = now + NEXT_NODE_MS;
 }
 
 fn execute(shared: &Shared, worker: &mut FakeWorker, sent: u64, answer: &HeartbeatResponse) {
@@ -92,10 +101,10 @@
     worker.term = answer.term;
     worker.lease_from = sent;
     let now = shared.now_ms();
-    let fresh = worker.execute(&answer.orders, |task| Some(behaviour(task)), now);
-    let tasks: Vec<String> = fresh.into_iter().map(|(task, _)| task).collect();
+    let started = worker.execute(&answer.orders, |task| Some(behaviour(task)), now);
+    let tasks: Vec<String> = started.into_iter().map(|(task, _)| task).collect();
     if !tasks.is_empty() {
-        worker.report_at = worker.report_at.min(now + 500);
+        worker.report_at = worker.report_at.min(now + START_REPORT_MS);
         lock(&shared.history).started(&worker.name, &tasks, now);
     }
 }
