--- a/crates/partitions/src/delegation.rs
+++ b/crates/partitions/src/delegation.rs
@@ -1,5 +1,5 @@
-//! The leader's side of grants and permits: which owner may answer workers on its behalf, for which machines, and until
-//! when an owner's answer can have been given.
+//! The leader's side of grants and permits: which owner may answer workers on its behalf, for which machines, and
+//! until when an owner's answer can have been given.
 //!
 //! All times are by the leader's clock. The leader counts a grant from when it is given, and for slightly longer than
 //! the owner, which counts it from its request. So an owner stops answering before the leader believes that it has.
--- a/crates/partitions/src/delegation/grants.rs
+++ b/crates/partitions/src/delegation/grants.rs
@@ -6,8 +6,9 @@
 use wire::partitions::{Grant, GrantRequest, PartitionEpoch, PartitionId};
 
 impl Delegation {
-    /// Grants an owner's process its partitions for `valid_ms` from its request on, as far as no other grant for them may
-    /// still be in use. The caller has withdrawn the permits of all machines that are not steady by what it knows now.
+    /// Grants an owner's process its partitions for `valid_ms` from its request on, as far as no other grant for them
+    /// may still be in use. The caller has withdrawn the permits of all machines that are not steady by what it knows
+    /// now.
     pub fn grant(
         &mut self,
         owner: &str,
--- a/crates/partitions/src/delegation/permits.rs
+++ b/crates/partitions/src/delegation/permits.rs
@@ -74,8 +74,8 @@
         recalls
     }
 
-    /// Permits the owner to answer a machine that was found steady, if `owner` forwarded its report and holds the grant.
-    /// Returns the permit with the boot number of the process that it is for.
+    /// Permits the owner to answer a machine that was found steady, if `owner` forwarded its report and holds the
+    /// grant. Returns the permit with the boot number of the process that it is for.
     pub fn permit(
         &mut self,
         owner: &str,
--- a/crates/partitions/src/handover.rs
+++ b/crates/partitions/src/handover.rs
@@ -1,4 +1,5 @@
-//! Moves of partitions: the leader's copy of the ownership table, the moves under way, and the writes that commit them.
+//! Moves of partitions: the leader's copy of the ownership table, the moves under way, and the writes that commit
+//! them.
 
 use crate::table::{OwnershipTable, TableError};
 use constants::MOVE_TIMEOUT_MS;
--- a/crates/partitions/src/owner/decisions.rs
+++ b/crates/partitions/src/owner/decisions.rs
@@ -74,8 +74,8 @@
         Decision::PassOn
     }
 
-    /// Whether a machine may be redirected to its owner. One that came back did not reach the owner, and is sent to the
-    /// leader, which answers every worker.
+    /// Whether a machine may be redirected to its owner. One that came back did not reach the owner, and is sent to
+    /// the leader, which answers every worker.
     fn may_name_owner(&mut self, machine: &str, now: u64) -> bool {
         let last = self.redirected.get(machine);
         if last.is_some_and(|at| now < at + RENAME_OWNER_MS) {
--- a/crates/partitions/src/owner/grants.rs
+++ b/crates/partitions/src/owner/grants.rs
@@ -50,7 +50,8 @@
         true
     }
 
-    /// Permits arrived. A permit that is out of order, or is for a report other than the last one forwarded, is ignored.
+    /// Permits arrived. A permit that is out of order, or is for a report other than the last one forwarded, is
+    /// ignored.
     pub fn on_permits(&mut self, term: u64, boot: u64, permits: Vec<Permit>, now: u64) {
         if term != self.term || boot != self.boot {
             return;
--- a/crates/partitions/src/rebalance.rs
+++ b/crates/partitions/src/rebalance.rs
@@ -70,9 +70,9 @@
             .map(|(label, _)| label.as_str())
     }
 
-    /// The next moves, given the table, the controllers, and the partitions that are moving already. Candidates are the
-    /// controllers heard in this term, and owners that have not been heard yet. The latter count as heard at the beginning
-    /// of the term, so that they have as much time as others.
+    /// The next moves, given the table, the controllers, and the partitions that are moving already. Candidates are
+    /// the controllers heard in this term, and owners that have not been heard yet. The latter count as heard at the
+    /// beginning of the term, so that they have as much time as others.
     pub fn plan(
         &mut self,
         table: &OwnershipTable,
--- a/crates/partitions/src/rebalance/standing.rs
+++ b/crates/partitions/src/rebalance/standing.rs
@@ -7,7 +7,8 @@
 };
 use wire::partitions::ControllerLoad;
 
-/// Times that [`OWNER_PAUSE_MS`] is doubled at most: enough to reach [`OWNER_PAUSE_MAX_MS`], few enough not to overflow.
+/// Times that [`OWNER_PAUSE_MS`] is doubled at most: enough to reach [`OWNER_PAUSE_MAX_MS`], few enough not to
+/// overflow.
 const OWNER_PAUSE_DOUBLINGS: u32 = 8;
 
 /// What is known of a controller from earlier observations.
--- a/crates/partitions/src/table.rs
+++ b/crates/partitions/src/table.rs
@@ -44,7 +44,7 @@
     pub pinned: bool,
 }
 
-/// What is kept of a record of the table since it was last read or written.
+/// What is remembered of a record of the table since it was last read or written.
 #[derive(Debug, Clone, Default)]
 struct StoredRecord {
     version: u64,
@@ -98,8 +98,9 @@
             let key = key.to_string();
             return Err(TableError::Rows { key });
         };
+        let first = usize::from(record.first);
         for (offset, (row, owner)) in record.rows.iter().zip(owners).enumerate() {
-            let known = &mut self.rows[usize::from(record.first) + offset];
+            let known = &mut self.rows[first + offset];
             // Epochs never decrease. A reading that was overtaken by our own write may be older.
             if row.epoch >= known.epoch {
                 *known = PartitionOwner {
--- a/crates/partitions/tests/model.rs
+++ b/crates/partitions/tests/model.rs
@@ -1,9 +1,10 @@
-//! A model of one term: a leader, three controllers that ask for grants and answer machines, and a network that loses, repeats
-//! and delays messages as it likes. Clocks drift apart as far as the protocol allows, processes restart, partitions move.
+//! A model of one term: a leader, three controllers that ask for grants and answer machines, and a network that
+//! loses, repeats and delays messages as it likes. Clocks drift apart as far as the protocol allows, processes
+//! restart, partitions move.
 //!
-//! What must hold: at each answer of an owner the leader believes that it is possible, and nobody else may answer for the
-//! partition; and ever after the leader believes that the machine was answered then, or later. Each safeguard, taken out,
-//! must be found by some schedule. `SCHEDULES=100000` plays more of them.
+//! What must hold: at each answer of an owner the leader believes that it is possible, and nobody else may answer for
+//! the partition; and ever after the leader believes that the machine was answered then, or later. Each safeguard,
+//! taken out, must be found by some schedule. `SCHEDULES=100000` plays more of them.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
--- a/crates/rollout/src/gates.rs
+++ b/crates/rollout/src/gates.rs
@@ -58,8 +58,8 @@
         feature.is_in(self.newest) && reached >= entry.level
     }
 
-    /// The condition under which to write what a feature changes, and the level that is written. A transaction that was
-    /// built under an open gate fails if the level has changed since, however late it is executed.
+    /// The condition under which to write what a feature changes, and the level that is written. A transaction that
+    /// was built under an open gate fails if the level has changed since, however late it is executed.
     ///
     /// `None` if the gate is closed. What is final needs no condition, since the final level never decreases.
     pub fn condition(&self, feature: Feature) -> Option<(Level, Compare)> {
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -1,11 +1,12 @@
 //! The upgrade from the build without pipelines, where rollouts are not switched on.
 //!
-//! Each process leaves its generation under its controller's label in the state service, once. A controller whose label
-//! is there never runs an older build again. So once every label is there, every controller can read the new formats. That
-//! moment is made durable as a mark that only grows, raised under the conditions that it depends on.
+//! Each process leaves its generation under its controller's label in the state service, once. A controller whose
+//! label is there never runs an older build again. So once every label is there, every controller can read the new
+//! formats. That moment is made durable as a mark that only grows, raised under the conditions that it depends on.
 //!
-//! Users' requests can prove the same: a request that only the new build accepts, or a refusal for a size that only the
-//! future limits explain, comes after the upgrade is over. A controller that is permanently down then blocks nothing.
+//! Users' requests can prove the same: a request that only the new build accepts, or a refusal for a size that only
+//! the future limits explain, comes after the upgrade is over. A controller that is permanently down then blocks
+//! nothing.
 
 use crate::gates::Gates;
 use crate::levels::{Level, LevelRange, GENERATION_1};
--- a/crates/rollout/src/levels.rs
+++ b/crates/rollout/src/levels.rs
@@ -63,8 +63,8 @@
     pub gate: GateKind,
 }
 
-/// All features. The layout of pages may change at finalization only: parts are written again from memory, so fields that
-/// a build does not know would not survive there.
+/// All features. The layout of pages may change at finalization only: parts are written again from memory, so fields
+/// that a build does not know would not survive there.
 pub const FEATURES: [FeatureEntry; 5] = [
     FeatureEntry {
         feature: Feature::SmallValues,
@@ -102,7 +102,7 @@
     /// Its row of the table.
     pub fn entry(self) -> FeatureEntry {
         let row = FEATURES.iter().find(|entry| entry.feature == self);
-        // A test looks for each feature in the table.
+        // A test checks that each feature is in the table.
         row.copied().unwrap_or(FEATURES[0])
     }
 
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,14 +1,14 @@
 //! Staged upgrades of the controllers, without I/O.
 //!
-//! A build can run a range of *feature levels*. Each controller announces its range in the state service; the level that
-//! is *active* never exceeds what every configured controller supports, and may go back until it is *finalized*. The
-//! table in [`levels`] says what each level changes and when: while it is active, or only once it is final. No other code
-//! compares levels; it asks [`Gates`] whether a feature is open.
+//! A build can run a range of *feature levels*. Each controller announces its range in the state service; the level
+//! that is *active* never exceeds what every configured controller supports, and may go back until it is *finalized*.
+//! The table in [`levels`] says what each level changes and when: while it is active, or only once it is final. No
+//! other code compares levels; it asks [`Gates`] whether a feature is open.
 //!
-//! [`RolloutMachine`] is one controller's part: it is fed time, replies of the state service and heartbeats, and yields
-//! requests and events. What it may write is computed by pure functions ([`plan`]) on what it has read ([`Snapshot`]), so
-//! that a model checker can run the same code. [`GenerationMachine`] is the upgrade from the build without pipelines as
-//! it was before this crate, and holds where rollouts are not switched on.
+//! [`RolloutMachine`] is one controller's part: it is fed time, replies of the state service and heartbeats, and
+//! yields requests and events. What it may write is computed by pure functions ([`plan`]) on what it has read
+//! ([`Snapshot`]), so that a model checker can run the same code. [`GenerationMachine`] is the upgrade from the build
+//! without pipelines as it was before this crate, and holds where rollouts are not switched on.
 
 pub mod levels;
 
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,8 +1,8 @@
 //! What may be written of an upgrade, as pure functions of what was read and observed.
 //!
-//! Every transaction computed here has the version of the level record among its conditions, and each writes that record.
-//! So of two that were computed from the same reading one at most is executed, whoever computed them and however late
-//! they arrive; and an announcement that comes between a reading and a transition fails the transition.
+//! Every transaction computed here has the version of the level record among its conditions, and each writes that
+//! record. So of two that were computed from the same reading one at most is executed, whoever computed them and
+//! however late they arrive; and an announcement that comes between a reading and a transition fails the transition.
 
 mod admission;
 mod transactions;
--- a/crates/rollout/src/plan/admission.rs
+++ b/crates/rollout/src/plan/admission.rs
@@ -17,11 +17,11 @@
     Compare::new(MARK, snapshot.mark.version())
 }
 
-/// The announcement of a process, if it is not stored yet. The active level goes back with it to what it can run, in the
-/// same transaction, so that the level never exceeds what is announced.
+/// The announcement of a process, if it is not stored yet. The active level goes back with it to what it can run, in
+/// the same transaction, so that the level never exceeds what is announced.
 ///
-/// A build that is not admitted announces nothing; nor does any where the level or the mark can't be read, since the final level
-/// would be a guess.
+/// A build that is not admitted announces nothing; nor does any where the level or the mark can't be read, since the
+/// final level would be a guess.
 pub fn announcement(identity: &Identity, snapshot: &Snapshot, unix: u64) -> Option<Txn> {
     if !is_admitted(identity.range, snapshot)
         || snapshot.level.is_unreadable()
--- a/crates/rollout/src/plan/transactions.rs
+++ b/crates/rollout/src/plan/transactions.rs
@@ -6,8 +6,8 @@
 use wire::records::{GenerationRecord, Phase, TermRecord, LEVEL, MARK, TERM};
 use wire::state::{Compare, Txn, Write};
 
-/// The transaction of a transition. Finalizing raises the mark, and writes the term in the layout that keeps builds without
-/// rollouts from leading, if the level has it; `None` if the term can't be read.
+/// The transaction of a transition. Finalizing raises the mark, and writes the term in the layout that keeps builds
+/// without rollouts from leading, if the level has it; `None` if the term can't be read.
 pub fn transaction(snapshot: &Snapshot, transition: &Transition) -> Option<Txn> {
     let mut txn = Txn {
         compares: vec![
--- a/crates/rollout/src/plan/transitions.rs
+++ b/crates/rollout/src/plan/transitions.rs
@@ -6,12 +6,12 @@
 use crate::snapshot::Stored;
 use wire::records::{LevelRecord, PauseReason, Phase};
 
-/// Why a paused upgrade goes on, for the log.
+/// Why a paused upgrade is resumed, for the log.
 pub(crate) const RESUMED: &str = "resumed";
 
 impl View<'_> {
-    /// Newest level that a controller is known to support. One that has announced nothing, or runs another process than
-    /// the one that did, may be any build that what is final admits.
+    /// Newest level that a controller is known to support. One that has announced nothing, or runs another process
+    /// than the one that did, may be any build that what is final admits.
     fn supported(&self, controller: &Controller) -> Level {
         let announced = self.snapshot.member(&controller.label);
         match (announced, controller.liveness) {
--- a/crates/rollout/src/snapshot.rs
+++ b/crates/rollout/src/snapshot.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// The records of the cluster's level as they were read, one after the other. Each write that depends on them has their
-/// versions as conditions.
+/// The records of the cluster's level as they were read, one after the other. Each write that depends on them has
+/// their versions as conditions.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Snapshot {
     /// Level.
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -1,8 +1,8 @@
 //! A model of upgrades with crashes, lost answers and delayed writes, explored exhaustively within bounds.
 //!
 //! The processes run the crate's own planning code on what they have read; the model adds the state service, restarts
-//! with other builds, elections, and transactions that are executed at any later time or never. `stateright` could not be
-//! had from the registry; the reachable states are enumerated by `pathfinding`'s breadth-first search.
+//! with other builds, elections, and transactions that are executed at any later time or never. `stateright` could
+//! not be had from the registry; the reachable states are enumerated by `pathfinding`'s breadth-first search.
 //!
 //! Invariants, checked in every state and on every step:
 //! 1. The active level is not above what any controller has announced.
