--- a/crates/control/src/leader/cancellation.rs
+++ b/crates/control/src/leader/cancellation.rs
@@ -21,10 +21,7 @@
             return;
         };
         job.aborted = true;
-        log::info!(
-            "event=cancellation_notice job={id} placed={}",
-            job.assigned
-        );
+        log::info!("event=cancellation_notice job={id} placed={}", job.assigned);
         self.cancel_assignments(id, now);
         self.cancel_dependents(id);
         self.queue_write_if_final(id);
