--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -49,14 +49,6 @@
 use wire::cloud::MachineType;
 use wire::records::Final;
 
-// Other modules of the leader still reach these by `use super::*`. To be removed together with those globs.
-#[allow(unused_imports)]
-use {
-    crate::effects::NodeEvent, crate::requests::Reread, constants::*, model::*,
-    start_latencies::LatencyStats, std::ops::Bound, wire::peers::JobUpdate, wire::records::*,
-    wire::state::Change, wire::state::Item, wire::workers::TaskPhase,
-};
-
 /// Direct calls to workers per second. What they leave out goes with the answers to the workers' reports.
 const DIRECT_CALLS_PER_S: f64 = 20.0;
 /// Direct calls to workers at once.
