--- a/crates/constants/src/election.rs
+++ b/crates/constants/src/election.rs
@@ -21,10 +21,10 @@
 /// Milliseconds for which a leader that receives no worker reports waits for a peer to announce
 /// that it receives some. Afterwards the leader resigns anyway. Longer than most network cuts that
 /// affect all workers.
-pub const UNTOLD_MS: u64 = 20_000;
+pub const RESIGN_WITHOUT_PEER_NOTICE_MS: u64 = 20_000;
 /// Milliseconds between two resignations of a node that does not know whether a peer can do
 /// better. Where no peer can, the nodes would otherwise take turns at leading.
-pub const UNSURE_EVERY_MS: u64 = 600_000;
+pub const UNCERTAIN_RESIGN_INTERVAL_MS: u64 = 600_000;
 /// Milliseconds. Spread of the first attempt to fill a vacancy, so that two followers seldom
 /// collide.
 pub const ELECTION_JITTER_MS: u64 = 250;
--- a/crates/constants/src/partitions.rs
+++ b/crates/constants/src/partitions.rs
@@ -10,7 +10,7 @@
 pub const OWNER_RELAY_MS: u64 = 4_000;
 /// Forwarded reports that an owner remembers for the permits that may follow: two for each of
 /// 4,000 machines. A report beyond that is forwarded once more.
-pub const PASSED_ON_MAX: usize = 8_192;
+pub const FORWARDED_MAX: usize = 8_192;
 /// Permits that an owner relinquishes in one request. The next request continues.
 pub const RELINQUISHED_A_REQUEST: usize = 500;
 /// Half report intervals that a steady machine may miss until its owner considers it silent, as
@@ -22,7 +22,7 @@
 /// machine regularly.
 pub const STEADY_REPORTS: u64 = 8;
 /// Milliseconds for which the times of owners' answers are remembered: many times any lease.
-pub const ANSWERS_KEPT_MS: u64 = 600_000;
+pub const ANSWER_RETENTION_MS: u64 = 600_000;
 /// Recalls that fit into a grant's frame, with names of 64 characters.
 pub const RECALLS_A_GRANT: usize = 800;
 /// Permits in a frame.
--- a/crates/constants/src/peers.rs
+++ b/crates/constants/src/peers.rs
@@ -8,7 +8,7 @@
 /// Milliseconds between two readings of the clock that prove that a node did not run in between.
 /// It wakes up for every heartbeat, and even the longest turns of a busy leader take a fraction of
 /// the rest.
-pub const STANDSTILL_MS: u64 = 2 * PEER_HEARTBEAT_MS;
+pub const STALL_MS: u64 = 2 * PEER_HEARTBEAT_MS;
 /// Milliseconds for which a peer's last heartbeat counts as fresh.
 pub const PEER_FRESH_MS: u64 = 2_000;
 /// Milliseconds without the state service and without any peer after which a node reports to the
--- a/crates/constants/src/records.rs
+++ b/crates/constants/src/records.rs
@@ -10,9 +10,9 @@
 pub const PAGE_BYTES: usize = 8 * 1024;
 /// Part of a page (one in that many bytes) that may be copied unchanged when the page is
 /// rewritten.
-pub const CARRIED_PART: usize = 8;
+pub const REWRITTEN_PART: usize = 8;
 /// Share of a value that a page of dense parts may take. Their sizes are estimated, not counted.
-pub const SMALL_FILL: f64 = 0.94;
+pub const DENSE_PAGE_FILL: f64 = 0.94;
 /// Extension records of an open job at most, for what does not fit into its own record. All are
 /// written in one transaction.
 pub const MORE_RECORDS: usize = 2;
--- a/crates/constants/src/redirects.rs
+++ b/crates/constants/src/redirects.rs
@@ -9,7 +9,7 @@
 pub const REDIRECT_DOUBLINGS: u32 = 4;
 /// Milliseconds until a controller that is neither owner nor leader names the owner to the same
 /// worker again. A worker that comes back sooner did not reach the owner.
-pub const RENAME_OWNER_MS: u64 = 30_000;
+pub const REDIRECT_REPEAT_MS: u64 = 30_000;
 /// Redirected workers that such a controller remembers. A worker beyond that is forgotten, which
 /// costs one more redirect.
 pub const REDIRECTED_MAX: usize = 8_192;
--- a/crates/constants/src/scheduling.rs
+++ b/crates/constants/src/scheduling.rs
@@ -38,13 +38,13 @@
 pub const START_LAG_S: f64 = 5.0;
 /// Seconds after its last deadline at which a job that can no longer meet any counts as due: later
 /// than any job that still can, but bounded, so that it does not starve.
-pub const HOPELESS_S: f64 = 200.0;
+pub const MISSED_OBJECTIVE_DELAY_S: f64 = 200.0;
 /// Penalty of a machine for each second until its next report, which is when a start can first be
 /// sent. See `misfit` in `sched` for what it is weighed against.
-pub const REACH_COST: f64 = 2.0;
+pub const DISPATCH_DELAY_COST: f64 = 2.0;
 /// Penalty of a spot machine for a task that takes no checkpoints and no GPU: more than that of
 /// fetching its image again, since one lost task of many makes its job late.
-pub const FRAGILE_COST: f64 = 150.0;
+pub const UNCHECKPOINTED_COST: f64 = 150.0;
 /// Seconds before the latest start that still meets a deadline at which a job takes precedence
 /// over the weighted sharing.
 pub const URGENT_S: f64 = 12.0;
--- a/crates/constants/src/state_service.rs
+++ b/crates/constants/src/state_service.rs
@@ -9,7 +9,7 @@
 pub const WATCH_HOLD_MS: u64 = 3_000;
 /// Milliseconds for which a leader decides and starts tasks without new proof that it knows all
 /// cancellations: one watch that times out and the next one's answer, with some slack.
-pub const INFORMED_MS: u64 = 9_000;
+pub const CANCELLATIONS_KNOWN_MS: u64 = 9_000;
 /// Milliseconds between two watches. Each change ends a watch, and at many changes a second the
 /// watches would use up the request rate that users need.
 pub const WATCH_EVERY_MS: u64 = 50;
@@ -47,11 +47,11 @@
 pub const RATE_RETRY_MS: u64 = 80;
 /// Factor applied to the write rate of the leader's records each time the rate limit is hit:
 /// users' writes come first.
-pub const STRAIN_CUT: f64 = 0.9;
-/// Share of that write rate below which [`STRAIN_CUT`] does not reduce it.
-pub const STRAIN_LEAST: f64 = 0.5;
+pub const LEADER_THROTTLE_FACTOR: f64 = 0.9;
+/// Share of that write rate below which [`LEADER_THROTTLE_FACTOR`] does not reduce it.
+pub const LEADER_THROTTLE_MIN: f64 = 0.5;
 /// Share of that write rate that is restored each second.
-pub const STRAIN_EASE: f64 = 0.05;
+pub const LEADER_THROTTLE_RECOVERY_PER_S: f64 = 0.05;
 /// Records requested per page of a listing. Each page has to be decoded in one go.
 pub const LIST_PAGE: u32 = 200;
 /// Milliseconds until a transaction that the state service rejected as invalid is retried.
--- a/crates/constants/src/workers.rs
+++ b/crates/constants/src/workers.rs
@@ -3,15 +3,15 @@
 /// Milliseconds for which a node that knows of no leader defers its answer to a worker's report.
 /// Less than the second that the worker would lose by trying the next node, which knows of no
 /// leader either.
-pub const PENDING_REPORT_MS: u64 = 900;
+pub const PENDING_HEARTBEAT_MS: u64 = 900;
 /// Milliseconds for which a leader that is still loading its records defers its answer to a
 /// worker's report. The worker would only be sent back to the same node.
-pub const PENDING_REPORT_LOADING_MS: u64 = 3_500;
+pub const PENDING_HEARTBEAT_LOADING_MS: u64 = 3_500;
 /// Milliseconds that a report forwarded to the leader may take. Less than the worker's own
 /// timeout.
 pub const REPORT_FORWARD_MS: u64 = 3_500;
 /// Milliseconds between checks of deferred reports while there is still no leader.
-pub const PENDING_REPORTS_CHECK_MS: u64 = 100;
+pub const PENDING_HEARTBEATS_CHECK_MS: u64 = 100;
 /// Milliseconds until a node with deferred reports wakes up at the latest.
 pub const PENDING_WAKE_MS: u64 = 200;
 /// Milliseconds for which a worker waits for the answer to a report. It drops a `launch` that was
@@ -31,7 +31,7 @@
 pub const UNREACHABLE_LEASES: u64 = 4;
 /// Milliseconds for which a removed machine is remembered, so that late copies of its reports
 /// change nothing.
-pub const GONE_MS: u64 = 600_000;
+pub const REMOVED_MACHINE_RETENTION_MS: u64 = 600_000;
 /// Orders in one answer to a worker: 400 of at most 120 bytes stay under the body limit.
 pub const ORDERS_PER_ANSWER: usize = 400;
 /// Milliseconds subtracted when a leader computes how long it may renew leases that may cover
@@ -45,7 +45,7 @@
 /// Milliseconds to wait for a worker's answer to a direct order.
 pub const ORDERS_TIMEOUT_MS: u64 = 2_000;
 /// Milliseconds between repeats of a `kill` for the same task.
-pub const KILL_REPEAT_MS: u64 = 1_000;
+pub const DIRECT_STOP_REPEAT_MS: u64 = 1_000;
 /// Tasks on one machine at most. A report of that many tasks, 100 bytes each, stays below the body
 /// limit.
 pub const TASKS_PER_MACHINE: u32 = 400;
@@ -55,11 +55,11 @@
 /// Milliseconds for which the answer to a worker whose tasks have just ended waits for the next
 /// start there: a round and a transaction. Otherwise the freed room idles until the worker's next
 /// report.
-pub const SETTLE_MS: u64 = 1_000;
+pub const DECISION_WAIT_MS: u64 = 1_000;
 /// Milliseconds for which the answer to a worker with room waits for a task, well within the
 /// worker's timeout of 4 s. Meanwhile a start reaches the worker at once instead of at its next
 /// report.
-pub const IDLE_HOLD_MS: u64 = 3_000;
+pub const WORK_WAIT_MS: u64 = 3_000;
 /// Share of a lease for which such an answer may wait where tasks run. The answer renews the
 /// lease, and a leader that is cut off at that moment costs the worker several seconds more.
-pub const HOLD_LEASE_SHARE: f64 = 1.0 / 12.0;
+pub const WORK_WAIT_LEASE_SHARE: f64 = 1.0 / 12.0;
--- a/crates/control/src/cloud.rs
+++ b/crates/control/src/cloud.rs
@@ -67,7 +67,7 @@
                 }
                 if let Some((op, tag)) = queue.pop_front() {
                     *next_call += 1;
-                    effects.out.push(encode_call(&op, *next_call));
+                    effects.outputs.push(encode_call(&op, *next_call));
                     self.in_flight.insert(*next_call, (op, tag));
                 }
             }
--- a/crates/control/src/effects/actor_effects.rs
+++ b/crates/control/src/effects/actor_effects.rs
@@ -25,17 +25,17 @@
     /// This node has lost or given up leadership, for the given reason.
     SteppedDown(&'static str),
     /// A job has reached its final state.
-    JobOver(String, Final),
+    JobEnded(String, Final),
     /// A user is about to receive the confirmation that a job is cancelled.
-    Aborted(String),
+    JobCancelled(String),
     /// No controller is left that can't read the records of generation 1.
     Upgraded,
     /// An observation, named here, proves that every controller runs generation 1.
-    Proven(&'static str),
+    UpgradeEvidence(&'static str),
     /// A write failed since the cluster's feature level has changed.
     LevelChanged,
     /// The machine types were read, or have changed.
-    Types(Vec<wire::cloud::MachineType>),
+    MachineTypesRead(Vec<wire::cloud::MachineType>),
 }
 
 /// What an actor wants done by others once it has returned.
@@ -50,9 +50,9 @@
     /// Events for the whole node.
     pub events: Vec<NodeEvent>,
     /// Outputs of the node.
-    pub out: Vec<Output>,
+    pub outputs: Vec<Output>,
     /// Messages to workers: address and body.
-    pub direct: Vec<(String, Vec<u8>)>,
+    pub worker_messages: Vec<(String, Vec<u8>)>,
 }
 
 impl Effects {
@@ -68,14 +68,14 @@
     pub fn is_empty(&self) -> bool {
         self.state.is_empty()
             && self.cloud.is_empty()
-            && self.direct.is_empty()
+            && self.worker_messages.is_empty()
             && self.events.is_empty()
-            && self.out.is_empty()
+            && self.outputs.is_empty()
     }
 
     /// Answers a request.
     pub fn respond(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
-        self.out.push(Output::Respond {
+        self.outputs.push(Output::Respond {
             id,
             status,
             retry_after_s: None,
@@ -89,7 +89,7 @@
             error: reason.to_string(),
         });
         let is_temporary = matches!(status, TOO_MANY_REQUESTS | SERVICE_UNAVAILABLE);
-        self.out.push(Output::Respond {
+        self.outputs.push(Output::Respond {
             id,
             status,
             retry_after_s: is_temporary.then_some(constants::RETRY_AFTER_S),
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -147,17 +147,17 @@
     /// are dropped.
     pub fn on_reply(&mut self, step: ElectionStep, reply: StateReply, effects: &mut Effects) {
         match step {
-            ElectionStep::Quit => {}
+            ElectionStep::Revoke => {}
             ElectionStep::Renew(term, sent_at) => self.on_renewal(term, sent_at, &reply, effects),
             ElectionStep::Poll(round)
-            | ElectionStep::Term(round)
-            | ElectionStep::Grant(round)
-            | ElectionStep::Run(round)
+            | ElectionStep::ReadTerm(round)
+            | ElectionStep::GrantLease(round)
+            | ElectionStep::Commit(round)
                 if round != self.round => {}
             ElectionStep::Poll(_) => self.on_poll(reply, effects),
-            ElectionStep::Term(_) => self.on_term(reply, effects),
-            ElectionStep::Grant(_) => self.on_grant(reply, effects),
-            ElectionStep::Run(_) => self.on_commit(reply, effects),
+            ElectionStep::ReadTerm(_) => self.on_term(reply, effects),
+            ElectionStep::GrantLease(_) => self.on_grant(reply, effects),
+            ElectionStep::Commit(_) => self.on_commit(reply, effects),
         }
     }
 
@@ -185,7 +185,7 @@
 
 /// Revokes a lease, by which the leader key that is attached to it is deleted.
 fn revoke(lease: u64, effects: &mut Effects) {
-    let tag = StateTag::Election(ElectionStep::Quit);
+    let tag = StateTag::Election(ElectionStep::Revoke);
     let op = StateOp::Revoke(lease);
     effects.state.push((Priority::Leadership, op, tag));
 }
--- a/crates/control/src/election/candidacy.rs
+++ b/crates/control/src/election/candidacy.rs
@@ -53,7 +53,7 @@
     /// is missing.
     pub(super) fn stand(&mut self, leader_version: u64, effects: &mut Effects) {
         self.role = Role::Candidate(Candidacy::new(leader_version, effects.now.mono));
-        let step = ElectionStep::Term(self.round);
+        let step = ElectionStep::ReadTerm(self.round);
         self.request(StateOp::Get(TERM.into()), step, effects);
     }
 
@@ -72,7 +72,7 @@
         let op = StateOp::Grant {
             ttl_ms: LEADER_LEASE_MS,
         };
-        self.request(op, ElectionStep::Grant(self.round), effects);
+        self.request(op, ElectionStep::GrantLease(self.round), effects);
     }
 
     /// The state service has replied to the request for a lease.
@@ -96,7 +96,7 @@
             level: self.rules.level,
         };
         let txn = election_txn(candidacy, &record, lease, &self.rules.conditions);
-        self.request(StateOp::Txn(txn), ElectionStep::Run(self.round), effects);
+        self.request(StateOp::Txn(txn), ElectionStep::Commit(self.round), effects);
     }
 
     /// The state service has replied to the transaction that elects this process.
--- a/crates/control/src/election/tests.rs
+++ b/crates/control/src/election/tests.rs
@@ -15,14 +15,18 @@
     election.tick(&mut effects);
     let round = election.round;
     election.on_reply(ElectionStep::Poll(round), StateReply::Missing, &mut effects);
-    election.on_reply(ElectionStep::Term(round), StateReply::Missing, &mut effects);
     election.on_reply(
-        ElectionStep::Grant(round),
+        ElectionStep::ReadTerm(round),
+        StateReply::Missing,
+        &mut effects,
+    );
+    election.on_reply(
+        ElectionStep::GrantLease(round),
         StateReply::Granted(1),
         &mut effects,
     );
     let committed = StateReply::Committed { version: 1 };
-    election.on_reply(ElectionStep::Run(round), committed, &mut effects);
+    election.on_reply(ElectionStep::Commit(round), committed, &mut effects);
     assert_eq!(election.leads(), Some(1));
     election
 }
--- a/crates/control/src/forwarding.rs
+++ b/crates/control/src/forwarding.rs
@@ -6,13 +6,13 @@
 
 use crate::effects::{Effects, Output, RequestId};
 use constants::{
-    DEADLINE_CHECK_MS, REPORT_FORWARD_MS, RETRY_AFTER_S, USER_DEADLINE_MS, USER_INFLIGHT,
+    DEADLINE_CHECK_MS, REPORT_FORWARD_MS, RETRY_AFTER_S, USER_DEADLINE_MS, USER_REQUESTS_MAX,
 };
 use std::collections::HashMap;
 use wire::peers::PeerMessage;
 
 /// Path of workers' heartbeats.
-pub(crate) const REPORT_PATH: &str = "/v1/report";
+pub(crate) const HEARTBEAT_PATH: &str = "/v1/report";
 
 /// Where the ids of requests from peers begin. Ids of requests on this node's own sockets are below.
 const FIRST_PEER_REQUEST: RequestId = 1 << 62;
@@ -33,7 +33,7 @@
 impl HttpRequest<'_> {
     /// Milliseconds within which a peer must answer it.
     fn timeout_ms(&self) -> u64 {
-        if self.target == REPORT_PATH {
+        if self.target == HEARTBEAT_PATH {
             REPORT_FORWARD_MS
         } else {
             USER_DEADLINE_MS
@@ -112,7 +112,7 @@
 
     /// Forwards a request of this node to a peer.
     pub fn forward(&mut self, request: HttpRequest, peer: String, effects: &mut Effects) {
-        self.forward_within(request, peer, USER_INFLIGHT, effects);
+        self.forward_within(request, peer, USER_REQUESTS_MAX, effects);
     }
 
     /// Forwards a worker's heartbeat that an owner passes on to the leader. As many may be pending as workers are
@@ -138,7 +138,7 @@
             deadline: effects.now.mono + request.timeout_ms(),
         };
         self.pending.insert(self.last_call, pending);
-        effects.out.push(Output::Peer {
+        effects.outputs.push(Output::Peer {
             to: Some(peer),
             message: PeerMessage::Forward {
                 call: self.last_call,
@@ -164,7 +164,7 @@
             return;
         }
         if let Some(pending) = self.pending.remove(&call) {
-            effects.out.push(Output::Respond {
+            effects.outputs.push(Output::Respond {
                 id: pending.request,
                 status,
                 retry_after_s: matches!(status, 429 | 503).then_some(RETRY_AFTER_S),
--- a/crates/control/src/gateway/cancel.rs
+++ b/crates/control/src/gateway/cancel.rs
@@ -41,7 +41,9 @@
         log::info!("event=job_aborted job={}", pending.id);
         self.cache
             .remember_version(&pending.id, JobVersion::released(version, true));
-        effects.events.push(NodeEvent::Aborted(pending.id.clone()));
+        effects
+            .events
+            .push(NodeEvent::JobCancelled(pending.id.clone()));
         self.answer_phase(pending.request, &pending.id, Phase::Aborted, effects);
     }
 }
--- a/crates/control/src/gateway/events.rs
+++ b/crates/control/src/gateway/events.rs
@@ -9,10 +9,10 @@
     /// Takes over what an event of this node says about jobs, machine types or the upgrade.
     pub fn on_event(&mut self, event: &NodeEvent) {
         match event {
-            NodeEvent::JobOver(id, end) => self.remember_final(id.clone(), *end),
-            NodeEvent::Aborted(id) => self.remember_cancelled(id),
-            NodeEvent::Types(types) => self.admission.set_types(types.clone()),
-            NodeEvent::Upgraded | NodeEvent::Proven(_) => self.records.set_upgraded(),
+            NodeEvent::JobEnded(id, end) => self.remember_final(id.clone(), *end),
+            NodeEvent::JobCancelled(id) => self.remember_cancelled(id),
+            NodeEvent::MachineTypesRead(types) => self.admission.set_types(types.clone()),
+            NodeEvent::Upgraded | NodeEvent::UpgradeEvidence(_) => self.records.set_upgraded(),
             _ => {}
         }
     }
@@ -33,7 +33,7 @@
     }
 
     /// Takes over what the leader says of open jobs.
-    pub fn hear(&mut self, jobs: &[JobUpdate]) {
+    pub fn on_job_updates(&mut self, jobs: &[JobUpdate]) {
         self.cache.apply_job_updates(jobs);
     }
 }
--- a/crates/control/src/gateway/pending.rs
+++ b/crates/control/src/gateway/pending.rs
@@ -2,7 +2,7 @@
 
 use super::rejection::Rejection;
 use crate::effects::RequestId;
-use constants::{USER_DEADLINE_MS, USER_INFLIGHT, USER_RETRY_MS};
+use constants::{USER_DEADLINE_MS, USER_REQUESTS_MAX, USER_RETRY_MS};
 use std::collections::{BTreeMap, HashMap};
 use wire::users::Submission;
 
@@ -184,7 +184,7 @@
         } else {
             self.requests.len() - self.changes
         };
-        in_hand >= USER_INFLIGHT
+        in_hand >= USER_REQUESTS_MAX
     }
 
     /// Whether a step that was turned away may be sent again. After that, the request is refused and the user retries.
--- a/crates/control/src/gateway/read_validation.rs
+++ b/crates/control/src/gateway/read_validation.rs
@@ -11,7 +11,7 @@
 use super::Gateway;
 use crate::effects::Effects;
 use crate::requests::{Priority, StateReply, StateTag};
-use constants::{PROOF_EVERY_MS, PROOF_GATHER_MS, STATE_RETRY_MS};
+use constants::{STATE_RETRY_MS, VALIDATION_GATHER_MS, VALIDATION_INTERVAL_MS};
 use std::collections::VecDeque;
 use wire::records::JOBS;
 
@@ -55,7 +55,7 @@
         let first = self.validation.waiting.front();
         match first.and_then(|number| self.pending.get(*number)) {
             Some(pending) if self.validation.in_flight.is_none() => {
-                let gathered_at = pending.since() + PROOF_GATHER_MS;
+                let gathered_at = pending.since() + VALIDATION_GATHER_MS;
                 self.validation.next_at.max(gathered_at)
             }
             _ => u64::MAX,
@@ -67,7 +67,7 @@
         let waiting = &self.validation.waiting;
         let first = waiting.front().and_then(|number| self.pending.get(*number));
         waiting.len() >= self.max_compares
-            || first.is_none_or(|pending| now >= pending.since() + PROOF_GATHER_MS)
+            || first.is_none_or(|pending| now >= pending.since() + VALIDATION_GATHER_MS)
     }
 
     /// Sends one transaction that validates the records of as many waiting requests as it can hold.
@@ -82,12 +82,14 @@
             return;
         }
         let op = read_only_txn(unchanged(versions.iter()));
-        self.validation.next_at = now + PROOF_EVERY_MS;
+        self.validation.next_at = now + VALIDATION_INTERVAL_MS;
         self.validation.last_number += 1;
         let number = self.validation.last_number;
-        effects
-            .state
-            .push((Priority::Proof, op, StateTag::Proof(number)));
+        effects.state.push((
+            Priority::ReadValidation,
+            op,
+            StateTag::ReadValidation(number),
+        ));
         self.validation.in_flight = Some(Batch {
             number,
             versions,
@@ -153,7 +155,7 @@
     }
 
     /// Takes the reply to a read validation: what was validated is answered, what was not is read.
-    pub fn on_proof(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
+    pub fn on_read_validation(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
         let in_flight = &mut self.validation.in_flight;
         let Some(batch) = in_flight.take_if(|batch| batch.number == number) else {
             return;
--- a/crates/control/src/gateway/submit.rs
+++ b/crates/control/src/gateway/submit.rs
@@ -98,7 +98,7 @@
         );
         if !needs.is_empty() && !self.records.is_upgraded() {
             let evidence = "a submission that needs others";
-            effects.events.push(NodeEvent::Proven(evidence));
+            effects.events.push(NodeEvent::UpgradeEvidence(evidence));
         }
         self.cache
             .remember_version(&pending.id, JobVersion::new(version, false, &needs));
--- a/crates/control/src/gateway/unknown_ids.rs
+++ b/crates/control/src/gateway/unknown_ids.rs
@@ -10,7 +10,7 @@
 use super::Gateway;
 use crate::effects::Effects;
 use crate::requests::{Priority, StateReply, StateTag};
-use constants::{PROOF_GATHER_MS, STATE_RETRY_MS, UNHEARD_CHECKS, UNHEARD_EVERY_MS};
+use constants::{ID_SEARCH_BACKLOG, ID_SEARCH_INTERVAL_MS, STATE_RETRY_MS, VALIDATION_GATHER_MS};
 use std::collections::{BTreeSet, VecDeque};
 use wire::records::{final_key, job_key};
 
@@ -83,7 +83,7 @@
 
     /// Whether so many requests of a kind wait that another would not be answered in time.
     pub(super) fn is_id_search_full(&self, is_change: bool) -> bool {
-        let limit = UNHEARD_CHECKS * self.ids_per_search();
+        let limit = ID_SEARCH_BACKLOG * self.ids_per_search();
         self.unknown_ids.queue(is_change).len() >= limit
     }
 
@@ -95,7 +95,7 @@
                     .pending
                     .get(number)
                     .map_or(0, |pending| pending.since());
-                self.unknown_ids.next_at.max(since + PROOF_GATHER_MS)
+                self.unknown_ids.next_at.max(since + VALIDATION_GATHER_MS)
             }
             _ => u64::MAX,
         }
@@ -115,11 +115,11 @@
             return;
         }
         let op = read_only_txn(ids.iter().flat_map(|id| absent(id)));
-        self.unknown_ids.next_at = now + UNHEARD_EVERY_MS;
+        self.unknown_ids.next_at = now + ID_SEARCH_INTERVAL_MS;
         self.unknown_ids.last_number += 1;
         let number = self.unknown_ids.last_number;
         let tag = StateTag::UnknownIds(number);
-        effects.state.push((Priority::Proof, op, tag));
+        effects.state.push((Priority::ReadValidation, op, tag));
         self.unknown_ids.in_flight = Some(Search { number, requests });
     }
 
--- a/crates/control/src/leader/cancellation.rs
+++ b/crates/control/src/leader/cancellation.rs
@@ -12,7 +12,7 @@
     pub fn on_cancellation_notice(&mut self, id: &str, now: Now) {
         let is_known = self.jobs.contains_key(id);
         if !self.is_ready() || !is_known {
-            if self.archived_as(id).is_none() {
+            if self.archived_outcome(id).is_none() {
                 self.cancellation_notices.insert(id.to_string(), ());
             }
             return;
@@ -66,7 +66,7 @@
         });
         let name = assignment.machine.clone();
         if let Some(machine) = self.machines.get_mut(&name) {
-            machine.stops = true;
+            machine.has_stopping_tasks = true;
         }
         self.note_pending_orders(name);
     }
--- a/crates/control/src/leader/consolidation/demand.rs
+++ b/crates/control/src/leader/consolidation/demand.rs
@@ -62,7 +62,7 @@
     fn usage_by_team(&self) -> HashMap<&str, Resources> {
         let mut usage: HashMap<&str, Resources> = HashMap::new();
         for job in self.jobs.values() {
-            let assigned = job.res().times(f64::from(job.assigned));
+            let assigned = job.task_resources().times(f64::from(job.assigned));
             usage.entry(&job.spec.team).or_default().add(&assigned);
         }
         usage
@@ -93,7 +93,7 @@
         && !job.awaits_dependencies()
         && u64::from(job.assigned) + job.done < job.spec.tasks
         && job.failures == 0
-        && !job.is_resting(now.unix)
+        && !job.is_backed_off(now.unix)
 }
 
 /// Whether a task of the job fits on an empty machine of the type, and may go there.
@@ -113,6 +113,6 @@
 /// How many empty machines of the type the waiting tasks of a job fill.
 fn machines_for(job: &Job, machine_type: &MachineType) -> usize {
     let waiting = (job.spec.tasks - job.done) as u32 - job.assigned;
-    let per_machine = type_resources(machine_type).capacity_for(&job.res(), waiting);
+    let per_machine = type_resources(machine_type).capacity_for(&job.task_resources(), waiting);
     waiting.div_ceil(per_machine.max(1)) as usize
 }
--- a/crates/control/src/leader/delegation.rs
+++ b/crates/control/src/leader/delegation.rs
@@ -80,7 +80,7 @@
 
     /// A permit for an owner that passed on a heartbeat which was answered without orders, with the number of the
     /// owner's process.
-    pub fn permit_after(
+    pub fn permit_after_heartbeat(
         &mut self,
         owner: &str,
         heartbeat: &AnsweredHeartbeat,
@@ -114,9 +114,9 @@
         let mut assignments = machine.assignments.iter();
         is_latest
             && is_as_recorded
-            && machine.synced
-            && machine.token_seen
-            && machine.is_calm()
+            && machine.is_reconciled
+            && machine.fencing_token_seen
+            && machine.is_unchanging()
             && assignments.all(|(id, task)| self.goes_on_running(id, *task))
             && !self.has_room_for_work(&heartbeat.machine)
     }
@@ -173,7 +173,7 @@
     }
 
     /// The owner that will hold the grant of a partition at a moment, as far as is known now.
-    pub fn holder_at(&self, partition: PartitionId, moment: u64) -> Option<&str> {
+    pub fn grant_holder_at(&self, partition: PartitionId, moment: u64) -> Option<&str> {
         self.delegation.as_ref()?.holder(partition, moment)
     }
 
@@ -184,8 +184,8 @@
         let is_recent = |at: u64| now < at + lease_ms / REDIRECT_LEASE_PART;
         let has_nothing_pending = |(id, task): &(String, u32)| self.is_unchanging(id, *task);
         self.machines.get(machine).is_some_and(|machine| {
-            machine.synced
-                && machine.token_seen
+            machine.is_reconciled
+                && machine.fencing_token_seen
                 && machine.notice_at.is_none()
                 && machine.last_answer.is_some_and(is_recent)
                 && machine.assignments.iter().all(has_nothing_pending)
@@ -211,7 +211,7 @@
 
     /// When the last heartbeat of a machine was received. While an owner watches the machine and reports nothing, its
     /// heartbeats go on.
-    pub(super) fn heard_at(&self, machine: &Machine, now: u64) -> Option<u64> {
+    pub(super) fn last_heartbeat_at(&self, machine: &Machine, now: u64) -> Option<u64> {
         match self.is_watched_by_owner(machine, now) {
             true => Some(now),
             false => machine.last_heartbeat,
--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -42,7 +42,7 @@
         let mut dependency_cancelled = false;
         let mut pending = BTreeSet::new();
         for dependency in &job.spec.needs {
-            match (self.archived_as(dependency), self.jobs.get(dependency)) {
+            match (self.archived_outcome(dependency), self.jobs.get(dependency)) {
                 (Some(Final::Done), _) => continue,
                 (Some(Final::Aborted), _) => dependency_cancelled = true,
                 (None, Some(open)) => dependency_cancelled |= open.aborted,
@@ -70,7 +70,7 @@
     }
 
     /// Whether a job is over, not archived yet, and others wait for that.
-    pub(super) fn is_awaited_end(&self, id: &str) -> bool {
+    pub(super) fn is_awaited_by_dependents(&self, id: &str) -> bool {
         self.dependencies.dependents.contains_key(id)
             && self
                 .jobs
@@ -79,7 +79,7 @@
     }
 
     /// A job is archived: what depends on it may go on, or is cancelled with it.
-    pub(super) fn over(&mut self, id: &str, end: Final, now: Now) {
+    pub(super) fn on_job_archived(&mut self, id: &str, end: Final, now: Now) {
         let Some(dependents) = self.dependencies.dependents.remove(id) else {
             return;
         };
--- a/crates/control/src/leader/dependencies/lookups.rs
+++ b/crates/control/src/leader/dependencies/lookups.rs
@@ -66,14 +66,14 @@
             }
             if self.dependencies.lookups.in_flight.insert(id.clone()) {
                 let op = StateOp::Get(final_key(&id));
-                let request = LeaderRequest::Final(id);
+                let request = LeaderRequest::FinalRecord(id);
                 self.send_state_request(Priority::LeaderRecords, op, request, effects);
             }
         }
     }
 
     /// The reply to a lookup of how a job ended.
-    pub(in crate::leader) fn on_final(
+    pub(in crate::leader) fn on_final_record(
         &mut self,
         id: &str,
         reply: StateReply,
@@ -87,7 +87,7 @@
         match end {
             Some(end) => {
                 self.archived.insert(id.to_string(), end);
-                self.over(id, end, effects.now);
+                self.on_job_archived(id, end, effects.now);
             }
             // It was just created, and the watch is still to report it; or the state service does not answer.
             None => {
@@ -99,7 +99,7 @@
     }
 
     /// Reads the further records of a job, which counts only once all are read.
-    pub(in crate::leader) fn fetch_more(
+    pub(in crate::leader) fn read_further_records(
         &mut self,
         id: &str,
         record: JobRecord,
@@ -114,7 +114,7 @@
     }
 
     /// The reply to a request for a further record of a job.
-    pub(in crate::leader) fn on_more(
+    pub(in crate::leader) fn on_further_record(
         &mut self,
         id: String,
         number: u32,
@@ -152,7 +152,7 @@
 
     fn request_more(&self, id: String, number: u32, effects: &mut Effects) {
         let op = StateOp::Get(more_key(&id, number));
-        let request = LeaderRequest::More(id, number);
+        let request = LeaderRequest::FurtherRecord(id, number);
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
     }
 }
--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -22,13 +22,13 @@
 use super::{Leader, StartLatencies};
 use crate::effects::{Effects, Now};
 use crate::requests::{CloudOp, CloudRequest};
-use constants::{CLOUD_TYPES_S, GONE_MS, SILENT_EXTRA_MS};
+use constants::{CLOUD_TYPES_S, REMOVED_MACHINE_RETENTION_MS, SILENT_EXTRA_MS};
 
 /// Milliseconds between two summaries in the log.
 const SUMMARY_EVERY_MS: u64 = 15_000;
 
 /// Milliseconds, for each second that the cloud's list may lag, for which a machine that is gone is remembered besides
-/// [`GONE_MS`]: four lags, so that late listings don't bring it back.
+/// [`REMOVED_MACHINE_RETENTION_MS`]: four lags, so that late listings don't bring it back.
 const DEPARTED_MS_PER_LAG_S: f64 = 4_000.0;
 
 /// Milliseconds without a report, for each second between reports, after which a machine is silent: two and a half
@@ -72,13 +72,14 @@
     /// Drops machines that have been gone for so long that nothing late can speak of them.
     fn expire_departed(&mut self, now: Now) {
         let list_lag_s = self.settings.deployment.cloud.list_lag_s;
-        let remembered_ms = (list_lag_s * DEPARTED_MS_PER_LAG_S) as u64 + GONE_MS;
+        let remembered_ms =
+            (list_lag_s * DEPARTED_MS_PER_LAG_S) as u64 + REMOVED_MACHINE_RETENTION_MS;
         self.departed
             .retain(|_, gone_at| now.mono < *gone_at + remembered_ms);
     }
 
     fn log_summary(&self) {
-        let up = self.machines.values().filter(|m| m.synced).count();
+        let up = self.machines.values().filter(|m| m.is_reconciled).count();
         let (blocked, ready): (Vec<_>, Vec<_>) = self
             .jobs
             .values()
--- a/crates/control/src/leader/fleet/costs.rs
+++ b/crates/control/src/leader/fleet/costs.rs
@@ -42,7 +42,7 @@
         cost: f64,
         jobs: &BTreeMap<String, Job>,
     ) {
-        if !machine.synced {
+        if !machine.is_reconciled {
             self.boot += cost;
             return;
         }
--- a/crates/control/src/leader/fleet/listing.rs
+++ b/crates/control/src/leader/fleet/listing.rs
@@ -16,12 +16,12 @@
     /// Requests the first page of the list when it is due and no listing is in progress.
     pub(super) fn request_listing(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        if now < self.next_list || self.list_busy.is_some() {
+        if now < self.next_list || self.listing_since.is_some() {
             return;
         }
         self.next_list = now + (self.listing_interval_s() * 1000.0) as u64;
-        self.list_busy = Some(now);
-        self.list_seen.clear();
+        self.listing_since = Some(now);
+        self.listed_machines.clear();
         let op = CloudOp::List {
             from: String::new(),
         };
@@ -52,7 +52,7 @@
     }
 
     fn on_listed(&mut self, listed: ListedMachine, now: Now) {
-        self.list_seen.insert(listed.id.clone());
+        self.listed_machines.insert(listed.id.clone());
         if self.departed.contains_key(&listed.id) {
             return;
         }
@@ -77,17 +77,17 @@
 
     /// Counts a missed listing of each machine that must be listed by now and is not: the cloud has taken it away.
     fn list_complete(&mut self, asked: u64) {
-        self.list_busy = None;
+        self.listing_since = None;
         self.listed_once = true;
-        if asked < self.list_asked {
+        if asked < self.last_listing_at {
             return;
         }
-        self.list_asked = asked;
+        self.last_listing_at = asked;
         let list_lag_s = self.settings.deployment.cloud.list_lag_s;
         let listed_ms = (list_lag_s * LISTED_MS_PER_LAG_S) as u64 + LISTED_EXTRA_MS;
         for (name, machine) in &mut self.machines {
-            let due = machine.listed || asked > machine.first_known + listed_ms;
-            if due && !self.list_seen.contains(name) {
+            let due = machine.listed || asked > machine.known_since + listed_ms;
+            if due && !self.listed_machines.contains(name) {
                 machine.missed_listings += 1;
             }
         }
--- a/crates/control/src/leader/fleet/renting.rs
+++ b/crates/control/src/leader/fleet/renting.rs
@@ -50,7 +50,7 @@
         let Some(record) = rental.record.saved.clone() else {
             return;
         };
-        if rental.sent || rental.got_at.is_some() {
+        if rental.sent || rental.granted_at.is_some() {
             return;
         }
         if rental.record.is_unsaved() || effects.now.mono < rental.retry_at {
@@ -84,7 +84,7 @@
         let shown_ms = (list_lag_s * SHOWN_MS_PER_LAG_S) as u64 + SHOWN_EXTRA_MS;
         let mut listed = Vec::new();
         for (name, rental) in &mut self.rentals {
-            let is_shown = rental.got_at.is_some_and(|at| now.mono > at + shown_ms);
+            let is_shown = rental.granted_at.is_some_and(|at| now.mono > at + shown_ms);
             if is_shown && rental.record.desired.is_some() {
                 rental.record.desired = None;
                 listed.push(name.clone());
@@ -128,7 +128,7 @@
             for zone in &machine_type.zones {
                 for spot in [false, true] {
                     let key = (machine_type.name.clone(), zone.clone(), spot);
-                    let refused = self.refused.get(&key);
+                    let refused = self.offer_backoff.get(&key);
                     offers.push(Offer {
                         kind: snapshot.kinds.number(&machine_type.name),
                         zone: snapshot.zones.number(zone),
@@ -174,7 +174,7 @@
     }
 
     fn unanswered_rentals(&self) -> impl Iterator<Item = &Rental> {
-        self.rentals.values().filter(|r| r.got_at.is_none())
+        self.rentals.values().filter(|r| r.granted_at.is_none())
     }
 
     /// Creates rentals, as many as may be under way at a time. Of a request beyond what one rental may ask for, one
@@ -219,7 +219,7 @@
             sent: false,
             retry_at: 0,
             since: now.mono,
-            got_at: None,
+            granted_at: None,
         };
         self.rentals.insert(name.clone(), rental);
         self.queue_write(RecordId::Rental(name));
@@ -229,8 +229,8 @@
 /// Whether a machine without tasks is to be up soon. One that has fallen silent is most likely cut off or hangs: it is
 /// back before a new one would be up.
 fn is_expected(machine: &Machine, silent_ms: u64, now: u64) -> bool {
-    let booting = machine.expected && !machine.synced;
-    let away = machine.synced
+    let booting = machine.expected && !machine.is_reconciled;
+    let away = machine.is_reconciled
         && machine.assignments.is_empty()
         && machine
             .last_heartbeat
--- a/crates/control/src/leader/fleet/replies.rs
+++ b/crates/control/src/leader/fleet/replies.rs
@@ -16,7 +16,7 @@
 
 impl Leader {
     /// Takes in the reply to a request of this leader.
-    pub(in crate::leader) fn cloud_answered(
+    pub(in crate::leader) fn on_cloud_reply(
         &mut self,
         request: CloudRequest,
         op: CloudOp,
@@ -36,7 +36,7 @@
             (CloudRequest::List { asked }, CloudReply::Listed(page)) => {
                 self.on_list_page(asked, page, effects);
             }
-            (CloudRequest::List { .. }, _) => self.list_busy = None,
+            (CloudRequest::List { .. }, _) => self.listing_since = None,
             (CloudRequest::Rent(name), reply) => {
                 if let CloudOp::Rent(rent) = op {
                     self.on_rent_reply(&name, rent, reply, now);
@@ -59,7 +59,9 @@
 
     fn on_types(&mut self, types: Vec<MachineType>, effects: &mut Effects) {
         if self.types.desired.as_ref() != Some(&types) {
-            effects.events.push(NodeEvent::Types(types.clone()));
+            effects
+                .events
+                .push(NodeEvent::MachineTypesRead(types.clone()));
             self.types.desired = Some(types);
             self.queue_write(RecordId::Types);
             self.plan_due = true;
@@ -92,12 +94,12 @@
             rent.count,
             now.mono - rental.since
         );
-        rental.got_at = Some(now.mono);
+        rental.granted_at = Some(now.mono);
         let offer = (rent.kind.clone(), rent.zone.clone(), rent.spot);
         if machines.len() < rent.count as usize {
             self.no_capacity(offer, now);
         } else {
-            self.refused.remove(&offer);
+            self.offer_backoff.remove(&offer);
             self.filled_offers.insert(offer);
         }
         for machine in machines {
@@ -121,12 +123,13 @@
     fn no_capacity(&mut self, offer: OfferKey, now: Now) {
         self.filled_offers.remove(&offer);
         let last_pause_ms = self
-            .refused
+            .offer_backoff
             .get(&offer)
             .map_or(0, |(_, pause_ms)| *pause_ms);
         let pause_ms = (last_pause_ms * 2).clamp(NO_CAPACITY_MS, NO_CAPACITY_MAX_MS);
         let (kind, zone, spot) = &offer;
         log::info!("event=no_capacity kind={kind} zone={zone} spot={spot} pause_ms={pause_ms}");
-        self.refused.insert(offer, (now.mono + pause_ms, pause_ms));
+        self.offer_backoff
+            .insert(offer, (now.mono + pause_ms, pause_ms));
     }
 }
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy)]
 struct Contact {
     /// When it was last heard, or when this leader could first have heard it.
-    heard_at: u64,
+    last_heartbeat_at: u64,
     /// Milliseconds since then.
     quiet_ms: u64,
 }
@@ -120,7 +120,7 @@
     }
 
     fn idle_machines(&self, now: Now) -> IdleMachines {
-        let is_idle = |m: &&Machine| m.synced && m.assignments.is_empty() && !m.returning;
+        let is_idle = |m: &&Machine| m.is_reconciled && m.assignments.is_empty() && !m.returning;
         let may_idle = IDLE_LEAST + self.machines.len() / IDLE_PART;
         let idle = self.machines.values().filter(is_idle).count();
         IdleMachines {
@@ -133,11 +133,11 @@
     /// its whole fleet if the time before it resumed counted.
     fn contact(&self, machine: &Machine, now: u64) -> Contact {
         let listening_since = self.ready_at.max(self.resumed_at);
-        let heard_at = self.heard_at(machine, now).unwrap_or(0);
-        let heard_at = heard_at.max(listening_since);
+        let last_heartbeat_at = self.last_heartbeat_at(machine, now).unwrap_or(0);
+        let last_heartbeat_at = last_heartbeat_at.max(listening_since);
         Contact {
-            heard_at,
-            quiet_ms: now.saturating_sub(heard_at),
+            last_heartbeat_at,
+            quiet_ms: now.saturating_sub(last_heartbeat_at),
         }
     }
 
@@ -158,13 +158,13 @@
         }
         // Whether it is gone or not: the answer frees its tasks for sure, and nothing is left to wait for.
         let notice_over =
-            |at: u64| now > at + NOTICE_OVER_MS && now > contact.heard_at + NOTICE_OVER_MS;
+            |at: u64| now > at + NOTICE_OVER_MS && now > contact.last_heartbeat_at + NOTICE_OVER_MS;
         if machine.notice_at.is_some_and(notice_over) {
             return Some(ReturnReason::NoticeOver);
         }
         if machine.last_heartbeat.is_none() {
             let limit = self.never_up_ms(machine, limits);
-            let is_late = now > machine.first_known + limit && contact.quiet_ms > limit;
+            let is_late = now > machine.known_since + limit && contact.quiet_ms > limit;
             return is_late.then_some(ReturnReason::NeverUp);
         }
         if contact.quiet_ms > limits.silence_ms(machine) {
@@ -223,7 +223,7 @@
         idle: &mut IdleMachines,
         now: u64,
     ) -> bool {
-        let reports = machine.synced && contact.quiet_ms <= limits.silent_ms;
+        let reports = machine.is_reconciled && contact.quiet_ms <= limits.silent_ms;
         if !self.settings.minimizes_cost() || !reports {
             return false;
         }
@@ -277,7 +277,7 @@
 
     /// The cloud has confirmed that the machine is gone: nothing runs there any more.
     pub(super) fn machine_gone(&mut self, name: &str, now: Now) {
-        self.free_machine(name, "its machine was given back", now);
+        self.release_machine(name, "its machine was given back", now);
         self.departed.insert(name.to_string(), now.mono);
         log::info!("event=machine_gone machine={name}");
         self.machines.remove(name);
--- a/crates/control/src/leader/job_records.rs
+++ b/crates/control/src/leader/job_records.rs
@@ -8,7 +8,7 @@
 
 impl Leader {
     /// Takes in a job's record at a version, if it is newer than what is known.
-    pub(super) fn learn_job(
+    pub(super) fn update_from_job_record(
         &mut self,
         id: &str,
         record: JobRecord,
@@ -19,12 +19,12 @@
             return self.update_job(id, &record, version, effects.now);
         }
         // A job that was archived can't come back: ids are created once.
-        if self.archived_as(id).is_some() {
+        if self.archived_outcome(id).is_some() {
             return;
         }
         // Of a cancelled job the rest of its submission does not matter.
         if record.more > 0 && !record.aborted {
-            return self.fetch_more(id, record, version, effects);
+            return self.read_further_records(id, record, version, effects);
         }
         self.insert_job(id, record, version, effects);
     }
@@ -66,7 +66,7 @@
             // Only a node that runs the version with pipelines accepts such a job, so the upgrade is over.
             effects
                 .events
-                .push(NodeEvent::Proven("a job that needs others"));
+                .push(NodeEvent::UpgradeEvidence("a job that needs others"));
         }
         self.jobs.insert(id.to_string(), job);
         self.track_dependencies(id, effects.now);
--- a/crates/control/src/leader/job_watch.rs
+++ b/crates/control/src/leader/job_watch.rs
@@ -150,6 +150,6 @@
             log::error!("event=record_unreadable key={key}");
             return;
         };
-        self.learn_job(id, record, version, effects);
+        self.update_from_job_record(id, record, version, effects);
     }
 }
--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -157,9 +157,11 @@
         self.ready_at = now;
         self.next_housekeeping = now + HOUSEKEEPING_MS;
         if let Some(types) = &self.types.saved {
-            effects.events.push(NodeEvent::Types(types.clone()));
+            effects
+                .events
+                .push(NodeEvent::MachineTypesRead(types.clone()));
         }
-        self.settle_copies();
+        self.apply_page_copies();
         self.apply_cancellation_notices();
         self.index_assignments(now);
         self.register_loaded_jobs(effects);
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -29,7 +29,7 @@
 
 pub(crate) use delegation::AnsweredHeartbeat;
 pub(crate) use watch::direct_call;
-pub(crate) use worker_heartbeats::{DeferredAnswer, ReportOutcome};
+pub(crate) use worker_heartbeats::{DeferredAnswer, HeartbeatOutcome};
 
 use crate::effects::{Effects, Now};
 use crate::recent_map::RecentMap;
@@ -42,7 +42,7 @@
 use constants::{FINAL_CACHE, HOUSEKEEPING_MS, ROUND_AT_LEAST_MS, ROUND_EVERY_MS};
 use job_watch::JobWatch;
 use loading::Loading;
-use model::{Boots, Job, Machine, RecordCell};
+use model::{BootTimes, Job, Machine, RecordCell};
 use rental::{OfferKey, Rental};
 use start_latencies::StartLatencies;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -95,10 +95,10 @@
     /// Machines that are certainly gone, with the time when that became known.
     departed: HashMap<String, u64>,
     /// Boot times seen in this term, by machine type.
-    boots: HashMap<String, Boots>,
+    boots: HashMap<String, BootTimes>,
     start_latencies: StartLatencies,
     /// Direct calls that may be made.
-    kill_budget: TokenBucket,
+    direct_order_budget: TokenBucket,
     /// Something happened that a deferred answer may have waited for.
     pub has_new_decisions: bool,
     /// Which answers of owners may be under way; nothing where partitions are off.
@@ -140,17 +140,17 @@
     types: RecordCell<Vec<MachineType>>,
     next_request: u64,
     /// Offers that the cloud had no capacity for: until when they are left alone, and for how long.
-    refused: HashMap<OfferKey, (u64, u64)>,
+    offer_backoff: HashMap<OfferKey, (u64, u64)>,
     /// Offers whose last request was filled in full: several may be requested at once.
     filled_offers: BTreeSet<OfferKey>,
     next_list: u64,
     next_types: u64,
     /// When the listing under way began.
-    list_busy: Option<u64>,
+    listing_since: Option<u64>,
     /// Machines that the listing under way has shown.
-    list_seen: BTreeSet<String>,
+    listed_machines: BTreeSet<String>,
     /// When the last complete listing was requested.
-    list_asked: u64,
+    last_listing_at: u64,
     listed_once: bool,
     next_rent: u64,
     next_summary: u64,
@@ -192,7 +192,7 @@
             departed: HashMap::new(),
             boots: HashMap::new(),
             start_latencies: StartLatencies::default(),
-            kill_budget: TokenBucket::new(DIRECT_CALLS_PER_S, DIRECT_CALLS_BURST),
+            direct_order_budget: TokenBucket::new(DIRECT_CALLS_PER_S, DIRECT_CALLS_BURST),
             has_new_decisions: false,
             delegation: None,
             machines_with_new_orders: Vec::new(),
@@ -216,13 +216,13 @@
             rentals: BTreeMap::new(),
             types: RecordCell::new(None, 0),
             next_request: 0,
-            refused: HashMap::new(),
+            offer_backoff: HashMap::new(),
             filled_offers: BTreeSet::new(),
             next_list: 0,
             next_types: 0,
-            list_busy: None,
-            list_seen: BTreeSet::new(),
-            list_asked: 0,
+            listing_since: None,
+            listed_machines: BTreeSet::new(),
+            last_listing_at: 0,
             listed_once: false,
             next_rent: 0,
             next_summary: 0,
@@ -238,7 +238,7 @@
             self.dense = true;
             return;
         }
-        self.go_dense();
+        self.switch_to_dense_layout();
         self.flush(effects);
     }
 
@@ -259,7 +259,7 @@
         let now = effects.now.mono;
         if active && self.plan_due && now >= self.next_round {
             self.next_round = now + ROUND_EVERY_MS;
-            self.plan(effects);
+            self.run_round(effects);
         }
         self.flush(effects);
     }
@@ -272,7 +272,7 @@
         self.next_housekeeping = now + HOUSEKEEPING_MS;
         // Backoffs and rests end, and what was uncertain becomes certain, without any event.
         self.plan_due |= now >= self.next_round + ROUND_AT_LEAST_MS;
-        self.watch_machines(active, effects);
+        self.check_machines_and_gangs(active, effects);
         if active {
             self.maintain_fleet(effects);
         }
@@ -310,8 +310,10 @@
             }
             LeaderRequest::Refresh(what, key) => self.on_refresh(what, key, reply, effects),
             LeaderRequest::Resync(reread) => self.on_resync(reread, reply, effects),
-            LeaderRequest::Final(id) => self.on_final(&id, reply, effects),
-            LeaderRequest::More(id, number) => self.on_more(id, number, reply, effects),
+            LeaderRequest::FinalRecord(id) => self.on_final_record(&id, reply, effects),
+            LeaderRequest::FurtherRecord(id, number) => {
+                self.on_further_record(id, number, reply, effects)
+            }
         }
     }
 
@@ -323,7 +325,7 @@
         reply: CloudReply,
         effects: &mut Effects,
     ) {
-        self.cloud_answered(request, op, reply, effects);
+        self.on_cloud_reply(request, op, reply, effects);
         self.flush(effects);
     }
 
--- a/crates/control/src/leader/model/boot_times.rs
+++ b/crates/control/src/leader/model/boot_times.rs
@@ -10,14 +10,14 @@
 
 /// Mean and variance of the boot times seen of a machine type (Welford's online algorithm).
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Boots {
+pub(crate) struct BootTimes {
     count: f64,
     mean_s: f64,
     /// Sum of squared deviations from the mean.
     squared_deviations: f64,
 }
 
-impl Boots {
+impl BootTimes {
     /// Adds a boot time, in seconds.
     pub fn add(&mut self, secs: f64) {
         self.count += 1.0;
--- a/crates/control/src/leader/model/boot_times/tests.rs
+++ b/crates/control/src/leader/model/boot_times/tests.rs
@@ -1,11 +1,11 @@
 //! When a boot counts as late.
 
-use super::Boots;
+use super::BootTimes;
 
 /// Gangs waited for machines of which one in ten takes several times as long as the others.
 #[test]
 fn a_boot_is_late_by_what_was_seen_of_its_type() {
-    let mut boots = Boots::default();
+    let mut boots = BootTimes::default();
     for _ in 0..9 {
         boots.add(45.0);
     }
--- a/crates/control/src/leader/model/job.rs
+++ b/crates/control/src/leader/model/job.rs
@@ -61,7 +61,7 @@
     /// Gang: its present attempt can't be completed any more.
     pub broken: bool,
     /// Gang: some of its tasks waited in vain for others that are still fetching the image.
-    pub alone: bool,
+    pub gathering_timed_out: bool,
     /// Failures in a row, which determine the backoff.
     pub failures: u32,
     /// All attempts under earlier leaders ended with nothing done.
@@ -99,7 +99,7 @@
             in_flight: false,
             started: false,
             broken: false,
-            alone: false,
+            gathering_timed_out: false,
             failures: 0,
             failed_under_earlier_leaders: false,
             failed_machines: BTreeSet::new(),
@@ -138,7 +138,7 @@
     }
 
     /// Resources that a task takes.
-    pub fn res(&self) -> Resources {
+    pub fn task_resources(&self) -> Resources {
         Resources {
             cpus: self.spec.cpus,
             gpus: self.spec.gpus,
--- a/crates/control/src/leader/model/job/chunks.rs
+++ b/crates/control/src/leader/model/job/chunks.rs
@@ -27,7 +27,7 @@
     }
 
     /// The assignment of a task, to be changed. What is recorded of it is changed by [`Job::put`] and
-    /// [`Job::vacate`] only.
+    /// [`Job::unassign`] only.
     pub fn assignment_mut(&mut self, task: u32) -> Option<&mut Assignment> {
         self.chunk_mut(task)?.assignments.get_mut(&task)
     }
@@ -90,7 +90,7 @@
     }
 
     /// Removes the assignment of a task, whether the task is done or not.
-    pub fn vacate(&mut self, task: u32) -> Option<Assignment> {
+    pub fn unassign(&mut self, task: u32) -> Option<Assignment> {
         let chunk = self.chunk_mut(task)?;
         let assignment = chunk.assignments.remove(&task)?;
         chunk.seq += 1;
@@ -102,7 +102,7 @@
         if self.assigned == 0 {
             self.started = false;
             self.broken = false;
-            self.alone = false;
+            self.gathering_timed_out = false;
         }
         Some(assignment)
     }
--- a/crates/control/src/leader/model/job/failures.rs
+++ b/crates/control/src/leader/model/job/failures.rs
@@ -13,7 +13,7 @@
     ///
     /// What is reserved, rented or stopped for such a gang, perhaps for ever, is needed by others. It is tried again
     /// after a while.
-    pub fn is_resting(&self, now_unix: u64) -> bool {
+    pub fn is_backed_off(&self, now_unix: u64) -> bool {
         let waited_s = now_unix.saturating_sub(self.ready_at) / 1000;
         // A gang that was assigned before, perhaps by an earlier leader, can be again.
         let never_assigned = self.is_gang() && self.highest_attempt() == 0;
--- a/crates/control/src/leader/model/machine.rs
+++ b/crates/control/src/leader/model/machine.rs
@@ -28,15 +28,15 @@
     /// The last incarnation whose lease has certainly expired: reports of it, or of an earlier one, arrive late.
     pub ended_incarnation: u64,
     /// The worker is known to have seen our term.
-    pub token_seen: bool,
+    pub fencing_token_seen: bool,
     /// A report that carries our term has been processed.
-    pub synced: bool,
+    pub is_reconciled: bool,
     /// When the worker's last heartbeat arrived.
     pub last_heartbeat: Option<u64>,
     /// When this leader last answered a heartbeat of the worker.
     pub last_answer: Option<u64>,
     /// When the machine came into being: by its age in the cloud's list, or else when this leader first knew of it.
-    pub first_known: u64,
+    pub known_since: u64,
     /// When the cloud takes the machine away, if it has announced that.
     pub notice_at: Option<u64>,
     /// Why the machine is drained, if it is.
@@ -48,7 +48,7 @@
     /// Listings in a row that did not show it.
     pub missed_listings: u32,
     /// Some task of it has been told to stop.
-    pub stops: bool,
+    pub has_stopping_tasks: bool,
     /// The cloud has named or listed it, so that it may be counted on.
     pub expected: bool,
     /// This leader rented it, so that its age is known.
@@ -62,7 +62,7 @@
     /// Since when our answers seem not to reach it, though its reports reach us.
     pub unreachable_since: Option<u64>,
     /// A report of it waits for its answer.
-    pub held: bool,
+    pub has_deferred_answer: bool,
     /// Images in its cache: when each was last used, and its size in GB.
     pub images: BTreeMap<String, (u64, f64)>,
     /// Tasks assigned to it, by job and number.
@@ -72,13 +72,13 @@
     /// Jobs that failed here, with none completing since.
     pub failed_jobs: BTreeSet<String>,
     /// Sum and number of (run time / job's mean) of tasks completed here.
-    pub pace: (f64, u32),
+    pub relative_run_times: (f64, u32),
     /// Since when it has had no assignments.
     pub idle_since: u64,
     /// When its return was last requested of the cloud.
     pub return_sent: Option<u64>,
     /// When orders were last sent to it directly, outside the answers to its reports.
-    pub direct_at: u64,
+    pub last_direct_order_at: u64,
     /// Something was decided for it since it was last found steady.
     pub has_pending_orders: bool,
     /// Permit under which the owner of its partition may answer it.
@@ -107,32 +107,32 @@
             incarnation: 0,
             seq: 0,
             ended_incarnation: 0,
-            token_seen: false,
-            synced: false,
+            fencing_token_seen: false,
+            is_reconciled: false,
             last_heartbeat: None,
             last_answer: None,
-            first_known: now,
+            known_since: now,
             notice_at: None,
             draining: None,
             listed: false,
             failed: false,
             missed_listings: 0,
-            stops: false,
+            has_stopping_tasks: false,
             expected: false,
             rented: false,
             incarnation_since: now,
             undelivered_starts: 0,
             early_expiries: 0,
             unreachable_since: None,
-            held: false,
+            has_deferred_answer: false,
             images: BTreeMap::new(),
             assignments: BTreeSet::new(),
             orphans: BTreeSet::new(),
             failed_jobs: BTreeSet::new(),
-            pace: (0.0, 0),
+            relative_run_times: (0.0, 0),
             idle_since: now,
             return_sent: None,
-            direct_at: 0,
+            last_direct_order_at: 0,
             has_pending_orders: false,
             permit: None,
         }
@@ -160,19 +160,19 @@
         delegated_until: impl Fn() -> Option<u64>,
     ) -> bool {
         let answered_long_ago = |at: u64| now > at + expiry_ms;
-        self.token_seen
+        self.fencing_token_seen
             && self.last_answer.is_some_and(answered_long_ago)
             && delegated_until().is_none_or(answered_long_ago)
     }
 
     /// Whether an owner may go on answering for it: nothing was decided for it, and it is calm.
     pub fn stays_steady(&self) -> bool {
-        !self.has_pending_orders && self.is_calm()
+        !self.has_pending_orders && self.is_unchanging()
     }
 
     /// Whether it is to stay as it is, as far as the machine itself is concerned.
-    pub fn is_calm(&self) -> bool {
-        !self.stops
+    pub fn is_unchanging(&self) -> bool {
+        !self.has_stopping_tasks
             && !self.returning
             && !self.failed
             && self.draining.is_none()
@@ -196,7 +196,7 @@
 
     /// Whether its tasks take much longer than those of the same jobs elsewhere.
     pub fn is_slow(&self) -> bool {
-        let (sum, count) = self.pace;
+        let (sum, count) = self.relative_run_times;
         count >= PACE_SAMPLES_MIN && sum / f64::from(count) > constants::SLOW_FACTOR
     }
 }
--- a/crates/control/src/leader/model/mod.rs
+++ b/crates/control/src/leader/model/mod.rs
@@ -10,7 +10,7 @@
 mod task_chunk;
 
 pub(crate) use assignment::{Assignment, AssignmentStage, Stop};
-pub(crate) use boot_times::Boots;
+pub(crate) use boot_times::BootTimes;
 pub(crate) use job::{DownstreamDemand, Job};
 pub(crate) use machine::{Machine, OwnerPermit};
 pub(crate) use record_cell::RecordCell;
--- a/crates/control/src/leader/pages.rs
+++ b/crates/control/src/leader/pages.rs
@@ -43,7 +43,7 @@
 
 impl Leader {
     /// Writes parts in the dense layout from now on.
-    pub(super) fn go_dense(&mut self) {
+    pub(super) fn switch_to_dense_layout(&mut self) {
         if self.dense {
             return;
         }
@@ -99,7 +99,7 @@
     }
 
     /// Gives the open jobs the newest copies of their parts once all pages have been read.
-    pub(super) fn settle_copies(&mut self) {
+    pub(super) fn apply_page_copies(&mut self) {
         let copies = std::mem::take(&mut self.copies);
         // Whoever wrote small parts knew that no node is left that can't read them.
         self.dense |= copies.has_small_parts();
@@ -167,7 +167,7 @@
     }
 
     /// Removes the parts of a finished job from their pages. Copies that are still recorded there are ignored.
-    pub(super) fn leave_pages(&mut self, id: &str, job: &Job) {
+    pub(super) fn remove_from_pages(&mut self, id: &str, job: &Job) {
         for (part, chunk) in &job.chunks {
             let page = chunk.home.and_then(|home| self.pages.get_mut(&home));
             if let Some(page) = page {
--- a/crates/control/src/leader/pages/limits.rs
+++ b/crates/control/src/leader/pages/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::leader::Leader;
 use crate::settings::Limits;
-use constants::{CARRIED_PART, PAGE_BYTES, SMALL_FILL};
+use constants::{DENSE_PAGE_FILL, PAGE_BYTES, REWRITTEN_PART};
 use wire::state::{Txn, Write};
 
 /// Compares that the state service allows for each write that a transaction may have.
@@ -50,7 +50,7 @@
     pub(super) fn page_bytes(&self) -> usize {
         let value_bytes = self.limits().value_bytes;
         if self.dense {
-            ((value_bytes as f64 * SMALL_FILL) as usize).min(PAGE_BYTES)
+            ((value_bytes as f64 * DENSE_PAGE_FILL) as usize).min(PAGE_BYTES)
         } else {
             value_bytes / WIDE_LAYOUT_SHARE
         }
@@ -59,7 +59,7 @@
     /// Bytes that a page may already have for new parts to be added to it.
     pub(super) fn max_rewritten_bytes(&self) -> usize {
         if self.dense {
-            self.page_bytes() / CARRIED_PART
+            self.page_bytes() / REWRITTEN_PART
         } else {
             self.page_bytes() / WIDE_LAYOUT_SHARE
         }
--- a/crates/control/src/leader/planning.rs
+++ b/crates/control/src/leader/planning.rs
@@ -56,7 +56,7 @@
 
 impl Leader {
     /// One round of decisions, carried out.
-    pub(super) fn plan(&mut self, effects: &mut Effects) {
+    pub(super) fn run_round(&mut self, effects: &mut Effects) {
         let now = effects.now;
         let started = (self.stopwatch)();
         self.plan_due = false;
--- a/crates/control/src/leader/planning/estimates.rs
+++ b/crates/control/src/leader/planning/estimates.rs
@@ -4,7 +4,7 @@
 use crate::leader::model::Job;
 use crate::leader::Leader;
 use crate::settings::Objective;
-use constants::{HOPELESS_S, LONGEST_TASK, START_LAG_S};
+use constants::{LONGEST_TASK, MISSED_OBJECTIVE_DELAY_S, START_LAG_S};
 use sched::pilots_of;
 
 /// Seconds that a job is expected to take at most, so that a service's time can be added to a time of day.
@@ -83,7 +83,7 @@
         starts.sort_unstable();
         let last = (*starts.last()?).max(job.ready_at);
         let next = starts.iter().copied().find(|start| *start >= now.unix);
-        Some(next.unwrap_or(seconds_after(last, HOPELESS_S)))
+        Some(next.unwrap_or(seconds_after(last, MISSED_OBJECTIVE_DELAY_S)))
     }
 
     /// Moments (time of day, ms) by which a job must have ended: its own deadline, the last moment that an objective
--- a/crates/control/src/leader/planning/job_snapshots.rs
+++ b/crates/control/src/leader/planning/job_snapshots.rs
@@ -4,7 +4,7 @@
 use super::snapshot::SnapshotBuilder;
 use super::waiting_tasks::unassigned_tasks;
 use crate::leader::model::{Assignment, AssignmentStage, Job};
-use constants::{AGED_S, CLAIM_PAUSE_S, CLAIM_S, URGENT_S};
+use constants::{AGED_S, QUOTA_RESERVATION_PAUSE_S, QUOTA_RESERVATION_S, URGENT_S};
 use sched::{pilots_of, queue_of, JobSnapshot, Resources, RunningTask, TeamSnapshot, UNKNOWN_ZONE};
 
 /// Share of its estimate that a task is expected to go on for at least: one that has outrun it may run on for a while.
@@ -63,7 +63,7 @@
                 job,
                 number: self.jobs.len(),
                 team: self.team_number(&job.spec.team),
-                task: job.res(),
+                task: job.task_resources(),
                 estimate: self.leader.task_estimate(job),
             };
             self.jobs.push(id.clone());
@@ -181,7 +181,7 @@
             has_objective: latest_start.is_some(),
             running: job.assigned,
             reserved_machines: self.numbers_of(job.reserved_machines.iter()),
-            backed_off: job.is_resting(self.now.unix),
+            backed_off: job.is_backed_off(self.now.unix),
             may_claim_limit: may_claim_limit(self.now.unix),
             urgent: self.is_urgent(job, latest_start),
             avoid: self.avoided_machines(job),
@@ -265,7 +265,7 @@
 /// team gets its turn.
 fn may_claim_limit(now_unix: u64) -> bool {
     let now_s = now_unix / 1000;
-    now_s % (CLAIM_S + CLAIM_PAUSE_S) < CLAIM_S
+    now_s % (QUOTA_RESERVATION_S + QUOTA_RESERVATION_PAUSE_S) < QUOTA_RESERVATION_S
 }
 
 /// Whether a task may be preempted: its worker has reported it, it is not part of a gang, and enough of it is left.
--- a/crates/control/src/leader/planning/snapshot.rs
+++ b/crates/control/src/leader/planning/snapshot.rs
@@ -3,7 +3,7 @@
 use super::numbering::Numbering;
 use crate::effects::Now;
 use crate::leader::machine_health::MachineHealth;
-use crate::leader::model::{Boots, Machine};
+use crate::leader::model::{BootTimes, Machine};
 use crate::leader::Leader;
 use constants::{BOOT_OVERDUE, TASKS_PER_MACHINE};
 use sched::{ClusterSnapshot, MachineSnapshot, Policy, ResourceBounds, Resources, TeamSnapshot};
@@ -79,7 +79,7 @@
     fn is_usable(&self, machine: &Machine, health: MachineHealth, now: u64) -> bool {
         let silent_ms = self.silent_ms();
         machine.known
-            && machine.synced
+            && machine.is_reconciled
             && machine.draining.is_none()
             && machine.unreachable_since.is_none()
             && machine.notice_at.is_none()
@@ -87,14 +87,14 @@
             && !machine.returning
             && health != MachineHealth::Faulty
             && self
-                .heard_at(machine, now)
+                .last_heartbeat_at(machine, now)
                 .is_some_and(|at| now <= at + silent_ms)
     }
 
     /// Seconds until a start can be sent to a machine: at once where a report waits for its answer, else with the
     /// answer to its next report.
     fn dispatch_delay_s(&self, machine: &Machine, now: u64) -> f64 {
-        if machine.held {
+        if machine.has_deferred_answer {
             return 0.0;
         }
         let report_s = self.settings.deployment.workers.report_s;
@@ -105,9 +105,10 @@
 
     /// Seconds until a booting machine is expected to be up; nothing if it is not booting, or takes longer than usual.
     fn ready_in_s(&self, machine: &Machine, boot_s: f64, now: u64) -> Option<f64> {
-        let age_s = now.saturating_sub(machine.first_known) as f64 / 1000.0;
-        let booting = machine.expected && !machine.synced && !machine.failed && !machine.returning;
-        let seen_late_s = self.boots.get(&machine.kind).and_then(Boots::late_s);
+        let age_s = now.saturating_sub(machine.known_since) as f64 / 1000.0;
+        let booting =
+            machine.expected && !machine.is_reconciled && !machine.failed && !machine.returning;
+        let seen_late_s = self.boots.get(&machine.kind).and_then(BootTimes::late_s);
         let late_s = seen_late_s.unwrap_or(boot_s * BOOT_OVERDUE);
         let on_time = booting && machine.assignments.is_empty() && age_s < late_s;
         on_time.then(|| (boot_s - age_s).max(0.0))
--- a/crates/control/src/leader/releases.rs
+++ b/crates/control/src/leader/releases.rs
@@ -12,7 +12,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(assignment) = job.vacate(task) else {
+        let Some(assignment) = job.unassign(task) else {
             return;
         };
         let has_run = job.started || is_running(&assignment);
@@ -36,7 +36,7 @@
         machine.assignments.remove(&(id.to_string(), task));
         if machine.assignments.is_empty() {
             machine.idle_since = now.mono;
-            machine.stops = false;
+            machine.has_stopping_tasks = false;
         }
     }
 
--- a/crates/control/src/leader/rental.rs
+++ b/crates/control/src/leader/rental.rs
@@ -18,7 +18,7 @@
     /// When this leader made it, or read its record.
     pub since: u64,
     /// When the cloud named its machines. The record is kept until the cloud's list certainly shows them.
-    pub got_at: Option<u64>,
+    pub granted_at: Option<u64>,
 }
 
 impl Rental {
@@ -29,7 +29,7 @@
             sent: false,
             retry_at: 0,
             since: now,
-            got_at: None,
+            granted_at: None,
         }
     }
 }
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -211,9 +211,9 @@
             return;
         };
         if !self.dense && self.fits_only_today(&transaction.txn) {
-            let event = NodeEvent::Proven("a size that only new limits refuse");
+            let event = NodeEvent::UpgradeEvidence("a size that only new limits refuse");
             effects.events.push(event);
-            self.go_dense();
+            self.switch_to_dense_layout();
         } else {
             // Nothing that is written should ever be invalid; if it is, other work must go on meanwhile.
             log::error!("event=txn_invalid reply={reply:?}");
--- a/crates/control/src/leader/store/conflicts.rs
+++ b/crates/control/src/leader/store/conflicts.rs
@@ -129,7 +129,7 @@
             return;
         };
         match item.value.deserialized::<JobRecord>() {
-            Ok(record) => self.learn_job(id, record, item.version, effects),
+            Ok(record) => self.update_from_job_record(id, record, item.version, effects),
             Err(_) => log::error!("event=record_unreadable key={}", job_key(id)),
         }
     }
--- a/crates/control/src/leader/store/saved.rs
+++ b/crates/control/src/leader/store/saved.rs
@@ -73,7 +73,7 @@
             job.spec.class
         );
         self.remove_from_machines(id, &job);
-        self.leave_pages(id, &job);
+        self.remove_from_pages(id, &job);
         if outcome == Final::Aborted {
             self.forget_failures(id, &job);
         }
@@ -81,8 +81,8 @@
         for dependency in &job.needs {
             self.remove_dependent(dependency, id);
         }
-        self.over(id, outcome, effects.now);
-        let event = NodeEvent::JobOver(id.to_string(), outcome);
+        self.on_job_archived(id, outcome, effects.now);
+        let event = NodeEvent::JobEnded(id.to_string(), outcome);
         effects.events.push(event);
         self.cancellation_notices.remove(id);
         self.archived.insert(id.to_string(), outcome);
@@ -97,7 +97,7 @@
     }
 
     /// How a job ended that was archived in this term. The watch may still report a change of it.
-    pub(in crate::leader) fn archived_as(&self, id: &str) -> Option<Final> {
+    pub(in crate::leader) fn archived_outcome(&self, id: &str) -> Option<Final> {
         self.archived.get(id).copied()
     }
 }
--- a/crates/control/src/leader/store/write_queue.rs
+++ b/crates/control/src/leader/store/write_queue.rs
@@ -14,7 +14,7 @@
     pub(in crate::leader) fn queue_write(&mut self, record: RecordId) {
         self.deferred_writes.remove(&record);
         // The end of a job that others wait for goes first.
-        let is_urgent = matches!(&record, RecordId::Job(id) if self.is_awaited_end(id));
+        let is_urgent = matches!(&record, RecordId::Job(id) if self.is_awaited_by_dependents(id));
         let is_new = self.unsaved.insert(record.clone());
         match (is_urgent, is_new) {
             (true, true) => self.write_queue.push_front(record),
--- a/crates/control/src/leader/watch.rs
+++ b/crates/control/src/leader/watch.rs
@@ -26,10 +26,10 @@
 
 impl Leader {
     /// Handles machines that are silent, under notice, faulty or gone, and gangs that can't go on.
-    pub(super) fn watch_machines(&mut self, active: bool, effects: &mut Effects) {
+    pub(super) fn check_machines_and_gangs(&mut self, active: bool, effects: &mut Effects) {
         let now = effects.now;
         for dead in self.find_dead_machines(now.mono) {
-            self.free_machine(&dead.name, dead.why, now);
+            self.release_machine(&dead.name, dead.why, now);
         }
         self.drain_noticed_machines(now);
         self.stop_broken_gangs(now);
@@ -61,7 +61,7 @@
     }
 
     /// Releases everything on a machine on which certainly nothing runs.
-    pub(super) fn free_machine(&mut self, name: &str, why: &str, now: Now) {
+    pub(super) fn release_machine(&mut self, name: &str, why: &str, now: Now) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
--- a/crates/control/src/leader/watch/direct_orders.rs
+++ b/crates/control/src/leader/watch/direct_orders.rs
@@ -5,7 +5,7 @@
 use crate::leader::model::{Assignment, AssignmentStage, Job, Machine, Stop};
 use crate::leader::worker_heartbeats::{stop_order, task_name, PREEMPTED};
 use crate::leader::Leader;
-use constants::{KILL_REPEAT_MS, ORDERS_PER_ANSWER, ORDERS_TIMEOUT_MS};
+use constants::{DIRECT_STOP_REPEAT_MS, ORDERS_PER_ANSWER, ORDERS_TIMEOUT_MS};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::workers::{DirectOrders, Order};
 
@@ -28,7 +28,7 @@
         if self.assignment.stage == AssignmentStage::Ready {
             return false;
         }
-        let is_recent = now < self.stop.since + KILL_REPEAT_MS;
+        let is_recent = now < self.stop.since + DIRECT_STOP_REPEAT_MS;
         let is_in_gang = self.job.is_gang() && self.job.tasks() > 1;
         // Another job waits for the room of a preempted task.
         let is_preempted = self.stop.why == PREEMPTED;
@@ -55,31 +55,35 @@
     pub(super) fn send_direct_orders(&mut self, active: bool, effects: &mut Effects) {
         let now = effects.now.mono;
         let overdue_ms = (self.settings.deployment.workers.report_s * OVERDUE_MS_PER_S) as u64;
-        for machine in self.machines.values_mut().filter(|machine| machine.stops) {
+        for machine in self
+            .machines
+            .values_mut()
+            .filter(|machine| machine.has_stopping_tasks)
+        {
             let Some(addr) = &machine.addr else {
                 continue;
             };
-            if now <= machine.direct_at + KILL_REPEAT_MS {
+            if now <= machine.last_direct_order_at + DIRECT_STOP_REPEAT_MS {
                 continue;
             }
             let is_overdue = is_heartbeat_overdue(machine, overdue_ms, now);
             let stopping = stopping_tasks(&self.jobs, &machine.assignments);
-            machine.stops = !stopping.is_empty();
+            machine.has_stopping_tasks = !stopping.is_empty();
             let urgent = stopping
                 .iter()
                 .filter(|task| task.is_urgent(active, is_overdue, now));
             let mut orders: Vec<Order> = urgent.map(StoppingTask::order).collect();
-            if orders.is_empty() || !self.kill_budget.take(now, 1.0) {
+            if orders.is_empty() || !self.direct_order_budget.take(now, 1.0) {
                 continue;
             }
             orders.truncate(ORDERS_PER_ANSWER);
-            machine.direct_at = now;
+            machine.last_direct_order_at = now;
             let body = wire::encode(&DirectOrders {
                 term: self.term,
                 incarnation: machine.incarnation,
                 orders,
             });
-            effects.direct.push((addr.clone(), body));
+            effects.worker_messages.push((addr.clone(), body));
         }
     }
 }
--- a/crates/control/src/leader/watch/gangs.rs
+++ b/crates/control/src/leader/watch/gangs.rs
@@ -37,7 +37,7 @@
         .find_map(|(_, assignment)| assignment.stop);
     // An image fetch that takes longer than the other tasks wait must run to its end. If it were given up, it would
     // begin anew with every attempt, and the gang would never start.
-    if job.alone && stop.is_none() && is_fetching(job) {
+    if job.gathering_timed_out && stop.is_none() && is_fetching(job) {
         return None;
     }
     if job.broken {
--- a/crates/control/src/leader/worker_heartbeats.rs
+++ b/crates/control/src/leader/worker_heartbeats.rs
@@ -24,7 +24,7 @@
 use wire::workers::{HeartbeatResponse, Order, WorkerHeartbeat};
 
 /// What to do with a worker's heartbeat.
-pub(crate) enum ReportOutcome {
+pub(crate) enum HeartbeatOutcome {
     /// Answer with these orders.
     Answer(HeartbeatResponse),
     /// Answer later, when [`Leader::answer_deferred`] returns the response.
@@ -40,9 +40,9 @@
         heartbeat: WorkerHeartbeat,
         active: bool,
         now: Now,
-    ) -> ReportOutcome {
+    ) -> HeartbeatOutcome {
         if heartbeat.term > self.term {
-            return ReportOutcome::NewerTerm(heartbeat.term);
+            return HeartbeatOutcome::NewerTerm(heartbeat.term);
         }
         if self.departed.contains_key(&heartbeat.machine) {
             // Sent before the machine was given back: it changes nothing.
@@ -77,9 +77,9 @@
     }
 
     /// An immediate answer to a heartbeat.
-    fn answer_heartbeat(&self, orders: Vec<Order>) -> ReportOutcome {
+    fn answer_heartbeat(&self, orders: Vec<Order>) -> HeartbeatOutcome {
         let term = self.term;
-        ReportOutcome::Answer(HeartbeatResponse { term, orders })
+        HeartbeatOutcome::Answer(HeartbeatResponse { term, orders })
     }
 
     /// Updates a machine by what a heartbeat with our term says of the machine itself.
@@ -100,8 +100,8 @@
         }
         machine.last_heartbeat = Some(now);
         machine.notice_at = heartbeat.notice_s.map(|s| now + milliseconds(s.max(0.0)));
-        machine.token_seen = true;
-        machine.held = false;
+        machine.fencing_token_seen = true;
+        machine.has_deferred_answer = false;
     }
 }
 
--- a/crates/control/src/leader/worker_heartbeats/deferral.rs
+++ b/crates/control/src/leader/worker_heartbeats/deferral.rs
@@ -2,11 +2,11 @@
 //!
 //! Without this, freed room would stay idle until the worker's next heartbeat.
 
-use super::{find_machine_type, milliseconds, ReportOutcome};
+use super::{find_machine_type, milliseconds, HeartbeatOutcome};
 use crate::effects::Now;
 use crate::leader::model::{AssignmentStage, Machine};
 use crate::leader::Leader;
-use constants::{HOLD_LEASE_SHARE, IDLE_HOLD_MS, SETTLE_MS};
+use constants::{DECISION_WAIT_MS, WORK_WAIT_LEASE_SHARE, WORK_WAIT_MS};
 use wire::workers::{HeartbeatResponse, TaskStatus, WorkerHeartbeat};
 
 /// A heartbeat whose answer waits for a decision.
@@ -48,16 +48,16 @@
         has_freed_room: bool,
         active: bool,
         now: Now,
-    ) -> ReportOutcome {
+    ) -> HeartbeatOutcome {
         let name = heartbeat.machine.clone();
         let deferred = self.defer_answer(heartbeat, has_freed_room, active, now.mono);
         if let Some(response) = self.answer_deferred(&deferred, active, now) {
-            return ReportOutcome::Answer(response);
+            return HeartbeatOutcome::Answer(response);
         }
         if let Some(machine) = self.machines.get_mut(&name) {
-            machine.held = true;
+            machine.has_deferred_answer = true;
         }
-        ReportOutcome::Defer(deferred)
+        HeartbeatOutcome::Defer(deferred)
     }
 
     fn defer_answer(
@@ -71,7 +71,7 @@
             true => self.work_wait_ms(heartbeat.tasks.is_empty()),
             false => 0,
         };
-        let decision_wait_ms = if active { SETTLE_MS } else { 0 };
+        let decision_wait_ms = if active { DECISION_WAIT_MS } else { 0 };
         DeferredAnswer {
             numbers: (heartbeat.incarnation, heartbeat.seq),
             freed_in_round: has_freed_room.then_some(self.rounds),
@@ -88,9 +88,9 @@
         let workers = &self.settings.deployment.workers;
         let limit_ms = match is_idle {
             true => milliseconds(workers.report_s),
-            false => (workers.lease_s * 1000.0 * HOLD_LEASE_SHARE) as u64,
+            false => (workers.lease_s * 1000.0 * WORK_WAIT_LEASE_SHARE) as u64,
         };
-        IDLE_HOLD_MS.min(limit_ms)
+        WORK_WAIT_MS.min(limit_ms)
     }
 
     /// Whether a machine has room for what its type is rented for: one GPU, or else one CPU.
@@ -134,7 +134,7 @@
             return None;
         }
         if let Some(machine) = self.machines.get_mut(&deferred.machine) {
-            machine.held = false;
+            machine.has_deferred_answer = false;
         }
         let orders = self.orders_for(&deferred.machine, &deferred.tasks, active, now);
         Some(HeartbeatResponse { term, orders })
--- a/crates/control/src/leader/worker_heartbeats/orders.rs
+++ b/crates/control/src/leader/worker_heartbeats/orders.rs
@@ -135,7 +135,7 @@
         let machine = assignment.machine.clone();
         log::info!("event=stop task={id}/{task} machine={machine} grace_s={grace_s} why={why:?}");
         if let Some(machine) = self.machines.get_mut(&machine) {
-            machine.stops = true;
+            machine.has_stopping_tasks = true;
         }
         self.note_pending_orders(machine);
         self.plan_due = true;
--- a/crates/control/src/leader/worker_heartbeats/reachability.rs
+++ b/crates/control/src/leader/worker_heartbeats/reachability.rs
@@ -57,7 +57,7 @@
 /// (`is_early`), that answer did not reach the worker. This may happen once to any machine, when heartbeats delayed by
 /// a network cut are answered late.
 fn on_new_incarnation(machine: &mut Machine, is_early: bool, now: u64) {
-    if machine.token_seen {
+    if machine.fencing_token_seen {
         machine.early_expiries = if is_early {
             machine.early_expiries + 1
         } else {
--- a/crates/control/src/leader/worker_heartbeats/reconciliation.rs
+++ b/crates/control/src/leader/worker_heartbeats/reconciliation.rs
@@ -44,12 +44,12 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        if machine.synced {
+        if machine.is_reconciled {
             return;
         }
-        machine.synced = true;
+        machine.is_reconciled = true;
         self.plan_due = true;
-        let boot_s = now.saturating_sub(machine.first_known) as f64 / 1000.0;
+        let boot_s = now.saturating_sub(machine.known_since) as f64 / 1000.0;
         let machine_type = find_machine_type(&self.types.desired, &machine.kind);
         // Boots that take several times as long teach nothing about the usual ones.
         let is_usual =
--- a/crates/control/src/leader/worker_heartbeats/task_state.rs
+++ b/crates/control/src/leader/worker_heartbeats/task_state.rs
@@ -183,8 +183,8 @@
         };
         machine.failed_jobs.clear();
         if let Some(ran_s) = ran_s.filter(|_| timed > 0 && mean_s > 0.0) {
-            machine.pace.0 += ran_s / mean_s;
-            machine.pace.1 += 1;
+            machine.relative_run_times.0 += ran_s / mean_s;
+            machine.relative_run_times.1 += 1;
         }
     }
 
@@ -215,7 +215,7 @@
         let Some(job) = self.jobs.get_mut(ended.job).filter(|job| job.is_gang()) else {
             return;
         };
-        job.alone |= ended.cause == Cause::Alone && !job.started;
+        job.gathering_timed_out |= ended.cause == Cause::Alone && !job.started;
         job.broken |= job.started || ended.cause != Cause::NoRoom;
     }
 }
--- a/crates/control/src/leader/worker_silence.rs
+++ b/crates/control/src/leader/worker_silence.rs
@@ -24,8 +24,8 @@
             return self.is_ready() && now > self.ready_at + 2 * silent_ms;
         }
         let is_silent = |machine: &Machine| {
-            let heard_at = self.heard_at(machine, now);
-            heard_at.is_none_or(|at| now > at + silent_ms)
+            let last_heartbeat_at = self.last_heartbeat_at(machine, now);
+            last_heartbeat_at.is_none_or(|at| now > at + silent_ms)
         };
         // Asked at every turn, so the first worker that is heard ends the search.
         machines.all(is_silent)
@@ -51,7 +51,7 @@
     fn reporting_machines(&self) -> impl Iterator<Item = &Machine> {
         self.machines
             .values()
-            .filter(|machine| machine.synced && !machine.failed)
+            .filter(|machine| machine.is_reconciled && !machine.failed)
     }
 
     fn worker_silence_ms(&self) -> u64 {
--- a/crates/control/src/leadership_watch.rs
+++ b/crates/control/src/leadership_watch.rs
@@ -5,7 +5,8 @@
 use crate::peers::Peers;
 use crate::state::StateClient;
 use constants::{
-    LEADER_LEASE_MS, PROBE_MS, STATE_DOWN_MS, UNSURE_EVERY_MS, UNTOLD_MS, WITHOUT_WORKERS_MS,
+    LEADER_LEASE_MS, PROBE_MS, RESIGN_WITHOUT_PEER_NOTICE_MS, STATE_DOWN_MS,
+    UNCERTAIN_RESIGN_INTERVAL_MS, WITHOUT_WORKERS_MS,
 };
 
 /// Why a leader resigns.
@@ -126,7 +127,8 @@
         // Workers that move from one node to the next reach a peer only now and then.
         let may_peer_lead = workers_reach_peer && cut_off_ms > WITHOUT_WORKERS_MS;
         // The peer that workers reach may be the one that can't tell this node.
-        let is_no_peer_known = none_reports && leader.knows_machines() && cut_off_ms > UNTOLD_MS;
+        let is_no_peer_known =
+            none_reports && leader.knows_machines() && cut_off_ms > RESIGN_WITHOUT_PEER_NOTICE_MS;
         self.may_resign_unsure(may_peer_lead || is_no_peer_known, now)
             .then_some(ResignReason::NoWorkerFollows)
     }
@@ -137,7 +139,7 @@
         let may_resign = is_wanted && now >= self.next_unsure;
         if may_resign {
             self.cut_off.reset();
-            self.next_unsure = now + UNSURE_EVERY_MS;
+            self.next_unsure = now + UNCERTAIN_RESIGN_INTERVAL_MS;
         }
         may_resign
     }
--- a/crates/control/src/machine_types.rs
+++ b/crates/control/src/machine_types.rs
@@ -44,7 +44,7 @@
             return;
         };
         if let Ok(types) = item.value.deserialized() {
-            effects.events.push(NodeEvent::Types(types));
+            effects.events.push(NodeEvent::MachineTypesRead(types));
         }
     }
 }
--- a/crates/control/src/node/answering_rights.rs
+++ b/crates/control/src/node/answering_rights.rs
@@ -1,7 +1,7 @@
 //! What this node may decide, and whom it may answer, by its lease and by what it knows of cancellations.
 
 use super::Node;
-use constants::{CUT_OFF_MS, INFORMED_MS};
+use constants::{CANCELLATIONS_KNOWN_MS, CUT_OFF_MS};
 
 impl Node {
     /// Whether neither the state service nor a peer, through which users could be served, has been reached
@@ -27,7 +27,7 @@
     /// they confirm. A successful reply of the state service to any other request proves nothing.
     pub(super) fn informed_until(&self) -> Option<u64> {
         let read_until = self.leader.as_ref()?.informed_until()?;
-        Some(self.peers.aborts_known_until(read_until))
+        Some(self.peers.cancellations_known_until(read_until))
     }
 
     /// Whether the leader may make decisions and start tasks: its lease holds, and every cancellation is
@@ -35,7 +35,7 @@
     pub(super) fn active(&self, now: u64) -> bool {
         self.planned_stop.is_none()
             && self.election.lease_holds(now)
-            && self.is_informed_within(INFORMED_MS, now)
+            && self.is_informed_within(CANCELLATIONS_KNOWN_MS, now)
     }
 
     /// Whether the leader may answer workers, that is renew their leases.
--- a/crates/control/src/node/delivery.rs
+++ b/crates/control/src/node/delivery.rs
@@ -15,10 +15,10 @@
                 continue;
             }
             if mem::take(&mut pending_due) {
-                self.handle_pending_reports(&mut effects);
+                self.handle_pending_heartbeats(&mut effects);
             }
             self.release_deferred_answers(&mut effects);
-            if effects.out.is_empty() {
+            if effects.outputs.is_empty() {
                 return;
             }
         }
@@ -33,9 +33,11 @@
         for (op, tag) in mem::take(&mut effects.cloud) {
             self.cloud.push(op, tag);
         }
-        for (address, body) in mem::take(&mut effects.direct) {
+        for (address, body) in mem::take(&mut effects.worker_messages) {
             self.last_call += 1;
-            effects.out.push(direct_call(self.last_call, address, body));
+            effects
+                .outputs
+                .push(direct_call(self.last_call, address, body));
         }
         for event in mem::take(&mut effects.events) {
             self.on_event(event, effects);
@@ -46,7 +48,7 @@
         for (tag, reply) in expired {
             self.on_state_reply(tag, reply, effects);
         }
-        for output in mem::take(&mut effects.out) {
+        for output in mem::take(&mut effects.outputs) {
             self.out.extend(self.forwarded.route(output));
         }
     }
--- a/crates/control/src/node/dispatch.rs
+++ b/crates/control/src/node/dispatch.rs
@@ -117,7 +117,9 @@
         match tag {
             StateTag::Election(step) => self.election.on_reply(step, reply, effects),
             StateTag::User(number) => self.gateway.on_reply(number, reply, effects),
-            StateTag::Proof(number) => self.gateway.on_proof(number, reply, effects),
+            StateTag::ReadValidation(number) => {
+                self.gateway.on_read_validation(number, reply, effects)
+            }
             StateTag::UnknownIds(number) => self.gateway.on_unknown_ids(number, reply, effects),
             StateTag::Rollout(request) => self.rollout.on_reply(request, reply, effects),
             StateTag::Partitions(term, number) => {
--- a/crates/control/src/node/events.rs
+++ b/crates/control/src/node/events.rs
@@ -11,12 +11,12 @@
         match event {
             NodeEvent::Elected { term, version } => self.on_elected(term, version, effects),
             NodeEvent::SteppedDown(reason) => self.on_stepped_down(reason, effects),
-            NodeEvent::Aborted(job) => self.on_cancellation(job, effects),
-            NodeEvent::JobOver(job, end) => self.heartbeat.on_job_ended(job, end),
-            NodeEvent::Proven(reason) => self.rollout.proven(reason, effects),
+            NodeEvent::JobCancelled(job) => self.on_cancellation(job, effects),
+            NodeEvent::JobEnded(job, end) => self.heartbeat.on_job_ended(job, end),
+            NodeEvent::UpgradeEvidence(reason) => self.rollout.proven(reason, effects),
             NodeEvent::LevelChanged => self.rollout.read_anew(effects.now.mono),
             NodeEvent::Upgraded => self.on_upgraded(effects),
-            NodeEvent::Types(_) => {}
+            NodeEvent::MachineTypesRead(_) => {}
         }
     }
 
@@ -66,7 +66,7 @@
     /// From now on the future limits of the state service may hold at any time.
     fn on_upgraded(&mut self, effects: &mut Effects) {
         let least = self.settings.deployment.state.least();
-        self.state.hold_to(least.rps, least.write_rps);
+        self.state.set_rates(least.rps, least.write_rps);
         if let Some(leader) = self.leader.as_mut() {
             leader.upgraded(effects);
         }
--- a/crates/control/src/node/http_routing.rs
+++ b/crates/control/src/node/http_routing.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::effects::{Effects, RequestId};
-use crate::forwarding::{ForwardedRequests, HttpRequest, REPORT_PATH};
+use crate::forwarding::{ForwardedRequests, HttpRequest, HEARTBEAT_PATH};
 
 /// Path of the load balancer's readiness check.
 const READY_PATH: &str = "/ready";
@@ -30,8 +30,8 @@
         let path = request.target.split('?').next().unwrap_or_default();
         match (request.method, path) {
             ("GET", READY_PATH) => self.on_readiness_check(id, effects),
-            ("POST", REPORT_PATH) => self.on_worker_heartbeat(id, request.body, effects),
-            (_, READY_PATH | REPORT_PATH) => {
+            ("POST", HEARTBEAT_PATH) => self.on_worker_heartbeat(id, request.body, effects),
+            (_, READY_PATH | HEARTBEAT_PATH) => {
                 effects.refuse(id, METHOD_NOT_ALLOWED, "method not allowed");
             }
             _ if !self.takes_requests() => effects.refuse(id, SERVICE_UNAVAILABLE, NOT_SERVING),
--- a/crates/control/src/node/peer_messages.rs
+++ b/crates/control/src/node/peer_messages.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::effects::Effects;
 use crate::forwarding::HttpRequest;
-use crate::peers::PeerState;
+use crate::peers::PeerHeartbeat;
 use wire::peers::{JobUpdate, PeerMessage};
 use wire::records::Final;
 
@@ -21,7 +21,7 @@
                 aborts,
                 ..
             } => {
-                let state = PeerState {
+                let state = PeerHeartbeat {
                     at: effects.now.mono,
                     state_ago_ms,
                     worker_ago_ms,
@@ -63,7 +63,7 @@
         &mut self,
         from: &str,
         term: u64,
-        state: PeerState,
+        state: PeerHeartbeat,
         effects: &mut Effects,
     ) {
         let boot = state.boot;
@@ -84,7 +84,7 @@
     /// The leader of `term` tells of its open jobs. What a former leader tells is outdated.
     fn on_open_jobs(&mut self, term: u64, jobs: &[JobUpdate]) {
         if term >= self.election.highest_term() && self.leader.is_none() {
-            self.gateway.hear(jobs);
+            self.gateway.on_job_updates(jobs);
         }
     }
 
--- a/crates/control/src/node/worker_heartbeats.rs
+++ b/crates/control/src/node/worker_heartbeats.rs
@@ -3,8 +3,8 @@
 
 use super::Node;
 use crate::effects::{Effects, RequestId};
-use crate::forwarding::{ForwardedRequests, HttpRequest, REPORT_PATH};
-use crate::leader::{AnsweredHeartbeat, ReportOutcome};
+use crate::forwarding::{ForwardedRequests, HttpRequest, HEARTBEAT_PATH};
+use crate::leader::{AnsweredHeartbeat, HeartbeatOutcome};
 use crate::pending_heartbeats::LeaderStatus;
 use constants::{PEER_HEARTBEAT_MS, REPORT_DROP_MS};
 use partitions::Decision;
@@ -157,19 +157,19 @@
         };
         let answered = AnsweredHeartbeat::new(&heartbeat);
         match leader.on_worker_heartbeat(heartbeat, active, now) {
-            ReportOutcome::Answer(response) => {
+            HeartbeatOutcome::Answer(response) => {
                 if response.orders.is_empty() {
                     self.delegate_machine(id, &answered, now.mono);
                 }
                 effects.respond(id, 200, wire::encode(&response));
             }
-            ReportOutcome::Defer(mut deferred) => {
+            HeartbeatOutcome::Defer(mut deferred) => {
                 if self.is_crowded {
                     deferred.stop_waiting_for_work();
                 }
                 self.deferred_answers.push(id, deferred);
             }
-            ReportOutcome::NewerTerm(term) => {
+            HeartbeatOutcome::NewerTerm(term) => {
                 self.election.heard_term(term, effects);
                 effects.refuse(id, 503, "a newer leader exists");
             }
@@ -227,7 +227,7 @@
     }
 
     /// Handles heartbeats that were received while no leader was known, or before this one had read its records.
-    pub(super) fn handle_pending_reports(&mut self, effects: &mut Effects) {
+    pub(super) fn handle_pending_heartbeats(&mut self, effects: &mut Effects) {
         if self.pending_heartbeats.is_empty() {
             return;
         }
@@ -252,7 +252,7 @@
     HttpRequest {
         id,
         method: "POST",
-        target: REPORT_PATH,
+        target: HEARTBEAT_PATH,
         body,
     }
 }
--- a/crates/control/src/partitions/leading/grants.rs
+++ b/crates/control/src/partitions/leading/grants.rs
@@ -75,7 +75,7 @@
     ) -> Option<String> {
         let partition = partition_of(&report.machine);
         let owner = leader
-            .holder_at(partition, now + REDIRECT_GRANT_MS)?
+            .grant_holder_at(partition, now + REDIRECT_GRANT_MS)?
             .to_string();
         let heard = self.owners.get(&owner)?;
         let is_fresh = now < heard.at + PEER_FRESH_MS;
--- a/crates/control/src/partitions/leading/permits.rs
+++ b/crates/control/src/partitions/leading/permits.rs
@@ -17,7 +17,7 @@
         now: u64,
     ) {
         self.redirects.reached(report.machine(), peer);
-        let Some((boot, permit)) = leader.permit_after(peer, report, now) else {
+        let Some((boot, permit)) = leader.permit_after_heartbeat(peer, report, now) else {
             return;
         };
         if self.permits.is_empty() {
--- a/crates/control/src/partitions/mod.rs
+++ b/crates/control/src/partitions/mod.rs
@@ -281,7 +281,7 @@
 
 /// Sends a message about partitions to a peer.
 fn send(to: &str, term: u64, body: PartitionBody, effects: &mut Effects) {
-    effects.out.push(Output::Peer {
+    effects.outputs.push(Output::Peer {
         to: Some(to.to_string()),
         message: PeerMessage::Partitions(PartitionMessage { term, body }),
     });
--- a/crates/control/src/peer_heartbeats.rs
+++ b/crates/control/src/peer_heartbeats.rs
@@ -126,7 +126,7 @@
             at => ago(at),
         };
         for (label, echo) in peers.echoes() {
-            effects.out.push(Output::Peer {
+            effects.outputs.push(Output::Peer {
                 to: Some(label.clone()),
                 message: PeerMessage::Heartbeat {
                     term: election.highest_term(),
@@ -155,9 +155,9 @@
         }
         self.next_open_jobs = now + COUNTS_MS;
         let jobs = leader.next_job_updates();
-        gateway.hear(&jobs);
+        gateway.on_job_updates(&jobs);
         let term = leader.term;
-        effects.out.push(Output::Peer {
+        effects.outputs.push(Output::Peer {
             to: None,
             message: PeerMessage::Counts { term, jobs },
         });
@@ -169,7 +169,7 @@
         for jobs in ended.chunks(JOB_UPDATES_MAX) {
             let is_done = |job: &EndedJob| job.end == Final::Done;
             let jobs = jobs.iter().map(|job| (job.id.clone(), is_done(job)));
-            effects.out.push(Output::Peer {
+            effects.outputs.push(Output::Peer {
                 to: None,
                 message: PeerMessage::Over {
                     jobs: jobs.collect(),
--- a/crates/control/src/peer_heartbeats/tests.rs
+++ b/crates/control/src/peer_heartbeats/tests.rs
@@ -15,7 +15,7 @@
     let mut effects = Effects::new(Now::default());
     heartbeats.send_ended_jobs(&mut effects);
     let mut notified = Vec::new();
-    for output in effects.out {
+    for output in effects.outputs {
         let Output::Peer { message, .. } = output else {
             continue;
         };
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -8,7 +8,7 @@
 
 /// A peer's last heartbeat.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct PeerState {
+pub(crate) struct PeerHeartbeat {
     /// When it arrived; 0 if there has been none.
     pub at: u64,
     /// Milliseconds since the state service had answered the peer well, when it was sent.
@@ -26,7 +26,7 @@
     pub aborts: u64,
 }
 
-impl PeerState {
+impl PeerHeartbeat {
     /// Whether the state service answers the peer.
     fn reaches_state(&self) -> bool {
         self.state_ago_ms < PEER_FRESH_MS
@@ -41,7 +41,7 @@
 /// The peers, by label.
 #[derive(Default)]
 pub(crate) struct Peers {
-    known: BTreeMap<String, PeerState>,
+    known: BTreeMap<String, PeerHeartbeat>,
     cancellations: BTreeMap<String, ConfirmedCancellations>,
     /// What this process adds to its clock in heartbeats.
     clock_base: u64,
@@ -51,14 +51,16 @@
     /// Peers that have not been heard yet. `clock_base` is what this process adds to its clock in heartbeats.
     pub fn new(labels: impl Iterator<Item = String>, clock_base: u64) -> Self {
         Peers {
-            known: labels.map(|label| (label, PeerState::default())).collect(),
+            known: labels
+                .map(|label| (label, PeerHeartbeat::default()))
+                .collect(),
             cancellations: BTreeMap::new(),
             clock_base,
         }
     }
 
     /// Handles a heartbeat.
-    pub fn on_heartbeat(&mut self, from: &str, heartbeat: PeerState) {
+    pub fn on_heartbeat(&mut self, from: &str, heartbeat: PeerHeartbeat) {
         let Some(peer) = self.known.get_mut(from) else {
             return;
         };
@@ -69,7 +71,7 @@
             .echo
             .checked_sub(self.clock_base)
             .filter(|at| *at <= heartbeat.at);
-        *peer = PeerState {
+        *peer = PeerHeartbeat {
             echo: echo.unwrap_or(0),
             ..heartbeat
         };
@@ -93,7 +95,7 @@
     }
 
     /// Peers whose heartbeats are recent.
-    fn recent_peers(&self, now: u64) -> impl Iterator<Item = (&str, &PeerState)> {
+    fn recent_peers(&self, now: u64) -> impl Iterator<Item = (&str, &PeerHeartbeat)> {
         self.known
             .iter()
             .filter(move |(_, peer)| peer.at > 0 && now < peer.at + PEER_FRESH_MS)
@@ -101,7 +103,7 @@
     }
 
     /// A peer, if its heartbeats are recent.
-    fn recent_peer(&self, label: &str, now: u64) -> Option<&PeerState> {
+    fn recent_peer(&self, label: &str, now: u64) -> Option<&PeerHeartbeat> {
         self.recent_peers(now)
             .find(|(peer_label, _)| *peer_label == label)
             .map(|(_, peer)| peer)
@@ -132,8 +134,8 @@
     ///
     /// Notices and heartbeats of a process arrive in order. So a heartbeat proves that all notices up to the time it
     /// was sent have arrived, if none has been missed since before `read`.
-    pub fn aborts_known_until(&self, read: u64) -> u64 {
-        let known_until = |(label, peer): (&String, &PeerState)| {
+    pub fn cancellations_known_until(&self, read: u64) -> u64 {
+        let known_until = |(label, peer): (&String, &PeerHeartbeat)| {
             let cancellations = self.cancellations.get(label);
             match cancellations.is_some_and(|c| c.are_complete_since(read)) {
                 true => peer.echo,
--- a/crates/control/src/peers/cancellations.rs
+++ b/crates/control/src/peers/cancellations.rs
@@ -1,6 +1,6 @@
 //! Notices of cancellations that a peer has confirmed to users, and whether any of them was missed.
 
-use super::PeerState;
+use super::PeerHeartbeat;
 
 /// The cancellations confirmed by one process of a peer that are known here.
 #[derive(Debug, Clone, Copy, Default)]
@@ -16,7 +16,7 @@
 impl ConfirmedCancellations {
     /// Handles a heartbeat. If it is of another process, or a notice was lost with a broken connection, counting
     /// begins anew.
-    pub fn on_heartbeat(&mut self, heartbeat: &PeerState) {
+    pub fn on_heartbeat(&mut self, heartbeat: &PeerHeartbeat) {
         if self.boot != heartbeat.boot || self.count != heartbeat.aborts {
             *self = ConfirmedCancellations {
                 boot: heartbeat.boot,
--- a/crates/control/src/peers/tests.rs
+++ b/crates/control/src/peers/tests.rs
@@ -4,37 +4,41 @@
 
 const BASE: u64 = 77_000_000;
 
-fn heartbeat(at: u64, boot: u64, aborts: u64) -> PeerState {
-    PeerState {
+fn heartbeat(at: u64, boot: u64, aborts: u64) -> PeerHeartbeat {
+    PeerHeartbeat {
         at,
         echo: BASE + at - 10,
         boot,
         aborts,
-        ..PeerState::default()
+        ..PeerHeartbeat::default()
     }
 }
 
 #[test]
 fn heartbeats_prove_nothing_after_a_missed_notice_or_a_restart() {
     let mut peers = Peers::new(["a".to_string()].into_iter(), BASE);
-    assert_eq!(peers.aborts_known_until(500), 500, "no heartbeat yet");
+    assert_eq!(
+        peers.cancellations_known_until(500),
+        500,
+        "no heartbeat yet"
+    );
     peers.on_heartbeat("a", heartbeat(100, 7, 0));
     peers.on_abort("a", 1);
     peers.on_heartbeat("a", heartbeat(900, 7, 1));
-    assert_eq!(peers.aborts_known_until(500), 890);
+    assert_eq!(peers.cancellations_known_until(500), 890);
     // A notice that never came.
     peers.on_heartbeat("a", heartbeat(1_000, 7, 2));
-    assert_eq!(peers.aborts_known_until(500), 500);
+    assert_eq!(peers.cancellations_known_until(500), 500);
     assert_eq!(
-        peers.aborts_known_until(1_000),
+        peers.cancellations_known_until(1_000),
         1_000,
         "known from the records since"
     );
     peers.on_heartbeat("a", heartbeat(1_200, 7, 2));
-    assert_eq!(peers.aborts_known_until(1_000), 1_190);
+    assert_eq!(peers.cancellations_known_until(1_000), 1_190);
     // Another process.
     peers.on_heartbeat("a", heartbeat(1_400, 8, 0));
-    assert_eq!(peers.aborts_known_until(1_000), 1_000);
+    assert_eq!(peers.cancellations_known_until(1_000), 1_000);
 }
 
 /// The peer has not heard this process yet and echoes the clock of the one before, which ran for longer.
@@ -44,13 +48,13 @@
     for echo in [300, 300_000, BASE - 1, BASE + 5_000] {
         peers.on_heartbeat(
             "a",
-            PeerState {
+            PeerHeartbeat {
                 echo,
                 ..heartbeat(1_000, 7, 0)
             },
         );
-        assert_eq!(peers.aborts_known_until(1_100), 1_100, "{echo}");
+        assert_eq!(peers.cancellations_known_until(1_100), 1_100, "{echo}");
     }
     peers.on_heartbeat("a", heartbeat(2_000, 7, 0));
-    assert_eq!(peers.aborts_known_until(1_100), 1_990);
+    assert_eq!(peers.cancellations_known_until(1_100), 1_990);
 }
--- a/crates/control/src/pending_heartbeats.rs
+++ b/crates/control/src/pending_heartbeats.rs
@@ -9,8 +9,8 @@
 
 use crate::effects::RequestId;
 use constants::{
-    PENDING_HEARTBEATS_PER_TURN, PENDING_REPORTS_CHECK_MS, PENDING_REPORT_LOADING_MS,
-    PENDING_REPORT_MS, PENDING_WAKE_MS,
+    PENDING_HEARTBEATS_CHECK_MS, PENDING_HEARTBEATS_PER_TURN, PENDING_HEARTBEAT_LOADING_MS,
+    PENDING_HEARTBEAT_MS, PENDING_WAKE_MS,
 };
 
 /// What a node knows of the leader, as far as pending heartbeats are concerned.
@@ -30,8 +30,8 @@
     /// Milliseconds for which a heartbeat may be pending.
     fn heartbeat_timeout_ms(self) -> u64 {
         match self {
-            LeaderStatus::Loading => PENDING_REPORT_LOADING_MS,
-            _ => PENDING_REPORT_MS,
+            LeaderStatus::Loading => PENDING_HEARTBEAT_LOADING_MS,
+            _ => PENDING_HEARTBEAT_MS,
         }
     }
 }
@@ -103,7 +103,7 @@
         if !is_elsewhere && now < self.next_check {
             return Vec::new();
         }
-        self.next_check = now + PENDING_REPORTS_CHECK_MS;
+        self.next_check = now + PENDING_HEARTBEATS_CHECK_MS;
         let timeout_ms = leader.heartbeat_timeout_ms();
         let mut redirected = Vec::new();
         self.heartbeats.retain(|heartbeat| {
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -16,7 +16,7 @@
     /// The leader's records.
     LeaderRecords,
     /// Transactions that answer many questions at once.
-    Proof,
+    ReadValidation,
     /// Reads that a single question needs.
     Question,
 }
@@ -28,7 +28,7 @@
         Priority::Change,
         Priority::ChangeRead,
         Priority::LeaderRecords,
-        Priority::Proof,
+        Priority::ReadValidation,
         Priority::Question,
     ];
 
@@ -152,7 +152,7 @@
     /// A user's request, by its number.
     User(u64),
     /// Proof of many answers at once.
-    Proof(u64),
+    ReadValidation(u64),
     /// Search for many ids at once that nothing is known of.
     UnknownIds(u64),
     /// A node without a leader reads the machine types.
@@ -178,15 +178,15 @@
     /// Reads the leader's record.
     Poll(u64),
     /// Reads the term's record.
-    Term(u64),
+    ReadTerm(u64),
     /// Grants a lease.
-    Grant(u64),
+    GrantLease(u64),
     /// Writes the leader's record.
-    Run(u64),
+    Commit(u64),
     /// Renewal in this term, sent at this moment.
     Renew(u64, u64),
     /// Revokes a lease: its own, or that of a leader found unreachable.
-    Quit,
+    Revoke,
 }
 
 /// Why the leader sent a request to the state service.
@@ -203,9 +203,9 @@
     /// A page of all open jobs, after the watch fell behind.
     Resync(Reread),
     /// How a job ended that other jobs depend on.
-    Final(String),
+    FinalRecord(String),
     /// A further record of an open job, by its number: what does not fit into the job's own record.
-    More(String, u32),
+    FurtherRecord(String, u32),
 }
 
 /// All open jobs are being read again, page by page.
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -64,7 +64,7 @@
     }
 
     /// Divides these rates from now on.
-    pub fn hold_to(&mut self, rps: f64, write_rps: f64) {
+    pub fn set_rates(&mut self, rps: f64, write_rps: f64) {
         self.budget.set_rates(rps, write_rps);
     }
 
@@ -132,7 +132,7 @@
             if let Some(queued) = self.queues[queue].pop_front() {
                 *next_call += 1;
                 effects
-                    .out
+                    .outputs
                     .push(encode_call(&queued.request.op, *next_call));
                 self.in_flight.insert(*next_call, queued.request);
             }
@@ -161,7 +161,7 @@
 
     fn note_sent(&mut self, priority: Priority) {
         match priority {
-            Priority::Proof => self.question_is_next = true,
+            Priority::ReadValidation => self.question_is_next = true,
             Priority::Question => self.question_is_next = false,
             _ => {}
         }
--- a/crates/control/src/state/budget.rs
+++ b/crates/control/src/state/budget.rs
@@ -3,9 +3,9 @@
 use crate::requests::Priority;
 use crate::token_bucket::TokenBucket;
 use constants::{
-    CHANGE_READ_BURST_S, CHANGE_READ_SHARE, QUESTION_BURST_S, QUESTION_SHARE, RATE_RETRY_MS,
-    STATE_RPS_SHARE, STATE_WRITE_SHARE, STRAIN_CUT, STRAIN_EASE, STRAIN_LEAST, USER_WRITE_BURST,
-    USER_WRITE_SHARE,
+    CHANGE_READ_BURST_S, CHANGE_READ_SHARE, LEADER_THROTTLE_FACTOR, LEADER_THROTTLE_MIN,
+    LEADER_THROTTLE_RECOVERY_PER_S, QUESTION_BURST_S, QUESTION_SHARE, RATE_RETRY_MS,
+    STATE_RPS_SHARE, STATE_WRITE_SHARE, USER_WRITE_BURST, USER_WRITE_SHARE,
 };
 
 /// Seconds' worth of their rate that all requests, and the leader's writes, may take at once.
@@ -78,7 +78,7 @@
     /// The share after some of what was taken away has come back.
     fn recovered(&self, now: u64) -> f64 {
         let passed_s = now.saturating_sub(self.at) as f64 / 1000.0;
-        (self.share + passed_s * STRAIN_EASE).min(1.0)
+        (self.share + passed_s * LEADER_THROTTLE_RECOVERY_PER_S).min(1.0)
     }
 }
 
@@ -143,7 +143,8 @@
         if now < self.throttle.at + RATE_RETRY_MS {
             return;
         }
-        let share = (self.throttle.recovered(now) * STRAIN_CUT).max(STRAIN_LEAST);
+        let share =
+            (self.throttle.recovered(now) * LEADER_THROTTLE_FACTOR).max(LEADER_THROTTLE_MIN);
         self.throttle = Throttle { share, at: now };
         self.apply_throttle();
     }
@@ -183,7 +184,7 @@
             Priority::Leadership | Priority::LeaderRecords => (&mut self.leader_writes, writes),
             Priority::Change => (&mut self.user_writes, writes),
             Priority::ChangeRead => (&mut self.change_reads, ONE_REQUEST),
-            Priority::Proof | Priority::Question => (&mut self.questions, ONE_REQUEST),
+            Priority::ReadValidation | Priority::Question => (&mut self.questions, ONE_REQUEST),
         }
     }
 
--- a/crates/control/src/state/tests.rs
+++ b/crates/control/src/state/tests.rs
@@ -72,7 +72,7 @@
         (Priority::Change, write.clone()),
         (Priority::ChangeRead, read()),
         (Priority::LeaderRecords, write),
-        (Priority::Proof, read()),
+        (Priority::ReadValidation, read()),
         (Priority::Question, read()),
     ];
     for (rps, write_rps) in [(150.0, 50.0), (100.0, 25.0)] {
@@ -100,8 +100,13 @@
             unix: 0,
         };
         let waits = |client: &StateClient, p: Priority| !client.queues[p as usize].is_empty();
-        if !waits(&client, Priority::Proof) {
-            client.push(now, Priority::Proof, proof(), StateTag::Proof(step));
+        if !waits(&client, Priority::ReadValidation) {
+            client.push(
+                now,
+                Priority::ReadValidation,
+                proof(),
+                StateTag::ReadValidation(step),
+            );
         }
         if step.is_multiple_of(10) && !waits(&client, Priority::Question) {
             let read = StateOp::Get("j/run-1".into());
@@ -109,7 +114,7 @@
         }
         let mut effects = Effects::new(now);
         client.pump(&mut call, &mut effects, &mut expired);
-        for output in effects.out {
+        for output in effects.outputs {
             match output {
                 Output::Call { method: "GET", .. } => reads += 1,
                 Output::Call { .. } => proofs += 1,
--- a/crates/fakes/src/fleet.rs
+++ b/crates/fakes/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::jobs::{behaviour_of, job_of};
 use crate::{
-    CopyTo, Cut, FakeWorker, Gang, Party, World, DELAY_MS, KIND, LATE_REPORT_MS, REPORT_PATH,
+    CopyTo, Cut, FakeWorker, Gang, Party, World, DELAY_MS, HEARTBEAT_PATH, KIND, LATE_REPORT_MS,
 };
 use control::Input;
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
         for sent in self.advance_workers(&gangs) {
             let body = wire::encode(&sent.report);
             self.copy_late(sent.node, &body, lease_ms);
-            let id = self.request(sent.node, "POST", REPORT_PATH, body);
+            let id = self.request(sent.node, "POST", HEARTBEAT_PATH, body);
             self.reporters.insert(id, (sent.machine, sent.report.seq));
         }
     }
@@ -143,7 +143,7 @@
         let input = Input::Request {
             id,
             method: "POST".into(),
-            target: REPORT_PATH.into(),
+            target: HEARTBEAT_PATH.into(),
             body,
         };
         self.push_input(self.now + DELAY_MS + late_ms, node, input);
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -31,4 +31,4 @@
 /// Milliseconds that a message takes.
 const DELAY_MS: u64 = 5;
 /// Path of workers' reports.
-const REPORT_PATH: &str = "/v1/report";
+const HEARTBEAT_PATH: &str = "/v1/report";
--- a/crates/fakes/src/turns.rs
+++ b/crates/fakes/src/turns.rs
@@ -1,6 +1,6 @@
 //! Turns of nodes: what each is about and how long it took.
 
-use crate::REPORT_PATH;
+use crate::HEARTBEAT_PATH;
 use control::{Input, Stopwatch};
 use wire::peers::PeerMessage;
 
@@ -21,9 +21,9 @@
     /// The subject of an input.
     pub(crate) fn of(input: &Input) -> Self {
         match input {
-            Input::Request { target, .. } if target == REPORT_PATH => TurnAbout::WorkerHeartbeat,
+            Input::Request { target, .. } if target == HEARTBEAT_PATH => TurnAbout::WorkerHeartbeat,
             Input::Peer { message, .. } => match message {
-                PeerMessage::Forward { target, .. } if target == REPORT_PATH => {
+                PeerMessage::Forward { target, .. } if target == HEARTBEAT_PATH => {
                     TurnAbout::WorkerHeartbeat
                 }
                 PeerMessage::Forwarded { .. } => TurnAbout::WorkerHeartbeat,
--- a/crates/partitions/src/delegation.rs
+++ b/crates/partitions/src/delegation.rs
@@ -11,7 +11,7 @@
 pub use requests::{HeardMachine, RequestError};
 
 use crate::hash::{partition_of, PARTITION_COUNT};
-use constants::{ANSWERS_KEPT_MS, STEADY_REPORTS};
+use constants::{ANSWER_RETENTION_MS, STEADY_REPORTS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::partitions::{OwnedElsewhere, PartitionId};
 
@@ -187,6 +187,6 @@
     pub fn prune(&mut self, now: u64) {
         self.answered
             .by_machine
-            .retain(|_, at| now < *at + ANSWERS_KEPT_MS);
+            .retain(|_, at| now < *at + ANSWER_RETENTION_MS);
     }
 }
--- a/crates/partitions/src/owner/decisions.rs
+++ b/crates/partitions/src/owner/decisions.rs
@@ -2,7 +2,7 @@
 
 use super::Owner;
 use crate::hash::partition_of;
-use constants::{OWNER_RELAY_MS, REDIRECTED_MAX, RENAME_OWNER_MS, STEADY_REPORTS};
+use constants::{OWNER_RELAY_MS, REDIRECTED_MAX, REDIRECT_REPEAT_MS, STEADY_REPORTS};
 use wire::partitions::{PartitionEpoch, PartitionId};
 use wire::workers::WorkerHeartbeat;
 
@@ -78,7 +78,7 @@
     /// the leader, which answers every worker.
     fn may_name_owner(&mut self, machine: &str, now: u64) -> bool {
         let last = self.redirected.get(machine);
-        if last.is_some_and(|at| now < at + RENAME_OWNER_MS) {
+        if last.is_some_and(|at| now < at + REDIRECT_REPEAT_MS) {
             return false;
         }
         if self.redirected.len() >= REDIRECTED_MAX {
--- a/crates/partitions/src/owner/requests.rs
+++ b/crates/partitions/src/owner/requests.rs
@@ -3,7 +3,7 @@
 use super::{Owner, RelinquishedPermit, SteadyMachine};
 use crate::hash::PARTITION_COUNT;
 use constants::{
-    GRANT_RENEW_MS, PASSED_ON_MAX, RELINQUISHED_A_REQUEST, SILENT_EXTRA_MS, SILENT_HALF_REPORTS,
+    FORWARDED_MAX, GRANT_RENEW_MS, RELINQUISHED_A_REQUEST, SILENT_EXTRA_MS, SILENT_HALF_REPORTS,
 };
 use wire::partitions::{ControllerLoad, GrantRequest, Relinquished};
 
@@ -53,7 +53,7 @@
         }
         // No permit will follow for machines that report elsewhere by now. For the others, forgetting costs one more
         // forwarded report.
-        if self.forwarded.len() > PASSED_ON_MAX {
+        if self.forwarded.len() > FORWARDED_MAX {
             self.forwarded.clear();
         }
     }
