--- a/crates/constants/src/failures.rs
+++ b/crates/constants/src/failures.rs
@@ -10,7 +10,7 @@
 pub const FAULTY_JOBS: usize = 2;
 /// Attempts of a job that ended under earlier leaders without a completed task, from which the job
 /// counts as failing.
-pub const FRUITLESS_ATTEMPTS: u64 = 3;
+pub const FAILED_ATTEMPTS_SUSPECT: u64 = 3;
 /// Milliseconds for which a task of a job must have been running to prove that the job does not
 /// fail everywhere.
 pub const SOUND_RUN_MS: u64 = 10_000;
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -100,7 +100,7 @@
     }
 
     /// Whether the lease was certainly alive a moment ago, by our own clock.
-    pub fn lease_holds(&self, now: u64) -> bool {
+    pub fn is_lease_valid(&self, now: u64) -> bool {
         let Role::Leader(Leadership { renewed_at, .. }) = self.role else {
             return false;
         };
--- a/crates/control/src/election/renewal.rs
+++ b/crates/control/src/election/renewal.rs
@@ -41,7 +41,7 @@
     }
 
     /// A peer knows of a term.
-    pub fn heard_term(&mut self, term: u64, effects: &mut Effects) {
+    pub fn observe_term(&mut self, term: u64, effects: &mut Effects) {
         self.highest_term = self.highest_term.max(term);
         if self.leads().is_some_and(|own_term| term > own_term) {
             self.step_down("a peer knows a newer term", effects);
--- a/crates/control/src/election/tests.rs
+++ b/crates/control/src/election/tests.rs
@@ -45,11 +45,11 @@
         );
     };
     renewed(&mut election, sent);
-    assert!(election.lease_holds(resumed));
+    assert!(election.is_lease_valid(resumed));
     election.on_stall(resumed);
-    assert!(!election.lease_holds(resumed));
+    assert!(!election.is_lease_valid(resumed));
     renewed(&mut election, sent);
-    assert!(!election.lease_holds(resumed), "sent before it");
+    assert!(!election.is_lease_valid(resumed), "sent before it");
     renewed(&mut election, resumed);
-    assert!(election.lease_holds(resumed), "sent after it");
+    assert!(election.is_lease_valid(resumed), "sent after it");
 }
--- a/crates/control/src/forwarding.rs
+++ b/crates/control/src/forwarding.rs
@@ -62,7 +62,7 @@
     last_call: u64,
     /// Requests that peers forwarded to this node and that are not answered yet.
     serving: HashMap<RequestId, PeerCall>,
-    last_served: RequestId,
+    last_accepted: RequestId,
 }
 
 impl ForwardedRequests {
@@ -72,7 +72,7 @@
             pending: HashMap::new(),
             last_call: number_base,
             serving: HashMap::new(),
-            last_served: FIRST_PEER_REQUEST,
+            last_accepted: FIRST_PEER_REQUEST,
         }
     }
 
@@ -175,11 +175,11 @@
 
     /// The id under which to handle a request that `peer` forwarded to this node as `call`.
     pub fn accept(&mut self, peer: &str, call: u64) -> RequestId {
-        self.last_served += 1;
+        self.last_accepted += 1;
         let peer = peer.to_string();
         self.serving
-            .insert(self.last_served, PeerCall { peer, call });
-        self.last_served
+            .insert(self.last_accepted, PeerCall { peer, call });
+        self.last_accepted
     }
 
     /// Turns the answer to a forwarded request into a message to the peer that forwarded it; other outputs stay as
--- a/crates/control/src/leader/delegation.rs
+++ b/crates/control/src/leader/delegation.rs
@@ -59,10 +59,10 @@
         let Some(delegation) = &mut self.delegation else {
             return Ok(None);
         };
-        let heard_machines = delegation.on_request(owner, request, now)?;
-        for heard in heard_machines {
-            if let Some(machine) = self.machines.get_mut(&heard.machine) {
-                machine.last_heartbeat = machine.last_heartbeat.max(Some(heard.heard_at));
+        let relinquished_machines = delegation.on_request(owner, request, now)?;
+        for relinquished in relinquished_machines {
+            if let Some(machine) = self.machines.get_mut(&relinquished.machine) {
+                machine.last_heartbeat = machine.last_heartbeat.max(Some(relinquished.heard_at));
             }
         }
         self.withdraw_permits_with_orders();
--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -75,7 +75,7 @@
         let remembered_ms =
             (list_lag_s * DEPARTED_MS_PER_LAG_S) as u64 + REMOVED_MACHINE_RETENTION_MS;
         self.departed
-            .retain(|_, gone_at| now.mono < *gone_at + remembered_ms);
+            .retain(|_, removed_at| now.mono < *removed_at + remembered_ms);
     }
 
     fn log_summary(&self) {
--- a/crates/control/src/leader/fleet/replies.rs
+++ b/crates/control/src/leader/fleet/replies.rs
@@ -44,7 +44,7 @@
             }
             (CloudRequest::Return(names), CloudReply::Returned) => {
                 for name in names {
-                    self.machine_gone(&name, now);
+                    self.on_machine_removed(&name, now);
                 }
             }
             (CloudRequest::Return(names), reply) => {
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -276,7 +276,7 @@
     }
 
     /// The cloud has confirmed that the machine is gone: nothing runs there any more.
-    pub(super) fn machine_gone(&mut self, name: &str, now: Now) {
+    pub(super) fn on_machine_removed(&mut self, name: &str, now: Now) {
         self.release_machine(name, "its machine was given back", now);
         self.departed.insert(name.to_string(), now.mono);
         log::info!("event=machine_gone machine={name}");
--- a/crates/control/src/leader/model/job/failures.rs
+++ b/crates/control/src/leader/model/job/failures.rs
@@ -47,7 +47,7 @@
         };
         let ended = attempts.saturating_sub(present);
         let is_idle = self.is_gang() || self.assigned <= IDLE_ASSIGNMENTS_MAX;
-        self.done == 0 && is_idle && ended >= constants::FRUITLESS_ATTEMPTS
+        self.done == 0 && is_idle && ended >= constants::FAILED_ATTEMPTS_SUSPECT
     }
 
     fn sum_of_highest_attempts(&self) -> u64 {
--- a/crates/control/src/leader/pages.rs
+++ b/crates/control/src/leader/pages.rs
@@ -128,7 +128,7 @@
     }
 
     /// Notes what a page is known to hold. The copies that are newest belong to it from now on.
-    pub(super) fn page_holds(&mut self, number: u32, version: u64, copies: &[PartCopy]) {
+    pub(super) fn on_page_saved(&mut self, number: u32, version: u64, copies: &[PartCopy]) {
         let page = self.pages.entry(number).or_default();
         page.in_flight = false;
         page.version = version;
--- a/crates/control/src/leader/store/conflicts.rs
+++ b/crates/control/src/leader/store/conflicts.rs
@@ -140,7 +140,7 @@
         let version = version_of(&item);
         let record = item.and_then(|item| item.value.deserialized::<PageRecord>().ok());
         let copies = copies_in(&record.unwrap_or_default());
-        self.page_holds(number, version, &copies);
+        self.on_page_saved(number, version, &copies);
     }
 }
 
--- a/crates/control/src/leader/store/saved.rs
+++ b/crates/control/src/leader/store/saved.rs
@@ -17,7 +17,7 @@
         self.set_in_flight(&change.record_id(), false);
         match change {
             RecordChange::WritePage { number, copies } => {
-                self.page_holds(number, version, &copies);
+                self.on_page_saved(number, version, &copies);
             }
             RecordChange::DeletePage(number) => {
                 self.pages.remove(&number);
--- a/crates/control/src/leadership_watch.rs
+++ b/crates/control/src/leadership_watch.rs
@@ -91,7 +91,7 @@
             self.cut_off.reset();
             return None;
         };
-        let has_lease = election.lease_holds(now);
+        let has_lease = election.is_lease_valid(now);
         let is_without_state = !has_lease
             && now > state.last_good() + LEADER_LEASE_MS
             && peers.with_state(now).is_some();
--- a/crates/control/src/node/answering_rights.rs
+++ b/crates/control/src/node/answering_rights.rs
@@ -11,13 +11,13 @@
     /// all the same, and a third of the users were refused until the cut was over. In an outage of the
     /// state service peers are still heard, so that no node is taken out of service.
     pub(super) fn is_cut_off(&self, now: u64) -> bool {
-        let Some(peer_heard_at) = self.peers.last_heard() else {
+        let Some(peer_contact_at) = self.peers.last_contact() else {
             return false;
         };
         let last_contact = self
             .heartbeat
             .started_at()
-            .max(peer_heard_at)
+            .max(peer_contact_at)
             .max(self.state.last_good());
         !self.state.is_up(now) && now > last_contact + CUT_OFF_MS
     }
@@ -34,7 +34,7 @@
     /// known up to a recent moment.
     pub(super) fn active(&self, now: u64) -> bool {
         self.planned_stop.is_none()
-            && self.election.lease_holds(now)
+            && self.election.is_lease_valid(now)
             && self.is_informed_within(CANCELLATIONS_KNOWN_MS, now)
     }
 
--- a/crates/control/src/node/events.rs
+++ b/crates/control/src/node/events.rs
@@ -14,7 +14,7 @@
             NodeEvent::JobCancelled(job) => self.on_cancellation(job, effects),
             NodeEvent::JobEnded(job, end) => self.heartbeat.on_job_ended(job, end),
             NodeEvent::UpgradeEvidence(reason) => self.rollout.proven(reason, effects),
-            NodeEvent::LevelChanged => self.rollout.read_anew(effects.now.mono),
+            NodeEvent::LevelChanged => self.rollout.reread(effects.now.mono),
             NodeEvent::Upgraded => self.on_upgraded(effects),
             NodeEvent::MachineTypesRead(_) => {}
         }
--- a/crates/control/src/node/partition_view.rs
+++ b/crates/control/src/node/partition_view.rs
@@ -51,7 +51,7 @@
         effects: &mut Effects,
     ) {
         let now = effects.now.mono;
-        self.election.heard_term(message.term, effects);
+        self.election.observe_term(message.term, effects);
         let grant_ms = self.grant_ms(now);
         let Some(partitions) = &mut self.partitions else {
             log::info!(
--- a/crates/control/src/node/peer_messages.rs
+++ b/crates/control/src/node/peer_messages.rs
@@ -69,7 +69,7 @@
         let boot = state.boot;
         self.peers.on_heartbeat(from, state);
         self.rollout.on_heartbeat(from, boot, effects.now.mono);
-        self.election.heard_term(term, effects);
+        self.election.observe_term(term, effects);
     }
 
     /// A peer is about to confirm a cancellation to a user. `number` counts those of the peer's process.
--- a/crates/control/src/node/stall.rs
+++ b/crates/control/src/node/stall.rs
@@ -24,7 +24,7 @@
         }
         log::info!("event=process_stalled stalled_ms={stalled_ms}");
         self.election.on_stall(now.mono);
-        self.rollout.read_anew(now.mono);
+        self.rollout.reread(now.mono);
         if let Some(leader) = &mut self.leader {
             leader.on_stall(now.mono);
         }
--- a/crates/control/src/node/worker_heartbeats.rs
+++ b/crates/control/src/node/worker_heartbeats.rs
@@ -111,7 +111,7 @@
                 let orders = Vec::new();
                 effects.respond(id, 200, wire::encode(&HeartbeatResponse { term, orders }));
             }
-            Decision::PassOn => return self.pass_to_granting_leader(id, body, effects),
+            Decision::Forward => return self.pass_to_granting_leader(id, body, effects),
             Decision::Redirect(Some(owner)) => redirect(Some(owner), id, effects),
             Decision::Redirect(None) => return false,
             Decision::Outdated => effects.refuse(id, 503, "a late copy of a report"),
@@ -170,7 +170,7 @@
                 self.deferred_answers.push(id, deferred);
             }
             HeartbeatOutcome::NewerTerm(term) => {
-                self.election.heard_term(term, effects);
+                self.election.observe_term(term, effects);
                 effects.refuse(id, 503, "a newer leader exists");
             }
         }
--- a/crates/control/src/partitions/leading.rs
+++ b/crates/control/src/partitions/leading.rs
@@ -18,7 +18,7 @@
 
 /// The last request of an owner in this term.
 #[derive(Debug, Clone, Copy)]
-struct HeardOwner {
+struct ReportingOwner {
     at: u64,
     load: ControllerLoad,
 }
@@ -42,7 +42,7 @@
     handover: Handover,
     rebalancer: Rebalancer,
     redirects: Redirects,
-    owners: BTreeMap<String, HeardOwner>,
+    owners: BTreeMap<String, ReportingOwner>,
     /// Permits that wait to be sent, by owner and process.
     permits: BTreeMap<(String, u64), Vec<Permit>>,
     /// When the permits are sent.
--- a/crates/control/src/partitions/leading/grants.rs
+++ b/crates/control/src/partitions/leading/grants.rs
@@ -1,6 +1,6 @@
 //! Owners' requests for grants, and redirects of workers to owners.
 
-use super::{HeardOwner, Leading};
+use super::{Leading, ReportingOwner};
 use crate::effects::Effects;
 use crate::leader::Leader;
 use crate::partitions::{send, View};
@@ -60,7 +60,7 @@
         let load = request.load;
         let before = self
             .owners
-            .insert(from.to_string(), HeardOwner { at: now, load });
+            .insert(from.to_string(), ReportingOwner { at: now, load });
         if before.is_none_or(|before| load.reports > before.load.reports) {
             self.redirects.owner_received_reports(from);
         }
--- a/crates/control/src/partitions/leading/moves.rs
+++ b/crates/control/src/partitions/leading/moves.rs
@@ -1,6 +1,6 @@
 //! Moves of partitions between controllers.
 
-use super::{HeardOwner, Leading};
+use super::{Leading, ReportingOwner};
 use ::partitions::rebalance::Candidate;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::partitions::{ControllerLoad, PartitionId};
@@ -39,16 +39,16 @@
 
     /// The leader itself, the controllers heard in this term, and those that own partitions.
     fn candidates(&self, now: u64) -> Vec<Candidate> {
-        let mut heard: BTreeMap<String, HeardOwner> = BTreeMap::new();
+        let mut heard: BTreeMap<String, ReportingOwner> = BTreeMap::new();
         for (_, row) in self.handover.table().rows() {
-            let unheard = HeardOwner {
+            let silent = ReportingOwner {
                 at: self.since,
                 load: ControllerLoad::default(),
             };
-            heard.insert(row.owner.clone(), unheard);
+            heard.insert(row.owner.clone(), silent);
         }
         heard.extend(self.owners.clone());
-        let own = HeardOwner {
+        let own = ReportingOwner {
             at: now,
             load: self.own_load,
         };
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -110,7 +110,7 @@
     }
 
     /// When the last heartbeat of any peer arrived. `None` where there are no peers.
-    pub fn last_heard(&self) -> Option<u64> {
+    pub fn last_contact(&self) -> Option<u64> {
         self.known.values().map(|peer| peer.at).max()
     }
 
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -101,9 +101,9 @@
 
     /// Reads the level again, since the process was stalled or a write found the level changed. A reply
     /// that is still awaited is dropped.
-    pub fn read_anew(&mut self, now: u64) {
+    pub fn reread(&mut self, now: u64) {
         if let Machine::Levels(machine) = &mut self.machine {
-            machine.read_anew(now);
+            machine.reread(now);
             self.request += 1;
         }
     }
--- a/crates/control/src/rollout/logging.rs
+++ b/crates/control/src/rollout/logging.rs
@@ -73,9 +73,9 @@
         Event::Unreadable { key } => {
             log::error!("event=record_unreadable key={key} why=\"not as this build writes it\"");
         }
-        Event::GenerationTold => log::info!("event=generation_announced generation=1"),
-        Event::MarkRaised { missing, proof } => {
-            log::info!("event=generation_raised generation=1 missing={missing} proof={proof:?}");
+        Event::GenerationRecorded => log::info!("event=generation_announced generation=1"),
+        Event::MarkRaised { missing, evidence } => {
+            log::info!("event=generation_raised generation=1 missing={missing} proof={evidence:?}");
         }
         Event::MarkSeen { generation } => log::info!("event=upgraded generation={generation}"),
     }
--- a/crates/control/src/state/tests.rs
+++ b/crates/control/src/state/tests.rs
@@ -91,7 +91,7 @@
 #[test]
 fn endless_proofs_leave_single_reads_their_turn() {
     let mut client = StateClient::new(100.0, 25.0, 5);
-    let proof = || StateOp::Txn(Txn::default());
+    let evidence = || StateOp::Txn(Txn::default());
     let (mut call, mut expired) = (0, Vec::new());
     let (mut proofs, mut reads) = (0, 0);
     for step in 0..400 {
@@ -104,7 +104,7 @@
             client.push(
                 now,
                 Priority::ReadValidation,
-                proof(),
+                evidence(),
                 StateTag::ReadValidation(step),
             );
         }
--- a/crates/control/tests/four_thousand_machines.rs
+++ b/crates/control/tests/four_thousand_machines.rs
@@ -88,11 +88,11 @@
     let new_leader = |w: &World| w.leader().is_some_and(|l| l != old_leader);
     assert!(w.until(6_000, |w| new_leader(w)), "a new leader");
     let term = w.leader().and_then(|l| w.term_of(l)).expect("term");
-    let told = |w: &World| w.workers.values().filter(|m| m.term == term).count();
+    let answered = |w: &World| w.workers.values().filter(|m| m.term == term).count();
     assert!(
-        w.until(30_000, |w| told(w) == MACHINES),
+        w.until(30_000, |w| answered(w) == MACHINES),
         "{} workers have seen the new term {} ms after the crash",
-        told(&w),
+        answered(&w),
         w.now - crashed_at
     );
     let after: u64 = w.workers.values().map(|m| m.incarnation).sum();
--- a/crates/control/tests/meetings.rs
+++ b/crates/control/tests/meetings.rs
@@ -317,7 +317,7 @@
                 2 => w.hung_until = now + ms,
                 3 => w.cut_until = now + ms,
                 _ => {
-                    let held = &mut self.w.troubles.held_commands;
+                    let held = &mut self.w.troubles.delayed_orders;
                     held.insert(name.clone(), now + ms / 2);
                 }
             }
--- a/crates/control/tests/partitions.rs
+++ b/crates/control/tests/partitions.rs
@@ -496,8 +496,8 @@
         }
         w.move_partition(partition, new);
         w.run(delay);
-        let told = w.abort(old, "run-1");
-        assert_eq!(told, Some(JobPhase::Aborted));
+        let answered = w.abort(old, "run-1");
+        assert_eq!(answered, Some(JobPhase::Aborted));
         w.run(40_000);
         assert!(w.on_machines("run-1").is_empty());
         ends_well(&mut w, &[], &["run-1"]);
@@ -515,8 +515,8 @@
         w.troubles
             .cuts
             .insert((leader, Party::Workers, Cut::Answers));
-        let told = w.abort(usize::from(leader == 0), "run-1");
-        assert_eq!(told, Some(JobPhase::Aborted));
+        let answered = w.abort(usize::from(leader == 0), "run-1");
+        assert_eq!(answered, Some(JobPhase::Aborted));
         w.run(40_000);
         assert!(w.on_machines("run-1").is_empty());
         ends_well(&mut w, &[], &["run-1"]);
@@ -541,8 +541,8 @@
                 .insert((confirming, n), w.now + 60_000);
         });
         w.refused.insert(leader);
-        let told = w.abort(confirming, "run-1");
-        assert_eq!(told, Some(JobPhase::Aborted));
+        let answered = w.abort(confirming, "run-1");
+        assert_eq!(answered, Some(JobPhase::Aborted));
         w.state_down = true;
         w.run(60_000);
         clean(&w);
--- a/crates/control/tests/scenarios.rs
+++ b/crates/control/tests/scenarios.rs
@@ -282,17 +282,17 @@
             .and_then(|m| m.tasks.get(&(place.1.clone(), place.2)));
         task.is_some_and(|t| t.phase == TaskPhase::Saving)
     };
-    let mut told = [None, None];
+    let mut answered = [None, None];
     for _ in 0..600 {
         w.run(10);
         for i in 0..2 {
-            if told[i].is_none() && saving(&w, &first[i]) {
-                told[i] = Some(w.now);
+            if answered[i].is_none() && saving(&w, &first[i]) {
+                answered[i] = Some(w.now);
             }
         }
     }
-    let (Some(a), Some(b)) = (told[0], told[1]) else {
-        panic!("both were told to save: {told:?}");
+    let (Some(a), Some(b)) = (answered[0], answered[1]) else {
+        panic!("both were told to save: {answered:?}");
     };
     assert!(a.abs_diff(b) < 8_000, "within gang_peer_s");
     assert!(done(&mut w, "run-28", 90_000));
@@ -338,11 +338,11 @@
         let mut w = world(3, 1, 0.0);
         assert_eq!(w.submit(0, &array("run-29", 1), runs(3_000)), 201);
         w.run(3_000 + 250 * offset);
-        let told = w.abort(1, "run-29").expect("an answer");
-        winners.push(told);
+        let answered = w.abort(1, "run-29").expect("an answer");
+        winners.push(answered);
         for _ in 0..10 {
             for i in 0..3 {
-                assert_eq!(w.phase(i, "run-29"), Some(told), "offset {offset}");
+                assert_eq!(w.phase(i, "run-29"), Some(answered), "offset {offset}");
             }
             w.run(1_000);
         }
@@ -804,17 +804,17 @@
     w.run(3_000);
     for node in 0..3 {
         let before = w.state.requests;
-        let told = w.phases(node, &ids);
-        assert!(told.iter().all(|p| p.is_some()), "{told:?}");
+        let answered = w.phases(node, &ids);
+        assert!(answered.iter().all(|p| p.is_some()), "{answered:?}");
         let spent = w.state.requests - before;
         assert!(spent < 30, "{spent} requests in 2 s, renewals included");
     }
     // Cancelled through one node, the others must say so at once.
     assert_eq!(w.abort(0, &ids[7]), Some(Phase::Aborted));
     for node in [1, 2, 0] {
-        let told = w.phases(node, &ids);
-        assert_eq!(told[7], Some(Phase::Aborted), "node {node}");
-        assert!(told.iter().all(|p| p.is_some()));
+        let answered = w.phases(node, &ids);
+        assert_eq!(answered[7], Some(Phase::Aborted), "node {node}");
+        assert!(answered.iter().all(|p| p.is_some()));
     }
     clean(&w);
 }
--- a/crates/control/tests/troubles.rs
+++ b/crates/control/tests/troubles.rs
@@ -543,7 +543,7 @@
         w.run(1_500 + 400 * seed);
         let until = w.now + 7_000;
         for name in w.workers.keys().take(3) {
-            w.troubles.held_commands.insert(name.clone(), until);
+            w.troubles.delayed_orders.insert(name.clone(), until);
         }
         let other = follower(&w);
         w.send(other, "POST", "/submissions/run-1/abort", vec![]);
--- a/crates/control/tests/unknown_ids.rs
+++ b/crates/control/tests/unknown_ids.rs
@@ -20,14 +20,17 @@
         w.describe(&job, runs(600_000));
         let submission = w.send(0, "POST", "/submissions", wire::encode(&job));
         w.run(2_500);
-        let (Some((asked, status)), Some((told, 201))) =
+        let (Some((asked, status)), Some((answered, 201))) =
             (w.answer_at(question), w.answer_at(submission))
         else {
             continue;
         };
-        if asked >= told {
+        if asked >= answered {
             overtaken += 1;
-            assert_eq!(status, 200, "seed {seed}: 404 at {asked}, 201 at {told}");
+            assert_eq!(
+                status, 200,
+                "seed {seed}: 404 at {asked}, 201 at {answered}"
+            );
         }
     }
     assert!(overtaken >= 5, "only {overtaken} questions were overtaken");
--- a/crates/fakes/src/troubles.rs
+++ b/crates/fakes/src/troubles.rs
@@ -63,7 +63,7 @@
     /// Share of workers' reports of which a copy arrives again, 2 s to one and a half leases later.
     pub late_reports: Option<(f64, CopyTo)>,
     /// Direct orders and answers to these machines are delayed until then, and delivered in order.
-    pub held_commands: BTreeMap<String, u64>,
+    pub delayed_orders: BTreeMap<String, u64>,
     /// One-sided cuts between a controller and a party. Direct orders to workers are cut like answers.
     pub cuts: BTreeSet<(usize, Party, Cut)>,
     /// Controllers that get neither input nor ticks until then, and process their backlog afterwards.
@@ -89,7 +89,7 @@
 
     /// Until when messages to a machine are delayed.
     pub(crate) fn held_until(&self, machine: &str, now: u64) -> Option<u64> {
-        let until = self.held_commands.get(machine).copied();
+        let until = self.delayed_orders.get(machine).copied();
         until.filter(|until| now < *until)
     }
 }
--- a/crates/fakes/tests/checks.rs
+++ b/crates/fakes/tests/checks.rs
@@ -36,11 +36,11 @@
 }
 
 /// Asks and is answered within a few milliseconds.
-fn told(r: &mut Rules, at: u64, question: Question, status: u16, phase: Option<Phase>) {
-    told_with(r, &jobs(&[array("run-1", 1)]), at, question, status, phase);
+fn answered(r: &mut Rules, at: u64, question: Question, status: u16, phase: Option<Phase>) {
+    answered_with(r, &jobs(&[array("run-1", 1)]), at, question, status, phase);
 }
 
-fn told_with(
+fn answered_with(
     r: &mut Rules,
     jobs: &Jobs,
     at: u64,
@@ -54,7 +54,7 @@
 
 fn accepted() -> Rules {
     let mut r = rules();
-    told(&mut r, 1_000, Question::Submit, 201, Some(Phase::Queued));
+    answered(&mut r, 1_000, Question::Submit, 201, Some(Phase::Queued));
     clean(&r);
     r
 }
@@ -183,9 +183,9 @@
     for question in [Question::Abort, Question::Status, Question::Submit] {
         let mut r = accepted();
         r.sent(1_500, Question::Abort, "run-1", 1_500);
-        told(&mut r, 2_000, question, 200, Some(Phase::Aborted));
+        answered(&mut r, 2_000, question, 200, Some(Phase::Aborted));
         // Confirmed again later: the first time counts.
-        told(&mut r, 9_000, Question::Abort, 200, Some(Phase::Aborted));
+        answered(&mut r, 9_000, Question::Abort, 200, Some(Phase::Aborted));
         let job = [array("run-1", 1)];
         let on = [placed("m1", "a", "run-1/0")];
         look(&mut r, &job, &on, 32_005);
@@ -199,7 +199,7 @@
 fn starts_after_a_confirmed_cancellation_are_counted_and_break_nothing() {
     let mut r = accepted();
     r.started("run-1/0", 1, "m1", 1_900);
-    told(&mut r, 2_000, Question::Abort, 200, Some(Phase::Aborted));
+    answered(&mut r, 2_000, Question::Abort, 200, Some(Phase::Aborted));
     r.started("run-1/0", 2, "m1", 2_100);
     assert_eq!(r.late_starts.len(), 0);
     r.started("run-1/0", 3, "m1", 3_000);
@@ -211,13 +211,13 @@
 fn an_older_answer_after_a_newer_one() {
     let done = |r: &mut Rules| {
         r.completed("run-1/0");
-        told(r, 2_000, Question::Status, 200, Some(Phase::Done));
+        answered(r, 2_000, Question::Status, 200, Some(Phase::Done));
     };
     for older in [Phase::Queued, Phase::Running] {
         let mut r = accepted();
         done(&mut r);
         clean(&r);
-        told(&mut r, 3_000, Question::Status, 200, Some(older));
+        answered(&mut r, 3_000, Question::Status, 200, Some(older));
         broke(&r, "went_back run-1");
     }
     // Sent before the newer answer was received: lawful.
@@ -239,7 +239,7 @@
     let mut r = accepted();
     r.completed("run-1/0");
     r.sent(7, Question::Abort, "run-1", 1_990);
-    told(&mut r, 2_000, Question::Status, 200, Some(Phase::Done));
+    answered(&mut r, 2_000, Question::Status, 200, Some(Phase::Done));
     let all = jobs(&[array("run-1", 1)]);
     let none = BTreeSet::new();
     r.answered(7, 200, Some(Phase::Aborted), (&all, &none), 2_010);
@@ -257,10 +257,10 @@
     ] {
         let mut r = rules();
         let phase = (status == 201).then_some(Phase::Queued);
-        told(&mut r, 500, question, status, phase);
+        answered(&mut r, 500, question, status, phase);
         clean(&r);
         let mut r = accepted();
-        told(&mut r, 2_000, question, status, phase);
+        answered(&mut r, 2_000, question, status, phase);
         broke(&r, "forgotten run-1");
     }
 }
@@ -270,7 +270,7 @@
     let all = jobs(&[array("run-1", 2)]);
     let mut r = accepted();
     r.completed("run-1/0");
-    told_with(
+    answered_with(
         &mut r,
         &all,
         2_000,
@@ -284,10 +284,10 @@
 #[test]
 fn a_job_that_nobody_cancelled_or_submitted() {
     let mut r = accepted();
-    told(&mut r, 2_000, Question::Status, 200, Some(Phase::Aborted));
+    answered(&mut r, 2_000, Question::Status, 200, Some(Phase::Aborted));
     broke(&r, "went_back run-1: cancelled by nobody");
     let mut r = rules();
-    told_with(
+    answered_with(
         &mut r,
         &Jobs::new(),
         2_000,
@@ -297,7 +297,7 @@
     );
     broke(&r, "invented run-1");
     let mut r = accepted();
-    told(&mut r, 2_000, Question::Abort, 200, Some(Phase::Running));
+    answered(&mut r, 2_000, Question::Abort, 200, Some(Phase::Running));
     broke(&r, "not_cancelled run-1");
 }
 
@@ -346,11 +346,11 @@
     r.troubles_over(200_000);
     asks(&mut r, 200_000, 5_000, 274_000);
     clean(&r);
-    told(&mut r, 274_000, Question::Status, 200, Some(Phase::Queued));
+    answered(&mut r, 274_000, Question::Status, 200, Some(Phase::Queued));
     // Asked too seldom for that.
     asks(&mut r, 280_000, 20_000, 400_000);
     clean(&r);
-    told(&mut r, 400_000, Question::Status, 200, Some(Phase::Queued));
+    answered(&mut r, 400_000, Question::Status, 200, Some(Phase::Queued));
     asks(&mut r, 401_000, 5_000, 482_000);
     broke(&r, "forgotten run-1: no answer");
 }
--- a/crates/partitions/src/delegation.rs
+++ b/crates/partitions/src/delegation.rs
@@ -8,7 +8,7 @@
 mod permits;
 mod requests;
 
-pub use requests::{HeardMachine, RequestError};
+pub use requests::{RelinquishedMachine, RequestError};
 
 use crate::hash::{partition_of, PARTITION_COUNT};
 use constants::{ANSWER_RETENTION_MS, STEADY_REPORTS};
--- a/crates/partitions/src/delegation/requests.rs
+++ b/crates/partitions/src/delegation/requests.rs
@@ -18,7 +18,7 @@
 
 /// A machine that an owner no longer answers, as the owner last heard it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeardMachine {
+pub struct RelinquishedMachine {
     /// Machine.
     pub machine: String,
     /// Moment at which the owner last heard it, or somewhat later.
@@ -33,7 +33,7 @@
         owner: &str,
         request: &GrantRequest,
         now: u64,
-    ) -> Result<Vec<HeardMachine>, RequestError> {
+    ) -> Result<Vec<RelinquishedMachine>, RequestError> {
         if request.partition_count != PARTITION_COUNT {
             let theirs = request.partition_count;
             return Err(RequestError::PartitionCount { theirs });
@@ -82,7 +82,7 @@
         process: Process<'_>,
         relinquished: &Relinquished,
         now: u64,
-    ) -> HeardMachine {
+    ) -> RelinquishedMachine {
         // The interval is by the owner's clock. By ours it may be slightly shorter.
         let ago = |ms: u64| now.saturating_sub((ms as f64 / DRIFT) as u64);
         if let Some(ms) = relinquished.answered_ago_ms {
@@ -96,7 +96,7 @@
             state.withdrawn.remove(&relinquished.machine);
             self.ended.push(relinquished.machine.clone());
         }
-        HeardMachine {
+        RelinquishedMachine {
             machine: relinquished.machine.clone(),
             heard_at: ago(relinquished.heard_ago_ms),
         }
--- a/crates/partitions/src/lib.rs
+++ b/crates/partitions/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod rebalance;
 mod table;
 
-pub use delegation::{Delegation, HeardMachine, RequestError};
+pub use delegation::{Delegation, RelinquishedMachine, RequestError};
 pub use handover::Handover;
 pub use hash::{partition_of, HASH, PARTITION_COUNT};
 pub use owner::{Decision, Owner};
--- a/crates/partitions/src/owner/decisions.rs
+++ b/crates/partitions/src/owner/decisions.rs
@@ -15,7 +15,7 @@
         term: u64,
     },
     /// Forwards it to the leader.
-    PassOn,
+    Forward,
     /// Sends the worker to this controller, or to the leader.
     Redirect(Option<String>),
     /// Refuses it: it is a late copy of a report that was answered long ago.
@@ -49,7 +49,7 @@
             steady.heard_at = now;
         }
         self.forward(report);
-        Decision::PassOn
+        Decision::Forward
     }
 
     /// What to do with a report of a partition that is not granted to this owner.
@@ -71,7 +71,7 @@
             return Decision::Redirect(None);
         }
         self.forward(report);
-        Decision::PassOn
+        Decision::Forward
     }
 
     /// Whether a machine may be redirected to its owner. One that came back did not reach the owner, and is sent to
--- a/crates/partitions/tests/model.rs
+++ b/crates/partitions/tests/model.rs
@@ -231,7 +231,7 @@
                 self.check_answer(&name, owner)?;
                 self.answered.insert(name, self.now);
             }
-            Decision::PassOn => self.wire.push(Message::WorkerHeartbeat(owner, report)),
+            Decision::Forward => self.wire.push(Message::WorkerHeartbeat(owner, report)),
             Decision::Redirect(_) | Decision::Outdated => {}
         }
         Ok(())
--- a/crates/partitions/tests/owner.rs
+++ b/crates/partitions/tests/owner.rs
@@ -63,7 +63,7 @@
     let mut owner = Owner::new(BOOT, REPORT_MS);
     owner.on_term(TERM, 1_000);
     assert!(owner.on_grant(TERM, grant(1, 1_000), 1_000));
-    assert_eq!(owner.decide(&report(1), 1_000), Decision::PassOn);
+    assert_eq!(owner.decide(&report(1), 1_000), Decision::Forward);
     owner.on_permits(TERM, BOOT, vec![permit(1, 1)], 1_000);
     owner
 }
@@ -86,11 +86,11 @@
         let mut owner = answering();
         let mut other = report(2);
         change(&mut other);
-        assert_eq!(owner.decide(&other, 2_000), Decision::PassOn, "{number}");
+        assert_eq!(owner.decide(&other, 2_000), Decision::Forward, "{number}");
         // What was passed on ended the permit.
         assert_eq!(
             owner.decide(&report(3), 2_500),
-            Decision::PassOn,
+            Decision::Forward,
             "{number}"
         );
     }
@@ -109,24 +109,24 @@
 fn it_stops_with_its_grant_passes_on_for_a_while_and_then_names_the_leader() {
     let mut owner = answering();
     assert_eq!(owner.decide(&report(2), 4_999), ANSWER);
-    assert_eq!(owner.decide(&report(3), 5_000), Decision::PassOn);
-    assert_eq!(owner.decide(&report(4), 8_999), Decision::PassOn);
+    assert_eq!(owner.decide(&report(3), 5_000), Decision::Forward);
+    assert_eq!(owner.decide(&report(4), 8_999), Decision::Forward);
     assert_eq!(owner.decide(&report(5), 9_001), Decision::Redirect(None));
 }
 
 #[test]
 fn every_eighth_report_is_passed_on() {
     let mut owner = answering();
-    let mut passed_on = Vec::new();
+    let mut forwarded = Vec::new();
     for seq in 2..=20 {
         let now = 1_000 + (seq - 1) * REPORT_MS;
         owner.on_grant(TERM, grant(seq, now), now);
-        if owner.decide(&report(seq), now) == Decision::PassOn {
-            passed_on.push(seq);
+        if owner.decide(&report(seq), now) == Decision::Forward {
+            forwarded.push(seq);
             owner.on_permits(TERM, BOOT, vec![permit(seq, seq)], now);
         }
     }
-    assert_eq!(passed_on, [9, 17]);
+    assert_eq!(forwarded, [9, 17]);
 }
 
 #[test]
@@ -143,13 +143,13 @@
     );
     assert!(!owner.on_grant(TERM, grant(1, 9_000), 2_000), "a copy");
     assert_eq!(owner.decide(&report(2), 4_999), ANSWER);
-    assert_eq!(owner.decide(&report(3), 5_000), Decision::PassOn);
+    assert_eq!(owner.decide(&report(3), 5_000), Decision::Forward);
     // Permits of another process, out of order, for another report, or for a partition that is not the machine's.
     let mut owner = answering();
     owner.decide(&report(2), 2_000);
     let mut changed = report(3);
     changed.tasks.clear();
-    assert_eq!(owner.decide(&changed, 2_100), Decision::PassOn);
+    assert_eq!(owner.decide(&changed, 2_100), Decision::Forward);
     owner.on_permits(TERM, BOOT + 1, vec![permit(2, 3)], 2_100);
     owner.on_permits(TERM - 1, BOOT, vec![permit(2, 3)], 2_100);
     owner.on_permits(TERM, BOOT, vec![permit(1, 3)], 2_100);
@@ -157,12 +157,12 @@
     misplaced.partition.partition = (misplaced.partition.partition + 1) % 64;
     owner.on_permits(TERM, BOOT, vec![misplaced], 2_100);
     changed.seq = 4;
-    assert_eq!(owner.decide(&changed, 2_200), Decision::PassOn);
+    assert_eq!(owner.decide(&changed, 2_200), Decision::Forward);
     owner.on_permits(TERM, BOOT, vec![permit(3, 3)], 2_300);
     changed.seq = 5;
     assert_eq!(
         owner.decide(&changed, 2_400),
-        Decision::PassOn,
+        Decision::Forward,
         "it followed another report"
     );
     // Partitions that do not exist are ignored.
@@ -184,7 +184,7 @@
         (owner.steady_machines(), owner.partitions_held(2_000)),
         (0, 0)
     );
-    assert_eq!(owner.decide(&report(2), 2_000), Decision::PassOn);
+    assert_eq!(owner.decide(&report(2), 2_000), Decision::Forward);
     assert!(!owner.on_grant(TERM, grant(2, 2_000), 2_000));
     assert!(
         owner.on_grant(TERM + 1, grant(1, 2_000), 2_000),
@@ -197,7 +197,7 @@
     let mut owner = answering();
     let mut changed = report(2);
     changed.tasks.clear();
-    assert_eq!(owner.decide(&changed, 2_000), Decision::PassOn);
+    assert_eq!(owner.decide(&changed, 2_000), Decision::Forward);
     let recalled = RecalledPermit {
         machine: MACHINE.into(),
         permit: 2,
@@ -205,7 +205,7 @@
     owner.on_recall(TERM, BOOT, &[recalled]);
     owner.on_permits(TERM, BOOT, vec![permit(2, 2)], 2_100);
     changed.seq = 3;
-    assert_eq!(owner.decide(&changed, 2_200), Decision::PassOn);
+    assert_eq!(owner.decide(&changed, 2_200), Decision::Forward);
 }
 
 #[test]
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -34,7 +34,7 @@
     /// Labels of all controllers, this one included.
     labels: Vec<String>,
     /// Why no old process can be left, if something other than the records proves it.
-    proof: Option<&'static str>,
+    evidence: Option<&'static str>,
     raised: bool,
     busy: bool,
     next_at: u64,
@@ -46,7 +46,7 @@
         GenerationMachine {
             label: label.to_string(),
             labels: siblings.chain([label.to_string()]).collect(),
-            proof: None,
+            evidence: None,
             raised: false,
             busy: false,
             next_at: 0,
@@ -64,7 +64,7 @@
     /// Which features may be used.
     pub fn gates(&self) -> Gates {
         let mut gates = Gates::closed(LevelRange::BUILD);
-        if self.raised || self.proof.is_some() {
+        if self.raised || self.evidence.is_some() {
             gates.prove_generation_1();
         }
         gates
@@ -72,8 +72,8 @@
 
     /// Something happened that happens only after the upgrade.
     pub fn proven(&mut self, why: &'static str, now: u64) {
-        if !self.raised && self.proof.is_none() {
-            self.proof = Some(why);
+        if !self.raised && self.evidence.is_none() {
+            self.evidence = Some(why);
             self.next_at = now;
         }
     }
@@ -146,7 +146,7 @@
         let own = read(&own_key);
         if own.generation < GENERATION_1 {
             let request = raise(own_key, own, Vec::new());
-            return self.ask(request, vec![Event::GenerationTold]);
+            return self.ask(request, vec![Event::GenerationRecorded]);
         }
         let nodes: Vec<(String, Read)> = self
             .labels
@@ -156,10 +156,10 @@
             .collect();
         let has_recorded = |(_, read): &&(String, Read)| read.generation >= GENERATION_1;
         let missing = nodes.len() - nodes.iter().filter(has_recorded).count();
-        if missing > 0 && self.proof.is_none() {
+        if missing > 0 && self.evidence.is_none() {
             return Output::default();
         }
-        let compares = match self.proof {
+        let compares = match self.evidence {
             Some(_) => Vec::new(),
             None => {
                 let guarded = nodes.into_iter().take(GUARDED_LABELS);
@@ -168,9 +168,9 @@
                     .collect()
             }
         };
-        let proof = self.proof.unwrap_or("every node has told");
+        let evidence = self.evidence.unwrap_or("every node has told");
         let request = raise(MARK.to_string(), mark, compares);
-        self.ask(request, vec![Event::MarkRaised { missing, proof }])
+        self.ask(request, vec![Event::MarkRaised { missing, evidence }])
     }
 }
 
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -73,7 +73,7 @@
     busy: bool,
     next_at: u64,
     /// What proves that generation 1 is final, if anything does.
-    proof: Option<&'static str>,
+    evidence: Option<&'static str>,
     /// The leader, as the election knows it.
     leader: Option<String>,
 }
@@ -93,7 +93,7 @@
             step: Step::Idle,
             busy: false,
             next_at: 0,
-            proof: None,
+            evidence: None,
             leader: None,
         }
     }
@@ -167,7 +167,7 @@
     }
 
     /// The process stood still, or was notified of a change of the level: the last reading may be outdated.
-    pub fn read_anew(&mut self, now: u64) {
+    pub fn reread(&mut self, now: u64) {
         self.gates.forget();
         self.step = Step::Idle;
         self.busy = false;
@@ -177,8 +177,8 @@
 
     /// Something happened that happens only when every controller runs generation 1.
     pub fn proven(&mut self, why: &'static str, now: u64) {
-        if self.proof.is_none() {
-            self.proof = Some(why);
+        if self.evidence.is_none() {
+            self.evidence = Some(why);
             self.next_at = self.next_at.min(now);
         }
         self.gates.prove_generation_1();
--- a/crates/rollout/src/machine/transitions.rs
+++ b/crates/rollout/src/machine/transitions.rs
@@ -15,7 +15,7 @@
         if !self.is_admitted() {
             return self.idle(now + LEVEL_POLL_MS);
         }
-        if self.proof.is_some() && snapshot.finalized() < GENERATION_1 {
+        if self.evidence.is_some() && snapshot.finalized() < GENERATION_1 {
             let txn = plan::proven(snapshot, GENERATION_1);
             return self.send(Step::Prove, Request::Commit(txn));
         }
--- a/crates/rollout/src/observation.rs
+++ b/crates/rollout/src/observation.rs
@@ -20,8 +20,8 @@
 #[derive(Debug, Clone, Copy)]
 struct Process {
     boot: u64,
-    first_heard: u64,
-    last_heard: u64,
+    first_contact: u64,
+    last_contact: u64,
 }
 
 /// What is observed of one controller.
@@ -44,7 +44,7 @@
     pub fn on_heartbeat(&mut self, label: &str, boot: u64, now: u64) {
         let observed = self.controllers.entry(label.to_string()).or_default();
         match &mut observed.process {
-            Some(process) if process.boot == boot => process.last_heard = now,
+            Some(process) if process.boot == boot => process.last_contact = now,
             process => {
                 if process.is_some() {
                     observed.restarts.push(now);
@@ -52,8 +52,8 @@
                 }
                 *process = Some(Process {
                     boot,
-                    first_heard: now,
-                    last_heard: now,
+                    first_contact: now,
+                    last_contact: now,
                 });
             }
         }
@@ -67,14 +67,14 @@
             .controllers
             .get(label)
             .and_then(|observed| observed.process);
-        let Some(process) = process.filter(|process| now < process.last_heard + PEER_FRESH_MS)
+        let Some(process) = process.filter(|process| now < process.last_contact + PEER_FRESH_MS)
         else {
             return Liveness::Silent;
         };
         if announced_boot == Some(process.boot) {
             return Liveness::Confirmed;
         }
-        match now < process.first_heard + ANNOUNCE_GRACE_MS {
+        match now < process.first_contact + ANNOUNCE_GRACE_MS {
             true => Liveness::Starting,
             false => Liveness::Unannounced,
         }
--- a/crates/rollout/src/request.rs
+++ b/crates/rollout/src/request.rs
@@ -94,13 +94,13 @@
         key: String,
     },
     /// Generation 1: this node has recorded its generation.
-    GenerationTold,
+    GenerationRecorded,
     /// Generation 1: the mark is about to be raised.
     MarkRaised {
         /// Nodes that have not recorded their generation.
         missing: usize,
         /// Why no old process can be left.
-        proof: &'static str,
+        evidence: &'static str,
     },
     /// Generation 1: the mark is known to be raised.
     MarkSeen {
