--- a/crates/control/src/leader/fleet/renting.rs
+++ b/crates/control/src/leader/fleet/renting.rs
@@ -38,7 +38,7 @@
 }
 
 fn rental_offer(record: &RentalRecord) -> OfferKey {
-    (record.kind.clone(), record.zone.clone(), record.spot)
+    OfferKey::new(&record.kind, &record.zone, record.spot)
 }
 
 impl Leader {
@@ -127,8 +127,8 @@
         for machine_type in types {
             for zone in &machine_type.zones {
                 for spot in [false, true] {
-                    let key = (machine_type.name.clone(), zone.clone(), spot);
-                    let refused = self.offer_backoff.get(&key);
+                    let key = OfferKey::new(&machine_type.name, zone, spot);
+                    let backoff = self.offer_backoff.get(&key);
                     offers.push(Offer {
                         kind: snapshot.kinds.number(&machine_type.name),
                         zone: snapshot.zones.number(zone),
@@ -138,7 +138,7 @@
                             true => machine_type.spot_price,
                             false => machine_type.price,
                         },
-                        open: refused.is_none_or(|(until, _)| now.mono >= *until),
+                        open: backoff.is_none_or(|backoff| now.mono >= backoff.until),
                     });
                     keys.push(key);
                 }
@@ -154,7 +154,7 @@
         let silent_ms = self.silent_ms();
         for machine in self.machines.values() {
             if is_expected(machine, silent_ms, now.mono) {
-                let key = (machine.kind.clone(), machine.zone.clone(), machine.spot);
+                let key = OfferKey::new(&machine.kind, &machine.zone, machine.spot);
                 if let Some(number) = offers.number(&key) {
                     counts[number] += 1;
                 }
@@ -202,7 +202,11 @@
     }
 
     fn create_rental(&mut self, offer: &OfferKey, count: u32, now: Now) {
-        let (kind, zone, spot) = offer.clone();
+        let OfferKey {
+            machine_type: kind,
+            zone,
+            spot,
+        } = offer.clone();
         self.next_request += 1;
         // The term makes the name unique among all leaders there ever were.
         let name = format!("t{}-{}", self.term, self.next_request);
--- a/crates/control/src/leader/fleet/replies.rs
+++ b/crates/control/src/leader/fleet/replies.rs
@@ -2,7 +2,7 @@
 
 use crate::effects::{Effects, NodeEvent, Now};
 use crate::leader::model::Machine;
-use crate::leader::{Leader, OfferKey};
+use crate::leader::{Leader, OfferBackoff, OfferKey};
 use crate::requests::{CloudOp, CloudReply, CloudRequest, RecordId};
 use constants::{NO_CAPACITY_MAX_MS, NO_CAPACITY_MS};
 use wire::cloud::{MachineType, Rent};
@@ -14,6 +14,11 @@
 /// Milliseconds until a rental whose outcome is unknown is requested again, under the same name.
 const RENTAL_RETRY_MS: u64 = 2_000;
 
+/// The offer that a rental asked for.
+fn requested_offer(rent: &Rent) -> OfferKey {
+    OfferKey::new(&rent.kind, &rent.zone, rent.spot)
+}
+
 impl Leader {
     /// Takes in the reply to a request of this leader.
     pub(in crate::leader) fn on_cloud_reply(
@@ -77,7 +82,7 @@
             CloudReply::Rented(machines) => self.on_rented(name, rent, machines, now),
             CloudReply::NoCapacity | CloudReply::Invalid => {
                 rental.record.desired = None;
-                self.no_capacity((rent.kind, rent.zone, rent.spot), now);
+                self.no_capacity(requested_offer(&rent), now);
                 self.queue_write(RecordId::Rental(name.to_string()));
             }
             _ => rental.retry_at = now.mono + RENTAL_RETRY_MS,
@@ -95,7 +100,7 @@
             now.mono - rental.since
         );
         rental.granted_at = Some(now.mono);
-        let offer = (rent.kind.clone(), rent.zone.clone(), rent.spot);
+        let offer = requested_offer(&rent);
         if machines.len() < rent.count as usize {
             self.no_capacity(offer, now);
         } else {
@@ -125,11 +130,20 @@
         let last_pause_ms = self
             .offer_backoff
             .get(&offer)
-            .map_or(0, |(_, pause_ms)| *pause_ms);
+            .map_or(0, |backoff| backoff.pause_ms);
         let pause_ms = (last_pause_ms * 2).clamp(NO_CAPACITY_MS, NO_CAPACITY_MAX_MS);
-        let (kind, zone, spot) = &offer;
+        let OfferKey {
+            machine_type: kind,
+            zone,
+            spot,
+        } = &offer;
         log::info!("event=no_capacity kind={kind} zone={zone} spot={spot} pause_ms={pause_ms}");
-        self.offer_backoff
-            .insert(offer, (now.mono + pause_ms, pause_ms));
+        self.offer_backoff.insert(
+            offer,
+            OfferBackoff {
+                until: now.mono + pause_ms,
+                pause_ms,
+            },
+        );
     }
 }
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -43,7 +43,7 @@
 use job_watch::JobWatch;
 use loading::Loading;
 use model::{BootTimes, Job, Machine, RecordCell};
-use rental::{OfferKey, Rental};
+use rental::{OfferBackoff, OfferKey, Rental};
 use start_latencies::StartLatencies;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use wire::cloud::MachineType;
@@ -140,7 +140,7 @@
     types: RecordCell<Vec<MachineType>>,
     next_request: u64,
     /// Offers that the cloud had no capacity for: until when they are left alone, and for how long.
-    offer_backoff: HashMap<OfferKey, (u64, u64)>,
+    offer_backoff: HashMap<OfferKey, OfferBackoff>,
     /// Offers whose last request was filled in full: several may be requested at once.
     filled_offers: BTreeSet<OfferKey>,
     next_list: u64,
--- a/crates/control/src/leader/model/job/chunks.rs
+++ b/crates/control/src/leader/model/job/chunks.rs
@@ -5,6 +5,15 @@
 use sched::RangeSet;
 use wire::records::ChunkRecord;
 
+/// Run times of a job's tasks that were timed.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct RunTimeSample {
+    /// Mean run time in seconds, 0 if none was timed.
+    pub mean_s: f64,
+    /// How many tasks were timed.
+    pub timed_tasks: u32,
+}
+
 impl Job {
     /// The chunk that a task is in, if it has been created.
     pub fn chunk(&self, task: u32) -> Option<&Chunk> {
@@ -82,7 +91,7 @@
     pub fn put(&mut self, task: u32, machine: &str, attempt: u64, pilot: bool, now: u64) {
         let chunk = self.chunk_or_default(task);
         chunk.seq += 1;
-        chunk.hi = chunk.hi.max(attempt);
+        chunk.highest_attempt = chunk.highest_attempt.max(attempt);
         let assignment = Assignment::ready(machine, attempt, chunk.seq, pilot, now);
         chunk.assignments.insert(task, assignment);
         self.assigned += 1;
@@ -115,8 +124,8 @@
         }
         chunk.seq += 1;
         if let Some(secs) = secs {
-            chunk.secs += secs;
-            chunk.timed += 1;
+            chunk.run_seconds += secs;
+            chunk.timed_tasks += 1;
         }
         self.busy.insert(task);
         self.done += 1;
@@ -127,15 +136,18 @@
     pub fn highest_attempt(&self) -> u64 {
         self.chunks
             .values()
-            .map(|chunk| chunk.hi)
+            .map(|chunk| chunk.highest_attempt)
             .max()
             .unwrap_or(0)
     }
 
-    /// Mean run time of timed tasks in seconds, and their number.
-    pub fn sample(&self) -> (f64, u32) {
-        let secs: f64 = self.chunks.values().map(|chunk| chunk.secs).sum();
-        let timed: u32 = self.chunks.values().map(|chunk| chunk.timed).sum();
-        (secs / f64::from(timed.max(1)), timed)
+    /// What the tasks that were timed say of the job's run time.
+    pub fn run_time_sample(&self) -> RunTimeSample {
+        let run_seconds: f64 = self.chunks.values().map(|chunk| chunk.run_seconds).sum();
+        let timed_tasks: u32 = self.chunks.values().map(|chunk| chunk.timed_tasks).sum();
+        RunTimeSample {
+            mean_s: run_seconds / f64::from(timed_tasks.max(1)),
+            timed_tasks,
+        }
     }
 }
--- a/crates/control/src/leader/model/job/failures.rs
+++ b/crates/control/src/leader/model/job/failures.rs
@@ -51,7 +51,10 @@
     }
 
     fn sum_of_highest_attempts(&self) -> u64 {
-        self.chunks.values().map(|chunk| chunk.hi).sum()
+        self.chunks
+            .values()
+            .map(|chunk| chunk.highest_attempt)
+            .sum()
     }
 
     /// Milliseconds of backoff after a failure.
--- a/crates/control/src/leader/model/job/tests.rs
+++ b/crates/control/src/leader/model/job/tests.rs
@@ -21,7 +21,7 @@
     }
     job.complete(31, Some(4.0));
     assert_eq!((job.parts_in(1, true), job.chunks.len()), (1..2, 3));
-    let (wide_chunk, sample) = (job.chunks[&0].clone(), job.sample());
+    let (wide_chunk, sample) = (job.chunks[&0].clone(), job.run_time_sample());
     job.split();
     assert_eq!(
         (job.parts_in(1, true), job.parts_in(1, false)),
@@ -29,11 +29,14 @@
     );
     // 300 tasks are ten dense chunks; attempts and change numbers continue in each of them.
     assert!(job.chunks.keys().copied().eq(0..10));
-    assert!(job.chunks.values().all(|chunk| chunk.hi == 1));
+    assert!(job.chunks.values().all(|chunk| chunk.highest_attempt == 1));
     assert!((0..4).all(|number| job.chunks[&number].seq == wide_chunk.seq));
     let assignments: Vec<u32> = job.assignments().map(|(task, _)| task).collect();
     assert_eq!(assignments, [0, 31, 32, 130, 299]);
-    assert_eq!((job.sample(), job.chunks[&0].done.len()), (sample, 1));
+    assert_eq!(
+        (job.run_time_sample(), job.chunks[&0].done.len()),
+        (sample, 1)
+    );
     assert!(job.assignment(130).is_some() && job.assignment(131).is_none());
     job.count_chunks();
     assert_eq!((job.done, job.assigned), (1, 5));
--- a/crates/control/src/leader/model/task_chunk.rs
+++ b/crates/control/src/leader/model/task_chunk.rs
@@ -27,11 +27,11 @@
     /// Assignments by task.
     pub assignments: BTreeMap<u32, Assignment>,
     /// Highest attempt given out to any task.
-    pub hi: u64,
+    pub highest_attempt: u64,
     /// Sum of the run times of timed tasks, in seconds.
-    pub secs: f64,
+    pub run_seconds: f64,
     /// Number of timed tasks.
-    pub timed: u32,
+    pub timed_tasks: u32,
     /// Number of the last change.
     pub seq: u64,
     /// Number of the last change that is known to be recorded.
@@ -49,9 +49,9 @@
             home: Some(page),
             done: RangeSet::parse(&record.done).unwrap_or_default(),
             assignments: assignments.collect(),
-            hi: record.hi,
-            secs: record.secs,
-            timed: record.timed,
+            highest_attempt: record.hi,
+            run_seconds: record.secs,
+            timed_tasks: record.timed,
             seq,
             saved: seq,
         }
@@ -65,9 +65,9 @@
             at: assignments
                 .map(|(task, a)| (*task, a.attempt, a.machine.clone()))
                 .collect(),
-            hi: self.hi,
-            secs: self.secs,
-            timed: self.timed,
+            hi: self.highest_attempt,
+            secs: self.run_seconds,
+            timed: self.timed_tasks,
         }
     }
 
@@ -113,7 +113,7 @@
     /// An attempt's number is written out unless it is the chunk's highest. A `:` in the machine's name also has it
     /// written out, since it separates the two.
     fn dense_attempt_bytes(&self, assignment: &Assignment) -> usize {
-        if assignment.attempt == self.hi && !assignment.machine.contains(':') {
+        if assignment.attempt == self.highest_attempt && !assignment.machine.contains(':') {
             0
         } else {
             DENSE_ATTEMPT_BYTES
@@ -143,17 +143,17 @@
             .assignments
             .range(tasks)
             .map(|(task, assignment)| (*task, assignment.clone()));
-        let (secs, timed) = match is_first {
-            true => (self.secs, self.timed),
+        let (run_seconds, timed_tasks) = match is_first {
+            true => (self.run_seconds, self.timed_tasks),
             false => (0.0, 0),
         };
         Chunk {
             home: self.home,
             done,
             assignments: assignments.collect(),
-            hi: self.hi,
-            secs,
-            timed,
+            highest_attempt: self.highest_attempt,
+            run_seconds,
+            timed_tasks,
             seq: self.seq,
             saved: self.saved,
         }
--- a/crates/control/src/leader/planning/decisions.rs
+++ b/crates/control/src/leader/planning/decisions.rs
@@ -107,7 +107,7 @@
             let attempt = if job.is_gang() {
                 present_attempt.unwrap_or(highest_attempt + 1)
             } else {
-                job.chunk(task).map_or(0, |chunk| chunk.hi) + 1
+                job.chunk(task).map_or(0, |chunk| chunk.highest_attempt) + 1
             };
             let name = &subjects.machines[machine];
             job.put(task, name, attempt, placement.pilots, now.mono);
--- a/crates/control/src/leader/planning/estimates.rs
+++ b/crates/control/src/leader/planning/estimates.rs
@@ -27,7 +27,7 @@
 impl Leader {
     /// The mean run time of a job's completed tasks once enough of them were timed, before that the submitter's guess.
     pub(in crate::leader) fn task_estimate(&self, job: &Job) -> TaskEstimate {
-        let (mean_s, timed) = job.sample();
+        let sample = job.run_time_sample();
         if job.is_service() {
             return TaskEstimate {
                 seconds: f64::MAX,
@@ -38,9 +38,9 @@
             true => 0,
             false => pilots_of(&self.operator.policy(), job.tasks()),
         };
-        if timed > 0 && timed >= pilots {
+        if sample.timed_tasks > 0 && sample.timed_tasks >= pilots {
             return TaskEstimate {
-                seconds: mean_s,
+                seconds: sample.mean_s,
                 sampling: false,
             };
         }
--- a/crates/control/src/leader/planning/job_snapshots.rs
+++ b/crates/control/src/leader/planning/job_snapshots.rs
@@ -205,9 +205,9 @@
         if !entry.estimate.sampling {
             return 0;
         }
-        let (_, timed) = entry.job.sample();
+        let timed_tasks = entry.job.run_time_sample().timed_tasks;
         let wanted = pilots_of(&self.policy, entry.job.tasks());
-        wanted.saturating_sub(usage.pilots + timed)
+        wanted.saturating_sub(usage.pilots + timed_tasks)
     }
 
     /// Queue by the task-seconds that are left. Services skip the queues.
--- a/crates/control/src/leader/rental.rs
+++ b/crates/control/src/leader/rental.rs
@@ -3,8 +3,36 @@
 use super::model::RecordCell;
 use wire::records::RentalRecord;
 
-/// Type, zone and kind (`true` for spot) of machines that the cloud offers.
-pub(super) type OfferKey = (String, String, bool);
+/// What the cloud offers machines under.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub(super) struct OfferKey {
+    /// Machine type.
+    pub machine_type: String,
+    /// Zone.
+    pub zone: String,
+    /// Whether the machines are spot ones.
+    pub spot: bool,
+}
+
+impl OfferKey {
+    /// The offer of a machine type in a zone.
+    pub fn new(machine_type: &str, zone: &str, spot: bool) -> Self {
+        OfferKey {
+            machine_type: machine_type.to_string(),
+            zone: zone.to_string(),
+            spot,
+        }
+    }
+}
+
+/// Time for which an offer is left alone after the cloud had no such machines.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct OfferBackoff {
+    /// When it may be asked for again.
+    pub until: u64,
+    /// Milliseconds of the pause, which doubles each time.
+    pub pause_ms: u64,
+}
 
 /// A rental request. Times are of the steady clock, in milliseconds.
 #[derive(Debug, Clone)]
--- a/crates/control/src/leader/worker_heartbeats/task_state.rs
+++ b/crates/control/src/leader/worker_heartbeats/task_state.rs
@@ -173,7 +173,7 @@
             return;
         };
         let ran_s = ended.ran_s(now);
-        let (mean_s, timed) = job.sample();
+        let sample = job.run_time_sample();
         job.failures = 0;
         job.failed_under_earlier_leaders = false;
         job.failed_machines.clear();
@@ -182,8 +182,8 @@
             return;
         };
         machine.failed_jobs.clear();
-        if let Some(ran_s) = ran_s.filter(|_| timed > 0 && mean_s > 0.0) {
-            machine.relative_run_times.0 += ran_s / mean_s;
+        if let Some(ran_s) = ran_s.filter(|_| sample.timed_tasks > 0 && sample.mean_s > 0.0) {
+            machine.relative_run_times.0 += ran_s / sample.mean_s;
             machine.relative_run_times.1 += 1;
         }
     }
