--- a/crates/vetchmount/src/clients.rs
+++ b/crates/vetchmount/src/clients.rs
@@ -1,18 +1,24 @@
-//! Our own calls: pooled connections, timeouts, bounded queues.
+//! Calls of this process to the state service, the cloud and workers.
+//!
+//! Connections are pooled per address and reused; calls for which none is free wait in a bounded queue. Every call has
+//! a deadline, whether it is waiting or has been sent.
 
-use crate::net::{Conn, KeySequence};
-use constants::*;
+mod link;
+mod pool;
+mod waiting;
+
+use crate::net::KeySequence;
 use control::{CallError, CallId};
-use http::{encode_request, ResponseParser};
 use polling::Poller;
-use std::collections::{HashMap, VecDeque};
+use pool::{LinkChoice, LinkPool};
 use std::net::SocketAddrV4;
+use waiting::WaitingCalls;
 
 /// A call to be made.
 pub struct Call {
-    /// Its number.
+    /// Identifies the call in its outcome.
     pub id: CallId,
-    /// Whom to call.
+    /// Address of the recipient.
     pub addr: SocketAddrV4,
     /// HTTP method.
     pub method: &'static str,
@@ -20,234 +26,159 @@
     pub path: String,
     /// Body.
     pub body: Vec<u8>,
-    /// When it is given up.
+    /// Steady clock at which the call fails.
     pub deadline: u64,
 }
 
-struct Link {
-    conn: Conn,
-    addr: SocketAddrV4,
-    parser: ResponseParser,
-    connected: bool,
-    connect_by: u64,
-    /// Call being answered, and when it is given up.
-    open: Option<(CallId, u64)>,
-    idle_since: u64,
+/// How a call ended.
+#[derive(Debug, PartialEq, Eq)]
+pub struct CallOutcome {
+    /// The call.
+    pub call: CallId,
+    /// HTTP status and body, or why there are none.
+    pub result: Result<(u16, Vec<u8>), CallError>,
 }
 
-/// What came of a call.
-pub type Outcome = (CallId, Result<(u16, Vec<u8>), CallError>);
+impl CallOutcome {
+    /// The outcome of a call that has no reply.
+    pub fn failed(call: CallId, error: CallError) -> Self {
+        CallOutcome {
+            call,
+            result: Err(error),
+        }
+    }
+}
 
-/// All connections of our own.
+/// All calls that are not over, and the connections that they use.
 #[derive(Default)]
 pub struct Clients {
-    links: HashMap<usize, Link>,
-    waiting: HashMap<SocketAddrV4, VecDeque<Call>>,
+    links: LinkPool,
+    waiting: WaitingCalls,
 }
 
 impl Clients {
-    /// Whether a key is one of these connections.
+    /// Whether a poller key belongs to one of these connections.
     pub fn has(&self, key: usize) -> bool {
-        self.links.contains_key(&key)
+        self.links.has(key)
     }
 
-    /// Makes a call, at once or when a connection is free.
+    /// Makes a call, at once or when a connection is free. It fails at once if the queue of its address is full.
     pub fn call(
         &mut self,
         poller: &Poller,
         call: Call,
         keys: &mut KeySequence,
         now: u64,
-        done: &mut Vec<Outcome>,
+        outcomes: &mut Vec<CallOutcome>,
     ) {
         let addr = call.addr;
-        let queue = self.waiting.entry(addr).or_default();
-        if queue.len() >= CLIENT_QUEUE {
-            done.push((call.id, Err(CallError::NotSent)));
-            return;
+        match self.waiting.push(call) {
+            Ok(()) => self.send_waiting(poller, addr, keys, now, outcomes),
+            Err(rejected) => outcomes.push(CallOutcome::failed(rejected.id, CallError::NotSent)),
         }
-        queue.push_back(call);
-        self.drive(poller, addr, keys, now, done);
     }
 
-    /// Gives waiting calls to free connections, opening more if there are too few.
-    fn drive(
+    /// Gives waiting calls to free connections, and opens more connections if there are too few.
+    fn send_waiting(
         &mut self,
         poller: &Poller,
         addr: SocketAddrV4,
         keys: &mut KeySequence,
         now: u64,
-        done: &mut Vec<Outcome>,
+        outcomes: &mut Vec<CallOutcome>,
     ) {
         loop {
-            let Some(queue) = self.waiting.get_mut(&addr).filter(|q| !q.is_empty()) else {
-                return;
-            };
-            let mine = || self.links.iter().filter(|(_, l)| l.addr == addr);
-            let free = mine()
-                .filter(|(_, l)| l.connected && l.open.is_none())
-                .max_by_key(|(_, l)| l.idle_since)
-                .map(|(k, _)| *k);
-            if let Some(key) = free {
-                let (Some(call), Some(link)) = (queue.pop_front(), self.links.get_mut(&key)) else {
-                    return;
-                };
-                let host = addr.to_string();
-                encode_request(link.conn.out(), call.method, &host, &call.path, &call.body);
-                link.open = Some((call.id, call.deadline));
-                if link.conn.flush(poller).is_err() {
-                    self.drop_link(poller, key, done);
-                }
-                continue;
-            }
-            let connecting = mine().filter(|(_, l)| !l.connected).count();
-            if connecting >= queue.len() || mine().count() >= CLIENT_CONNS {
+            let waiting = self.waiting.count(addr);
+            if waiting == 0 {
                 return;
             }
-            let key = keys.take();
-            match Conn::connect(poller, addr, key) {
-                Ok(conn) => {
-                    let link = Link {
-                        conn,
-                        addr,
-                        parser: ResponseParser::default(),
-                        connected: false,
-                        connect_by: now + CONNECT_TIMEOUT_MS,
-                        open: None,
-                        idle_since: now,
-                    };
-                    self.links.insert(key, link);
-                }
-                Err(_) => {
-                    for call in queue.drain(..) {
-                        done.push((call.id, Err(CallError::NotSent)));
+            match self.links.choose(addr, waiting) {
+                LinkChoice::Free(key) => self.send_next(poller, addr, key, outcomes),
+                LinkChoice::OpenAnother => {
+                    let opened = self.links.open(poller, addr, keys, now);
+                    if opened.is_err() {
+                        return self.waiting.fail_all(addr, outcomes);
                     }
-                    return;
                 }
+                LinkChoice::Wait => return,
             }
         }
     }
 
-    fn drop_link(&mut self, poller: &Poller, key: usize, done: &mut Vec<Outcome>) {
-        if let Some(link) = self.links.remove(&key) {
-            if let Some((id, _)) = link.open {
-                done.push((id, Err(CallError::Unknown)));
-            }
-            link.conn.close(poller);
-        }
-    }
-
-    /// Fails what waits for an address nobody answers at.
-    fn refuse_waiting(&mut self, addr: SocketAddrV4, done: &mut Vec<Outcome>) {
-        let others = self.links.values().any(|l| l.addr == addr);
-        if !others {
-            for call in self.waiting.remove(&addr).into_iter().flatten() {
-                done.push((call.id, Err(CallError::NotSent)));
-            }
+    /// Sends the first waiting call of an address on a free connection.
+    fn send_next(
+        &mut self,
+        poller: &Poller,
+        addr: SocketAddrV4,
+        key: usize,
+        outcomes: &mut Vec<CallOutcome>,
+    ) {
+        let Some(link) = self.links.get_mut(key) else {
+            return;
+        };
+        let Some(call) = self.waiting.pop(addr) else {
+            return;
+        };
+        if link.send(poller, &call).is_err() {
+            self.links.close(poller, key, outcomes);
         }
     }
 
-    /// Something can be read or written.
+    /// Handles an event of the poller for one of these connections.
     pub fn on_event(
         &mut self,
         poller: &Poller,
         key: usize,
-        buf: &mut [u8],
+        buffer: &mut [u8],
         keys: &mut KeySequence,
         now: u64,
-        done: &mut Vec<Outcome>,
+        outcomes: &mut Vec<CallOutcome>,
     ) {
-        let Some(link) = self.links.get_mut(&key) else {
+        let Some(link) = self.links.get_mut(key) else {
             return;
         };
-        let addr = link.addr;
-        if !link.connected {
-            match link.conn.connected() {
-                Ok(()) => link.connected = true,
-                Err(_) => {
-                    self.drop_link(poller, key, done);
-                    return self.refuse_waiting(addr, done);
-                }
-            }
+        let addr = link.addr();
+        if link.finish_connecting().is_err() {
+            self.links.close(poller, key, outcomes);
+            return self.fail_unreachable(addr, outcomes);
         }
-        let parser = &mut link.parser;
-        let open = link.conn.read(buf, |bytes| parser.feed(bytes));
-        let flushed = link.conn.flush(poller);
-        let mut useless = flushed.is_err() || !matches!(open, Ok(true));
-        match link.parser.next_response() {
-            Ok(Some(response)) => {
-                link.idle_since = now;
-                useless |= response.close;
-                match link.open.take() {
-                    Some((id, _)) => done.push((id, Ok((response.status, response.body)))),
-                    None => useless = true,
-                }
-            }
-            Ok(None) => {}
-            Err(_) => useless = true,
+        if !link.exchange(poller, buffer, now, outcomes) {
+            self.links.close(poller, key, outcomes);
         }
-        if useless {
-            self.drop_link(poller, key, done);
+        self.send_waiting(poller, addr, keys, now, outcomes);
+    }
+
+    /// Fails the calls that wait for an address to which no connection is left.
+    fn fail_unreachable(&mut self, addr: SocketAddrV4, outcomes: &mut Vec<CallOutcome>) {
+        if !self.links.has_address(addr) {
+            self.waiting.fail_all(addr, outcomes);
         }
-        self.drive(poller, addr, keys, now, done);
     }
 
-    /// Gives up what took too long.
+    /// Fails calls whose deadline has passed, and closes connections that are no longer of use.
     pub fn expire(
         &mut self,
         poller: &Poller,
         keys: &mut KeySequence,
         now: u64,
-        done: &mut Vec<Outcome>,
+        outcomes: &mut Vec<CallOutcome>,
     ) {
-        self.expire_waiting(now, done);
-        let dead: Vec<(usize, SocketAddrV4)> = self
-            .links
-            .iter()
-            .filter(|(_, l)| match l.open {
-                Some((_, deadline)) => now >= deadline,
-                None if !l.connected => now >= l.connect_by,
-                None => now > l.idle_since + IDLE_CLIENT_MS,
-            })
-            .map(|(k, l)| (*k, l.addr))
-            .collect();
-        for (key, _) in &dead {
-            self.drop_link(poller, *key, done);
-        }
-        for (_, addr) in dead {
-            self.refuse_waiting(addr, done);
-            self.drive(poller, addr, keys, now, done);
+        self.waiting.expire(now, outcomes);
+        let expired = self.links.expired(now);
+        for (key, _) in &expired {
+            self.links.close(poller, *key, outcomes);
         }
-    }
-
-    /// Gives up calls that have waited for a connection until their deadline.
-    ///
-    /// Each call has its own deadline, whatever its position in the queue: a watch may wait four times as long as the
-    /// transaction behind it. A call that is overdue but left in the queue would make [`Clients::next_wake`] ask for a
-    /// turn at once, again and again, until the first one is over.
-    fn expire_waiting(&mut self, now: u64, done: &mut Vec<Outcome>) {
-        for queue in self.waiting.values_mut() {
-            queue.retain(|call| {
-                let is_overdue = now >= call.deadline;
-                if is_overdue {
-                    done.push((call.id, Err(CallError::NotSent)));
-                }
-                !is_overdue
-            });
+        for (_, addr) in expired {
+            self.fail_unreachable(addr, outcomes);
+            self.send_waiting(poller, addr, keys, now, outcomes);
         }
-        self.waiting.retain(|_, queue| !queue.is_empty());
     }
 
-    /// When the next call or connection times out.
+    /// Steady clock at which the next call or connection times out.
     pub fn next_wake(&self) -> u64 {
-        let link = |l: &Link| match l.open {
-            Some((_, deadline)) => deadline,
-            None if !l.connected => l.connect_by,
-            None => l.idle_since + IDLE_CLIENT_MS + 1,
-        };
-        let links = self.links.values().map(link).min();
-        let calls = self.waiting.values().flatten().map(|c| c.deadline).min();
-        links.unwrap_or(u64::MAX).min(calls.unwrap_or(u64::MAX))
+        let links = self.links.next_expiry().unwrap_or(u64::MAX);
+        let calls = self.waiting.next_deadline().unwrap_or(u64::MAX);
+        links.min(calls)
     }
 }
 
--- a/crates/vetchmount/src/clients/tests.rs
+++ b/crates/vetchmount/src/clients/tests.rs
@@ -1,6 +1,6 @@
 //! Calls that wait for a connection, against a listener that never answers.
 
-use super::{Call, CallError, Clients, Outcome};
+use super::{Call, CallError, CallOutcome, Clients};
 use crate::net::KeySequence;
 use constants::{CLIENT_CONNS, CONNECT_TIMEOUT_MS};
 use polling::{Events, Poller};
@@ -38,8 +38,8 @@
     poller: Poller,
     clients: Clients,
     keys: KeySequence,
-    /// What has come of calls so far.
-    done: Vec<Outcome>,
+    /// Outcomes of calls so far.
+    outcomes: Vec<CallOutcome>,
 }
 
 impl Fixture {
@@ -51,19 +51,19 @@
             poller: Poller::new().expect("a poller"),
             clients: Clients::default(),
             keys: KeySequence::starting_at(0),
-            done: Vec::new(),
+            outcomes: Vec::new(),
         }
     }
 
     fn call(&mut self, id: u64, deadline: u64) {
         let call = call(id, self.addr, deadline);
         self.clients
-            .call(&self.poller, call, &mut self.keys, NOW, &mut self.done);
+            .call(&self.poller, call, &mut self.keys, NOW, &mut self.outcomes);
     }
 
     fn expire(&mut self, now: u64) {
         self.clients
-            .expire(&self.poller, &mut self.keys, now, &mut self.done);
+            .expire(&self.poller, &mut self.keys, now, &mut self.outcomes);
     }
 
     /// Handles the poller's events until all connections are established.
@@ -84,17 +84,17 @@
                     &mut buffer,
                     &mut self.keys,
                     NOW,
-                    &mut self.done,
+                    &mut self.outcomes,
                 );
             }
         }
-        assert!(self.done.is_empty(), "{:?}", self.done);
+        assert!(self.outcomes.is_empty(), "{:?}", self.outcomes);
     }
 }
 
 /// All connections are taken up by calls that are not answered. Of two calls that wait behind them the second has the
-/// earlier deadline: it was not given up before the first, while the main loop was told to wake for it at once, again and
-/// again. A controller cut off from the state service used up its processor share with that, and was ended when it
+/// earlier deadline: it was not given up before the first, while the main loop was asked to wake for it at once, again
+/// and again. A controller cut off from the state service used up its processor share with that, and was ended when it
 /// never waited at all.
 #[test]
 fn a_call_that_waits_is_given_up_at_its_own_deadline() {
@@ -106,17 +106,18 @@
     fixture.call(100, LONG_DEADLINE);
     fixture.call(101, SHORT_DEADLINE);
     assert_eq!(fixture.clients.next_wake(), SHORT_DEADLINE);
-    assert!(fixture.done.is_empty(), "{:?}", fixture.done);
+    assert!(fixture.outcomes.is_empty(), "{:?}", fixture.outcomes);
 
     fixture.expire(SHORT_DEADLINE);
 
-    assert_eq!(fixture.done, vec![(101, Err(CallError::NotSent))]);
+    let not_sent = CallOutcome::failed(101, CallError::NotSent);
+    assert_eq!(fixture.outcomes, vec![not_sent]);
     assert_eq!(fixture.clients.next_wake(), LONG_DEADLINE);
 }
 
-/// After each look at deadlines, the next wake lies ahead: whatever is due has been acted upon.
+/// After each expiry of calls the next wake lies in the future: whatever was due has been acted upon.
 #[test]
-fn no_wake_is_left_behind_once_deadlines_were_looked_at() {
+fn the_next_wake_lies_in_the_future_once_calls_have_expired() {
     let mut fixture = Fixture::new();
     let mut random = fastrand::Rng::with_seed(7);
     let calls = 4 * CLIENT_CONNS as u64;
@@ -125,14 +126,18 @@
         fixture.call(id, deadline);
     }
     fixture.connect_all();
-    while fixture.done.len() < calls as usize {
+    while fixture.outcomes.len() < calls as usize {
         let now = fixture.clients.next_wake();
-        let over = fixture.done.len();
+        let over = fixture.outcomes.len();
         assert!(now < u64::MAX, "{over} of {calls} calls are over");
         fixture.expire(now);
-        assert!(fixture.clients.next_wake() > now, "left behind at {now}");
+        assert!(fixture.clients.next_wake() > now, "a wake at {now} remains");
     }
-    let mut ids: Vec<u64> = fixture.done.iter().map(|(id, _)| *id).collect();
+    let mut ids: Vec<u64> = fixture
+        .outcomes
+        .iter()
+        .map(|outcome| outcome.call)
+        .collect();
     ids.sort_unstable();
     assert_eq!(
         ids,
--- /dev/null
+++ b/crates/vetchmount/src/clients/waiting.rs
@@ -0,0 +1,66 @@
+//! The queues of calls that wait for a connection, one for each address.
+
+use super::{Call, CallOutcome};
+use constants::CLIENT_QUEUE;
+use control::CallError;
+use std::collections::{HashMap, VecDeque};
+use std::net::SocketAddrV4;
+
+/// Calls that wait for a connection.
+#[derive(Default)]
+pub(super) struct WaitingCalls {
+    queues: HashMap<SocketAddrV4, VecDeque<Call>>,
+}
+
+impl WaitingCalls {
+    /// Appends a call to the queue of its address; returns the call if the queue is full.
+    pub(super) fn push(&mut self, call: Call) -> Result<(), Call> {
+        let queue = self.queues.entry(call.addr).or_default();
+        if queue.len() >= CLIENT_QUEUE {
+            return Err(call);
+        }
+        queue.push_back(call);
+        Ok(())
+    }
+
+    /// Takes the first call of an address.
+    pub(super) fn pop(&mut self, addr: SocketAddrV4) -> Option<Call> {
+        self.queues.get_mut(&addr)?.pop_front()
+    }
+
+    /// Number of calls that wait for an address.
+    pub(super) fn count(&self, addr: SocketAddrV4) -> usize {
+        self.queues.get(&addr).map_or(0, VecDeque::len)
+    }
+
+    /// Fails all calls of an address as never sent.
+    pub(super) fn fail_all(&mut self, addr: SocketAddrV4, outcomes: &mut Vec<CallOutcome>) {
+        let calls = self.queues.remove(&addr).into_iter().flatten();
+        outcomes.extend(calls.map(|call| CallOutcome::failed(call.id, CallError::NotSent)));
+    }
+
+    /// Fails calls that have waited for a connection until their deadline.
+    ///
+    /// Each call has its own deadline, whatever its position in the queue: a watch may wait four times as long as the
+    /// transaction behind it. A call that is overdue but left in the queue would make
+    /// [`WaitingCalls::next_deadline`] ask for a turn of the main loop at once, again and again, until the calls
+    /// before it are over.
+    pub(super) fn expire(&mut self, now: u64, outcomes: &mut Vec<CallOutcome>) {
+        for queue in self.queues.values_mut() {
+            queue.retain(|call| {
+                let is_overdue = now >= call.deadline;
+                if is_overdue {
+                    outcomes.push(CallOutcome::failed(call.id, CallError::NotSent));
+                }
+                !is_overdue
+            });
+        }
+        self.queues.retain(|_, queue| !queue.is_empty());
+    }
+
+    /// The earliest deadline of all waiting calls.
+    pub(super) fn next_deadline(&self) -> Option<u64> {
+        let calls = self.queues.values().flatten();
+        calls.map(|call| call.deadline).min()
+    }
+}
--- /dev/null
+++ b/crates/vetchmount/src/daemon/outputs.rs
@@ -0,0 +1,95 @@
+//! Carrying out of the node's outputs: responses, calls and messages to peers.
+
+use super::startup::parse_address;
+use super::{Daemon, DaemonError};
+use crate::clients::{Call, CallOutcome};
+use crate::servers::Response;
+use control::{CallError, CallId, Now, Output, Target};
+use std::net::SocketAddrV4;
+
+/// Addresses of the services that every controller calls.
+pub(super) struct ServiceAddresses {
+    /// The state service.
+    pub(super) state: SocketAddrV4,
+    /// The cloud.
+    pub(super) cloud: SocketAddrV4,
+}
+
+impl ServiceAddresses {
+    /// The address of a call's recipient.
+    fn resolve(&self, target: &Target) -> Result<SocketAddrV4, DaemonError> {
+        match target {
+            Target::State => Ok(self.state),
+            Target::Cloud => Ok(self.cloud),
+            Target::Worker(text) => parse_address(text),
+        }
+    }
+}
+
+impl Daemon {
+    /// Carries out all outputs that the node has ready.
+    pub(super) fn carry_out_outputs(&mut self, now: Now) {
+        while let Some(output) = self.node.next_output() {
+            self.carry_out(now, output);
+        }
+    }
+
+    fn carry_out(&mut self, now: Now, output: Output) {
+        match output {
+            Output::Respond {
+                id,
+                status,
+                retry_after_s,
+                body,
+            } => {
+                let response = Response {
+                    id,
+                    status,
+                    retry_after_s,
+                    body,
+                };
+                let requests = &mut self.pending.requests;
+                self.servers
+                    .respond(&self.poller, &response, now.mono, requests);
+            }
+            Output::Call {
+                call,
+                target,
+                method,
+                path,
+                body,
+                timeout_ms,
+            } => {
+                let Some(addr) = self.resolve_or_fail(call, &target) else {
+                    return;
+                };
+                let call = Call {
+                    id: call,
+                    addr,
+                    method,
+                    path,
+                    body,
+                    deadline: now.mono + timeout_ms,
+                };
+                self.send_call(now, call);
+            }
+            Output::Peer { to, message } => self.peers.send(&self.poller, to.as_deref(), &message),
+        }
+    }
+
+    /// The address of a call's recipient. A call to an address that can't be read fails as never sent.
+    fn resolve_or_fail(&mut self, call: CallId, target: &Target) -> Option<SocketAddrV4> {
+        let address = self.services.resolve(target).ok();
+        if address.is_none() {
+            let outcome = CallOutcome::failed(call, CallError::NotSent);
+            self.pending.outcomes.push(outcome);
+        }
+        address
+    }
+
+    fn send_call(&mut self, now: Now, call: Call) {
+        let outcomes = &mut self.pending.outcomes;
+        self.clients
+            .call(&self.poller, call, &mut self.keys, now.mono, outcomes);
+    }
+}
--- a/crates/vetchmount/src/main.rs
+++ b/crates/vetchmount/src/main.rs
@@ -8,7 +8,10 @@
 mod settings;
 
 use clap::Parser;
-use std::path::PathBuf;
+use control::{Operator, Settings};
+use settings::SettingsError;
+use std::io::Write;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// vetchmount, a cluster scheduler: one controller node.
@@ -38,22 +41,14 @@
         println!("{}", settings::schema_text());
         return ExitCode::SUCCESS;
     }
-    let Some(config) = cli.config else {
+    let Some(config) = &cli.config else {
         eprintln!("vetchmount: --config FILE is required, see --help");
         return ExitCode::from(BAD_SETTINGS);
     };
-    let loaded = settings::load(&config).and_then(|s| {
-        let operator = match &cli.operator {
-            Some(path) => settings::load_operator(path)?,
-            None => control::Operator::default(),
-        };
-        operator.validate(&s)?;
-        Ok((s, operator))
-    });
-    let (settings, operator) = match loaded {
+    let (settings, operator) = match load_settings(config, cli.operator.as_deref()) {
         Ok(loaded) => loaded,
-        Err(why) => {
-            eprintln!("vetchmount: {why}");
+        Err(error) => {
+            eprintln!("vetchmount: {error}");
             return ExitCode::from(BAD_SETTINGS);
         }
     };
@@ -71,15 +66,32 @@
     }
 }
 
+/// Reads the platform's settings and the operators' own, whose defaults hold if no file is given.
+fn load_settings(
+    config: &Path,
+    operator: Option<&Path>,
+) -> Result<(Settings, Operator), SettingsError> {
+    let settings = settings::load(config)?;
+    let operator = match operator {
+        Some(path) => settings::load_operator(path)?,
+        None => Operator::default(),
+    };
+    settings::check_match(&operator, &settings)?;
+    Ok((settings, operator))
+}
+
+/// Variable of the environment that sets the log level.
+const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
+/// Log level without that variable.
+const DEFAULT_LOG_LEVEL: &str = "error";
+
+/// Writes log lines as `key=value` to standard error. The poller's own lines are left out, errors excepted.
 fn start_logging() {
-    let level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "error".into());
+    let level = std::env::var(LOG_LEVEL_VARIABLE).unwrap_or_else(|_| DEFAULT_LOG_LEVEL.into());
     let filter = level.parse().unwrap_or(log::LevelFilter::Error);
     env_logger::Builder::new()
         .filter_level(filter)
         .filter_module("polling", log::LevelFilter::Error)
-        .format(|out, record| {
-            use std::io::Write;
-            writeln!(out, "level={} {}", record.level(), record.args())
-        })
+        .format(|output, record| writeln!(output, "level={} {}", record.level(), record.args()))
         .init();
 }
--- a/crates/vetchmount/src/net.rs
+++ b/crates/vetchmount/src/net.rs
@@ -1,4 +1,4 @@
-//! A non-blocking TCP connection with what is waiting to be written.
+//! Non-blocking TCP: connections with their output buffers, listeners and the poller's keys.
 
 use constants::READ_CHUNK;
 use polling::{Event, PollMode, Poller};
@@ -6,17 +6,22 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 
-/// A connection known to the poller under a key.
-pub struct Conn {
+/// `EINPROGRESS` of Linux: a connection attempt goes on in the background.
+const EINPROGRESS: i32 = 115;
+
+/// A connection that is registered with the poller under a key.
+pub struct Connection {
     stream: TcpStream,
     key: usize,
-    out: Vec<u8>,
-    sent: usize,
-    wants_write: bool,
+    output: Vec<u8>,
+    /// Number of bytes at the start of `output` that have been written.
+    written: usize,
+    /// Whether the poller reports when the stream can be written.
+    watches_write: bool,
 }
 
-impl Conn {
-    /// Takes over a connected or connecting stream.
+impl Connection {
+    /// Registers a stream that is connected, or `connecting`.
     pub fn new(
         poller: &Poller,
         stream: TcpStream,
@@ -27,12 +32,12 @@
         let event = Event::new(key, true, connecting);
         // The stream is removed from the poller before it is dropped, in `close`.
         register(poller, &stream, event)?;
-        Ok(Conn {
+        Ok(Connection {
             stream,
             key,
-            out: Vec::new(),
-            sent: 0,
-            wants_write: connecting,
+            output: Vec::new(),
+            written: 0,
+            watches_write: connecting,
         })
     }
 
@@ -43,117 +48,129 @@
         let _ = socket.set_nodelay(true);
         match socket.connect(&SockAddr::from(addr)) {
             Ok(()) => {}
-            Err(e) if e.raw_os_error() == Some(EINPROGRESS) => {}
-            Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            Err(e) => return Err(e),
+            Err(error) if error.raw_os_error() == Some(EINPROGRESS) => {}
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+            Err(error) => return Err(error),
         }
-        Conn::new(poller, socket.into(), key, true)
+        Connection::new(poller, socket.into(), key, true)
     }
 
-    /// Whether a connection attempt has succeeded.
-    pub fn connected(&self) -> io::Result<()> {
+    /// Fails if the connection attempt has failed. Meant for the first event after [`Connection::connect`].
+    pub fn check_connected(&self) -> io::Result<()> {
         match self.stream.take_error()? {
-            Some(e) => Err(e),
+            Some(error) => Err(error),
             None => self.stream.peer_addr().map(|_| ()),
         }
     }
 
-    /// Bytes waiting to be written.
+    /// Number of bytes that are waiting to be written.
     pub fn backlog(&self) -> usize {
-        self.out.len() - self.sent
+        self.output.len() - self.written
     }
 
-    /// Where to append what is to be written.
-    pub fn out(&mut self) -> &mut Vec<u8> {
-        &mut self.out
+    /// The output buffer, to which callers append.
+    pub fn output(&mut self) -> &mut Vec<u8> {
+        &mut self.output
     }
 
-    /// Writes what can be written now.
+    /// Writes what can be written now, and has the poller report when the rest can be.
     pub fn flush(&mut self, poller: &Poller) -> io::Result<()> {
-        while self.sent < self.out.len() {
-            match self.stream.write(&self.out[self.sent..]) {
+        self.write_output()?;
+        if self.written >= self.output.len() {
+            self.reset_output();
+        }
+        self.watch_write(poller, !self.output.is_empty())
+    }
+
+    fn write_output(&mut self) -> io::Result<()> {
+        while self.written < self.output.len() {
+            match self.stream.write(&self.output[self.written..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(n) => self.sent += n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Ok(count) => self.written += count,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
-        if self.sent >= self.out.len() {
-            self.sent = 0;
-            self.out.clear();
-            if self.out.capacity() > READ_CHUNK {
-                self.out = Vec::new();
-            }
+        Ok(())
+    }
+
+    /// Empties the output buffer. The memory of a large one is released.
+    fn reset_output(&mut self) {
+        self.written = 0;
+        self.output.clear();
+        if self.output.capacity() > READ_CHUNK {
+            self.output = Vec::new();
         }
-        let wants = !self.out.is_empty();
-        if wants != self.wants_write {
-            self.wants_write = wants;
-            let event = Event::new(self.key, true, wants);
-            poller.modify_with_mode(&self.stream, event, PollMode::Level)?;
+    }
+
+    fn watch_write(&mut self, poller: &Poller, watch: bool) -> io::Result<()> {
+        if watch == self.watches_write {
+            return Ok(());
         }
-        Ok(())
+        self.watches_write = watch;
+        let event = Event::new(self.key, true, watch);
+        poller.modify_with_mode(&self.stream, event, PollMode::Level)
     }
 
-    /// Reads what is there into `take`; false once the other side has closed.
-    pub fn read(&mut self, buf: &mut [u8], mut take: impl FnMut(&[u8])) -> io::Result<bool> {
+    /// Passes all bytes that can be read now to `take`. Returns false once the other side has closed the connection.
+    pub fn read(&mut self, buffer: &mut [u8], mut take: impl FnMut(&[u8])) -> io::Result<bool> {
         loop {
-            match self.stream.read(buf) {
+            match self.stream.read(buffer) {
                 Ok(0) => return Ok(false),
-                Ok(n) => {
-                    take(&buf[..n]);
-                    if n < buf.len() {
+                Ok(count) => {
+                    take(&buffer[..count]);
+                    if count < buffer.len() {
                         return Ok(true);
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(true),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(true),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
     }
 
-    /// Closes it.
+    /// Removes the connection from the poller and closes it.
     pub fn close(self, poller: &Poller) {
         let _ = poller.delete(&self.stream);
     }
 }
 
-/// `EINPROGRESS` of Linux: a connection attempt goes on in the background.
-const EINPROGRESS: i32 = 115;
-
+/// Registers a stream with the poller.
 #[allow(unsafe_code)]
 fn register(poller: &Poller, stream: &TcpStream, event: Event) -> io::Result<()> {
-    // SAFETY: every stream is deleted from the poller in `Conn::close`, the only way a `Conn` is disposed of
-    // while the poller lives; a stream dropped by an early error path is closed, which epoll forgets by itself.
+    // SAFETY: every stream is deleted from the poller in `Connection::close`, the only way a `Connection` is disposed
+    // of while the poller lives; a stream dropped by an early error path is closed, which epoll forgets by itself.
     unsafe { poller.add_with_mode(stream, event, PollMode::Level) }
 }
 
-/// Gives out keys of the poller, each once.
+/// Allocates keys of the poller, each once.
 pub struct KeySequence {
     next: usize,
 }
 
 impl KeySequence {
-    /// The first key that is given out.
+    /// A sequence that begins with the key `first`.
     pub fn starting_at(first: usize) -> Self {
         KeySequence { next: first }
     }
 
-    /// A key that nothing else has.
+    /// The next key. No other connection or listener has it.
     pub fn take(&mut self) -> usize {
+        let key = self.next;
         self.next += 1;
-        self.next - 1
+        key
     }
 }
 
-/// A listening socket known to the poller under a key.
+/// A listening socket that is registered with the poller under a key.
 pub struct Listener {
     inner: TcpListener,
 }
 
 impl Listener {
-    /// Listens.
+    /// Listens on an address. `backlog` is the number of connections that may wait to be accepted.
     #[allow(unsafe_code)]
     pub fn bind(poller: &Poller, addr: SocketAddrV4, key: usize, backlog: i32) -> io::Result<Self> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
@@ -167,7 +184,7 @@
         Ok(Listener { inner })
     }
 
-    /// The next waiting connection.
+    /// Accepts the next connection that waits, if one does.
     pub fn accept(&self) -> Option<TcpStream> {
         loop {
             match self.inner.accept() {
@@ -175,7 +192,7 @@
                     let _ = stream.set_nodelay(true);
                     return Some(stream);
                 }
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return None,
             }
         }
--- a/crates/vetchmount/src/servers.rs
+++ b/crates/vetchmount/src/servers.rs
@@ -1,39 +1,34 @@
-//! Connections that others opened: users, workers, the load balancer.
+//! Connections that callers opened: users, workers and the load balancer.
 
-use crate::net::Conn;
-use constants::*;
-use http::{encode_response, ParseError, RequestParser};
+mod connection;
+
+use crate::net::Connection;
+use connection::{CallerConnection, ReadResult};
+use constants::{CROWDED_MS, CROWDED_SHARE, OWN_SOCKETS, SERVER_SOCKET_SHARE};
+use control::RequestId;
 use polling::Poller;
 use std::collections::HashMap;
 
-struct Served {
-    conn: Conn,
-    parser: RequestParser,
-    /// Request being handled, and whether the connection ends after it.
-    open: Option<(u64, bool)>,
-    closing: bool,
-    last_used: u64,
-    /// A worker's: kept when sockets run short.
-    worker: bool,
-}
+/// HTTP target of workers' reports.
+const REPORT_TARGET: &str = "/v1/report";
 
-/// A whole request that arrived.
-pub struct Arrived {
-    /// Its number.
-    pub id: u64,
-    /// What was asked.
+/// A complete request.
+pub struct ReceivedRequest {
+    /// Identifies the request in its response.
+    pub id: RequestId,
+    /// The request.
     pub request: http::Request,
     /// Whether it is a worker's report.
-    pub worker: bool,
+    pub is_worker_report: bool,
 }
 
-/// The answer to a request.
-pub struct Answer {
-    /// The request's number.
-    pub id: u64,
+/// The response to a request.
+pub struct Response {
+    /// The request.
+    pub id: RequestId,
     /// HTTP status.
     pub status: u16,
-    /// Seconds until the caller should come back.
+    /// Seconds after which the caller should try again.
     pub retry_after_s: Option<u32>,
     /// Body.
     pub body: Vec<u8>,
@@ -41,171 +36,139 @@
 
 /// All connections of callers.
 pub struct Servers {
-    conns: HashMap<usize, Served>,
-    by_request: HashMap<u64, usize>,
-    next_request: u64,
+    connections: HashMap<usize, CallerConnection>,
+    /// Key of the connection that waits for the response to a request.
+    key_by_request: HashMap<RequestId, usize>,
+    last_request: RequestId,
+    /// Connections at most.
     limit: usize,
-    /// Connections from which on workers' are closed after each answer.
-    crowded: usize,
-    /// Until when sockets count as short because a connection found none.
+    /// Number of connections from which workers' are closed after each response.
+    crowded_from: usize,
+    /// Steady clock until which sockets count as short because a connection found none.
     crowded_until: u64,
 }
 
 impl Servers {
-    /// Callers' part of the `sockets` that the process may hold.
+    /// Takes the callers' share of the `sockets` that the process may open.
     pub fn new(sockets: usize) -> Self {
         let share = (sockets as f64 * SERVER_SOCKET_SHARE) as usize;
         let limit = share.max(sockets.saturating_sub(OWN_SOCKETS));
         Servers {
-            conns: HashMap::new(),
-            by_request: HashMap::new(),
-            next_request: 0,
+            connections: HashMap::new(),
+            key_by_request: HashMap::new(),
+            last_request: 0,
             limit,
-            crowded: (limit as f64 * CROWDED_SHARE) as usize,
+            crowded_from: (limit as f64 * CROWDED_SHARE) as usize,
             crowded_until: 0,
         }
     }
 
     /// Whether sockets are short.
     pub fn is_crowded(&self, now: u64) -> bool {
-        self.conns.len() >= self.crowded || now < self.crowded_until
+        self.connections.len() >= self.crowded_from || now < self.crowded_until
     }
 
-    /// Whether a key is one of these connections.
+    /// Whether a poller key belongs to one of these connections.
     pub fn has(&self, key: usize) -> bool {
-        self.conns.contains_key(&key)
+        self.connections.contains_key(&key)
+    }
+
+    /// Whether the caller still waits for the response to a request.
+    pub fn is_open(&self, request: RequestId) -> bool {
+        self.key_by_request.contains_key(&request)
     }
 
-    /// Takes a new connection, making room by closing the one that idled longest.
-    pub fn add(&mut self, poller: &Poller, conn: Conn, key: usize, now: u64) {
-        if self.conns.len() >= self.limit {
+    /// Adds a new connection. If there is no room, the one that has been idle longest makes way for it; if none may be
+    /// closed, the new one is.
+    pub fn add(&mut self, poller: &Poller, connection: Connection, key: usize, now: u64) {
+        if self.connections.len() >= self.limit {
             self.crowded_until = now + CROWDED_MS;
-            let idle = self
-                .conns
-                .iter()
-                .filter(|(_, s)| s.open.is_none() && !s.worker && now > s.last_used + IDLE_CONN_MS)
-                .min_by_key(|(_, s)| s.last_used)
-                .map(|(k, _)| *k);
-            match idle {
-                Some(k) => self.close(poller, k),
-                None => return conn.close(poller),
+            match self.longest_idle(now) {
+                Some(idle) => self.close(poller, idle),
+                None => return connection.close(poller),
             }
         }
-        let served = Served {
-            conn,
-            parser: RequestParser::default(),
-            open: None,
-            closing: false,
-            last_used: now,
-            worker: false,
-        };
-        self.conns.insert(key, served);
+        let connection = CallerConnection::new(connection, now);
+        self.connections.insert(key, connection);
+    }
+
+    /// The connection that has been idle longest. Workers' are exempt: a worker that can't connect loses its lease.
+    fn longest_idle(&self, now: u64) -> Option<usize> {
+        self.connections
+            .iter()
+            .filter(|(_, connection)| connection.may_be_evicted(now))
+            .min_by_key(|(_, connection)| connection.last_used())
+            .map(|(key, _)| *key)
     }
 
     fn close(&mut self, poller: &Poller, key: usize) {
-        if let Some(s) = self.conns.remove(&key) {
-            if let Some((request, _)) = s.open {
-                self.by_request.remove(&request);
-            }
-            s.conn.close(poller);
+        let Some(connection) = self.connections.remove(&key) else {
+            return;
+        };
+        if let Some(request) = connection.close(poller) {
+            self.key_by_request.remove(&request);
         }
     }
 
-    /// Something can be read or written.
+    /// Handles an event of the poller for one of these connections.
     pub fn on_event(
         &mut self,
         poller: &Poller,
         key: usize,
-        buf: &mut [u8],
+        buffer: &mut [u8],
         now: u64,
-        arrived: &mut Vec<Arrived>,
+        requests: &mut Vec<ReceivedRequest>,
     ) {
-        let Some(s) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        s.last_used = now;
-        let parser = &mut s.parser;
-        let open = s.conn.read(buf, |bytes| parser.feed(bytes));
-        let flushed = s.conn.flush(poller);
-        let done = s.closing && s.conn.backlog() == 0;
-        if !matches!(open, Ok(true)) || flushed.is_err() || done {
+        if !connection.exchange(poller, buffer, now) {
             return self.close(poller, key);
         }
-        self.next(poller, key, arrived);
+        self.receive_next(poller, key, requests);
     }
 
-    /// Hands out the next request of a connection that has none open.
-    fn next(&mut self, poller: &Poller, key: usize, arrived: &mut Vec<Arrived>) {
-        let Some(s) = self.conns.get_mut(&key) else {
+    /// Appends the next request of a connection to `requests`, if none is open there and the next one is complete.
+    fn receive_next(&mut self, poller: &Poller, key: usize, requests: &mut Vec<ReceivedRequest>) {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        if s.open.is_some() || s.closing {
-            return;
-        }
-        match s.parser.next_request() {
-            Ok(None) => {}
-            Ok(Some(request)) => {
-                self.next_request += 1;
-                let worker = request.target == "/v1/report";
-                s.worker |= worker;
-                s.open = Some((self.next_request, request.close));
-                self.by_request.insert(self.next_request, key);
-                arrived.push(Arrived {
-                    id: self.next_request,
+        match connection.next_request(poller) {
+            ReadResult::Incomplete => {}
+            ReadResult::Finished => self.close(poller, key),
+            ReadResult::Request(request) => {
+                self.last_request += 1;
+                let id = self.last_request;
+                let is_worker_report = request.target == REPORT_TARGET;
+                connection.begin_request(id, request.close, is_worker_report);
+                self.key_by_request.insert(id, key);
+                requests.push(ReceivedRequest {
+                    id,
                     request,
-                    worker,
+                    is_worker_report,
                 });
             }
-            Err(why) => {
-                let status = if why == ParseError::TooLarge {
-                    413
-                } else {
-                    400
-                };
-                encode_response(s.conn.out(), status, None, b"", true);
-                s.closing = true;
-                let failed = s.conn.flush(poller).is_err();
-                if failed || s.conn.backlog() == 0 {
-                    self.close(poller, key);
-                }
-            }
         }
     }
 
-    /// Whether the caller still waits for the answer to a request.
-    pub fn is_open(&self, request: u64) -> bool {
-        self.by_request.contains_key(&request)
-    }
-
-    /// Answers a request; may hand out the next one of its connection.
+    /// Responds to a request. The next request of its connection, if complete, is appended to `requests`.
     pub fn respond(
         &mut self,
         poller: &Poller,
-        answer: &Answer,
+        response: &Response,
         now: u64,
-        arrived: &mut Vec<Arrived>,
+        requests: &mut Vec<ReceivedRequest>,
     ) {
-        let Some(key) = self.by_request.remove(&answer.id) else {
+        let Some(key) = self.key_by_request.remove(&response.id) else {
             return;
         };
         let is_crowded = self.is_crowded(now);
-        let Some(s) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        let asked_to_close = s.open.take().is_some_and(|(_, close)| close);
-        let close = asked_to_close || (s.worker && is_crowded);
-        encode_response(
-            s.conn.out(),
-            answer.status,
-            answer.retry_after_s,
-            &answer.body,
-            close,
-        );
-        s.closing |= close;
-        let failed = s.conn.flush(poller).is_err();
-        if failed || (s.closing && s.conn.backlog() == 0) {
+        if !connection.respond(poller, response, is_crowded) {
             return self.close(poller, key);
         }
-        self.next(poller, key, arrived);
+        self.receive_next(poller, key, requests);
     }
 }
--- a/crates/vetchmount/src/settings.rs
+++ b/crates/vetchmount/src/settings.rs
@@ -1,26 +1,67 @@
-//! Reading settings files; every message names file and field.
+//! Reading of the settings files. Every error names the file and the field.
 
 use control::{Operator, Settings};
-use std::path::Path;
+use serde_json::Value;
+use std::io;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
 
-fn read(path: &Path) -> Result<String, String> {
-    std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
+/// Why the settings can't be used.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// A file could not be read.
+    #[error("{}: {source}", .path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// Cause.
+        source: io::Error,
+    },
+    /// The content of a file is not accepted.
+    #[error("{}: {source}", .path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with the content.
+        source: InvalidContent,
+    },
+    /// The operators' settings do not fit those of the platform.
+    #[error("{0}")]
+    Mismatch(String),
 }
 
-/// Reads and checks the platform's file.
-pub fn load(path: &Path) -> Result<Settings, String> {
-    parse(&read(path)?).map_err(|why| format!("{}: {why}", path.display()))
+/// What is wrong with the content of a settings file.
+#[derive(Debug, PartialEq, Eq, Error)]
+pub enum InvalidContent {
+    /// It can't be parsed.
+    #[error("{0}")]
+    Unparsable(String),
+    /// It breaks the schema of the operators' settings.
+    #[error("{field}: {reason}")]
+    AgainstSchema {
+        /// Path of the field within the file.
+        field: String,
+        /// What the schema demands.
+        reason: String,
+    },
+    /// A value is not allowed.
+    #[error("{0}")]
+    Rejected(String),
 }
 
-fn one_line(text: &str) -> String {
-    let lines: Vec<&str> = text.lines().map(str::trim).collect();
-    lines.join(" ")
+/// Reads and checks the platform's settings.
+pub fn load(path: &Path) -> Result<Settings, SettingsError> {
+    load_with(path, parse)
 }
 
-fn parse(text: &str) -> Result<Settings, String> {
-    let settings: Settings = toml::from_str(text).map_err(|e| one_line(&e.to_string()))?;
-    settings.validate()?;
-    Ok(settings)
+/// Reads and checks the operators' own settings.
+pub fn load_operator(path: &Path) -> Result<Operator, SettingsError> {
+    load_with(path, parse_operator)
+}
+
+/// Checks that the operators' settings fit those of the platform.
+pub fn check_match(operator: &Operator, settings: &Settings) -> Result<(), SettingsError> {
+    operator.validate(settings).map_err(SettingsError::Mismatch)
 }
 
 /// The schema of the operators' settings, generated from the types.
@@ -28,117 +69,60 @@
     serde_json::to_string_pretty(&schemars::schema_for!(Operator)).unwrap_or_default()
 }
 
-/// Reads and checks the operators' own settings.
-pub fn load_operator(path: &Path) -> Result<Operator, String> {
-    parse_operator(&read(path)?).map_err(|why| format!("{}: {why}", path.display()))
+fn load_with<T>(
+    path: &Path,
+    parse: impl FnOnce(&str) -> Result<T, InvalidContent>,
+) -> Result<T, SettingsError> {
+    let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
+        path: path.to_path_buf(),
+        source,
+    })?;
+    parse(&text).map_err(|source| SettingsError::Invalid {
+        path: path.to_path_buf(),
+        source,
+    })
 }
 
-fn parse_operator(text: &str) -> Result<Operator, String> {
-    let value: serde_json::Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let schema: serde_json::Value =
-        serde_json::from_str(&schema_text()).map_err(|e| e.to_string())?;
-    let validator = jsonschema::validator_for(&schema).map_err(|e| one_line(&e.to_string()))?;
-    if let Some(error) = validator.iter_errors(&value).next() {
-        let field = error.instance_path.to_string();
-        let field = if field.is_empty() { "/" } else { &field };
-        return Err(format!("{field}: {}", one_line(&error.to_string())));
-    }
-    serde_json::from_value(value).map_err(|e| e.to_string())
+fn parse(text: &str) -> Result<Settings, InvalidContent> {
+    let settings: Settings =
+        toml::from_str(text).map_err(|error| unparsable(one_line(&error.to_string())))?;
+    settings.validate().map_err(InvalidContent::Rejected)?;
+    Ok(settings)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn parse_operator(text: &str) -> Result<Operator, InvalidContent> {
+    let value: Value = serde_json::from_str(text).map_err(unparsable)?;
+    check_schema(&value)?;
+    serde_json::from_value(value).map_err(unparsable)
+}
 
-    const GOOD: &str = r#"
-label = "a"
-area = "z"
-public_addr = "127.0.0.1:1"
-back = "127.0.0.1:2"
-later = "ignored"
-[outside]
-cloud = "127.0.0.1:3"
-state = "127.0.0.1:4"
-[deployment.workers]
-report_s = 2.0
-lease_s = 12.0
-gang_wait_s = 35.0
-gang_peer_s = 8.0
-cancel_s = 37.0
-[deployment.state]
-rps = 150.0
-write_rps = 50.0
-value_kb = 16.0
-txn_ops = 12
-[deployment.cloud]
-rps = 2.0
-list_lag_s = 10.0
-[deployment.quota]
-cpu = 0.1
-mem_mb = 72.0
-max_connections = 1200
-"#;
+/// Checks a value against the schema of the operators' settings.
+fn check_schema(value: &Value) -> Result<(), InvalidContent> {
+    let schema: Value = serde_json::from_str(&schema_text()).map_err(unparsable)?;
+    let validator = jsonschema::validator_for(&schema)
+        .map_err(|error| unparsable(one_line(&error.to_string())))?;
+    let Some(error) = validator.iter_errors(value).next() else {
+        return Ok(());
+    };
+    let path = error.instance_path.to_string();
+    let field = if path.is_empty() {
+        "/".to_string()
+    } else {
+        path
+    };
+    let reason = one_line(&error.to_string());
+    Err(InvalidContent::AgainstSchema { field, reason })
+}
 
-    #[test]
-    fn good_settings_pass_and_bad_ones_name_the_field() {
-        assert!(parse(GOOD).is_ok());
-        let next = |text: &str| {
-            let with = format!("[deployment.state.next]\n{text}\n[deployment.cloud]");
-            parse(&GOOD.replace("[deployment.cloud]", &with))
-        };
-        let larger = next("value_kb = 64.0\ntxn_ops = 40\nunheard_of = 1").expect("allowed");
-        assert_eq!(larger.deployment.state.least().txn_ops, 12);
-        assert_eq!(
-            next("value_kb = 2.0")
-                .expect("ok")
-                .deployment
-                .state
-                .least()
-                .value_bytes,
-            2048
-        );
-        for (text, field) in [
-            ("value_kb = 0.0", "state.next.value_kb"),
-            ("value_kb = inf", "state.next.value_kb"),
-            ("txn_ops = 3", "state.next.txn_ops"),
-            ("write_rps = -1.0", "state.next.write_rps"),
-            ("txn_ops = -1", "txn_ops"),
-        ] {
-            let why = next(text).expect_err(text);
-            assert!(why.contains(field), "{why} should name {field}");
-        }
-        for (from, to, field) in [
-            ("lease_s = 12.0", "", "lease_s"),
-            (
-                "lease_s = 12.0",
-                "lease_s = -1.0",
-                "deployment.workers.lease_s",
-            ),
-            ("\"127.0.0.1:4\"", "\"nowhere\"", "outside.state"),
-            ("txn_ops = 12", "txn_ops = 1", "deployment.state.txn_ops"),
-            ("label = \"a\"", "label = 4", "label"),
-        ] {
-            let why = parse(&GOOD.replace(from, to)).expect_err(to);
-            assert!(why.contains(field), "{why} should name {field}");
-            assert!(!why.contains('\n'), "{why:?} should be one line");
-        }
-    }
+fn unparsable(error: impl std::fmt::Display) -> InvalidContent {
+    InvalidContent::Unparsable(error.to_string())
+}
 
-    #[test]
-    fn the_committed_schema_is_the_generated_one_and_is_enforced() {
-        let committed = include_str!("../../../schema/operator.schema.json");
-        assert_eq!(committed.trim(), schema_text().trim());
-        assert_eq!(
-            parse_operator(r#"{"thin_tasks": 3}"#).map(|o| o.thin_tasks),
-            Ok(3)
-        );
-        for (text, field) in [
-            (r#"{"pilot_share": 2.0}"#, "pilot_share"),
-            (r#"{"thin": 2}"#, "thin"),
-            (r#"{"queues": "x"}"#, "queues"),
-        ] {
-            let why = parse_operator(text).expect_err(text);
-            assert!(why.contains(field), "{why} should name {field}");
-        }
-    }
+/// Joins the lines of an error text, so that each error is one line of output.
+fn one_line(text: &str) -> String {
+    let lines: Vec<&str> = text.lines().map(str::trim).collect();
+    lines.join(" ")
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/vetchmount/src/settings/tests.rs
@@ -0,0 +1,95 @@
+//! Which settings are accepted, and that a refusal names the field.
+
+use super::{parse, parse_operator, schema_text};
+
+const GOOD: &str = r#"
+label = "a"
+area = "z"
+public_addr = "127.0.0.1:1"
+back = "127.0.0.1:2"
+later = "ignored"
+[outside]
+cloud = "127.0.0.1:3"
+state = "127.0.0.1:4"
+[deployment.workers]
+report_s = 2.0
+lease_s = 12.0
+gang_wait_s = 35.0
+gang_peer_s = 8.0
+cancel_s = 37.0
+[deployment.state]
+rps = 150.0
+write_rps = 50.0
+value_kb = 16.0
+txn_ops = 12
+[deployment.cloud]
+rps = 2.0
+list_lag_s = 10.0
+[deployment.quota]
+cpu = 0.1
+mem_mb = 72.0
+max_connections = 1200
+"#;
+
+#[test]
+fn good_settings_pass_and_bad_ones_name_the_field() {
+    assert!(parse(GOOD).is_ok());
+    let next = |text: &str| {
+        let with = format!("[deployment.state.next]\n{text}\n[deployment.cloud]");
+        parse(&GOOD.replace("[deployment.cloud]", &with))
+    };
+    let larger = next("value_kb = 64.0\ntxn_ops = 40\nunheard_of = 1").expect("allowed");
+    assert_eq!(larger.deployment.state.least().txn_ops, 12);
+    assert_eq!(
+        next("value_kb = 2.0")
+            .expect("ok")
+            .deployment
+            .state
+            .least()
+            .value_bytes,
+        2048
+    );
+    for (text, field) in [
+        ("value_kb = 0.0", "state.next.value_kb"),
+        ("value_kb = inf", "state.next.value_kb"),
+        ("txn_ops = 3", "state.next.txn_ops"),
+        ("write_rps = -1.0", "state.next.write_rps"),
+        ("txn_ops = -1", "txn_ops"),
+    ] {
+        let why = next(text).expect_err(text).to_string();
+        assert!(why.contains(field), "{why} should name {field}");
+    }
+    for (from, to, field) in [
+        ("lease_s = 12.0", "", "lease_s"),
+        (
+            "lease_s = 12.0",
+            "lease_s = -1.0",
+            "deployment.workers.lease_s",
+        ),
+        ("\"127.0.0.1:4\"", "\"nowhere\"", "outside.state"),
+        ("txn_ops = 12", "txn_ops = 1", "deployment.state.txn_ops"),
+        ("label = \"a\"", "label = 4", "label"),
+    ] {
+        let why = parse(&GOOD.replace(from, to)).expect_err(to).to_string();
+        assert!(why.contains(field), "{why} should name {field}");
+        assert!(!why.contains('\n'), "{why:?} should be one line");
+    }
+}
+
+#[test]
+fn the_committed_schema_is_the_generated_one_and_is_enforced() {
+    let committed = include_str!("../../../../schema/operator.schema.json");
+    assert_eq!(committed.trim(), schema_text().trim());
+    assert_eq!(
+        parse_operator(r#"{"thin_tasks": 3}"#).map(|operator| operator.thin_tasks),
+        Ok(3)
+    );
+    for (text, field) in [
+        (r#"{"pilot_share": 2.0}"#, "pilot_share"),
+        (r#"{"thin": 2}"#, "thin"),
+        (r#"{"queues": "x"}"#, "queues"),
+    ] {
+        let why = parse_operator(text).expect_err(text).to_string();
+        assert!(why.contains(field), "{why} should name {field}");
+    }
+}
--- a/crates/vetchmount/tests/staged_upgrade_processes.rs
+++ b/crates/vetchmount/tests/staged_upgrade_processes.rs
@@ -8,14 +8,14 @@
 
 const CONTROLLERS: usize = 3;
 const MACHINES: usize = 6;
-/// Milliseconds for which a cluster may take to do what it is waited for.
-const WITHIN_MS: u64 = 40_000;
+/// Milliseconds within which a cluster has to reach an awaited condition.
+const WAIT_LIMIT_MS: u64 = 40_000;
 
 fn program() -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_vetchmount"))
 }
 
-fn folder(name: &str) -> PathBuf {
+fn temporary_folder(name: &str) -> PathBuf {
     let name = format!("vetchmount-{name}-{}", std::process::id());
     std::env::temp_dir().join(name)
 }
@@ -23,17 +23,17 @@
 /// Newest feature level of the build.
 const NEWEST_LEVEL: u32 = 3;
 
-fn operator(folder: &Path, name: &str, json: &str) -> PathBuf {
+fn write_operator_settings(folder: &Path, name: &str, json: &str) -> PathBuf {
     std::fs::create_dir_all(folder).expect("a folder");
     let path = folder.join(name);
     std::fs::write(&path, json).expect("a file");
     path
 }
 
-fn wait(outside: &Outside, what: &str, holds: impl Fn(&Outside) -> bool) {
-    let until = outside.now_ms() + WITHIN_MS;
+fn wait_until(outside: &Outside, what: &str, condition: impl Fn(&Outside) -> bool) {
+    let until = outside.now_ms() + WAIT_LIMIT_MS;
     while outside.now_ms() < until {
-        if holds(outside) {
+        if condition(outside) {
             return;
         }
         std::thread::sleep(Duration::from_millis(100));
@@ -41,20 +41,20 @@
     panic!("not in time: {what}; level {:?}", outside.level());
 }
 
-fn active(outside: &Outside) -> u32 {
+fn active_level(outside: &Outside) -> u32 {
     outside.level().map_or(0, |level| level.active)
 }
 
-fn pause(ms: u64) {
+fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
 
 #[test]
 fn processes_are_upgraded_returned_and_upgraded_again_and_every_job_has_one_outcome() {
-    let folder = folder("staged-upgrade");
+    let folder = temporary_folder("staged-upgrade");
     let build = |name: &str, json: &str| Build {
         program: program(),
-        operator: Some(operator(&folder, name, json)),
+        operator: Some(write_operator_settings(&folder, name, json)),
     };
     let old = build("old.json", r#"{"rollout": {"newest_level": 1}}"#);
     let new = build("new.json", r#"{"rollout": {"finalize": "held"}}"#);
@@ -64,15 +64,17 @@
     );
     let mut controllers = Controllers::new(&folder, CONTROLLERS).expect("controllers");
     let mut outside = Outside::start(controllers.labels(), controllers.addresses(), MACHINES);
-    let start = |c: &mut Controllers, number: usize, build: &Build, outside: &Outside| {
-        c.start(number, build, outside).expect("a process");
+    let start = |controllers: &mut Controllers, number: usize, build: &Build, outside: &Outside| {
+        controllers
+            .start(number, build, outside)
+            .expect("a process");
     };
     for number in 0..CONTROLLERS {
         start(&mut controllers, number, &old, &outside);
     }
-    wait(&outside, "level 1", |o| active(o) == 1);
+    wait_until(&outside, "level 1", |outside| active_level(outside) == 1);
     outside.start_users();
-    pause(1_500);
+    sleep_ms(1_500);
     // Upgraded, one of them without warning.
     for number in 0..CONTROLLERS {
         match number {
@@ -80,37 +82,37 @@
             _ => controllers.stop(number).expect("an orderly stop"),
         }
         start(&mut controllers, number, &new, &outside);
-        pause(1_500);
+        sleep_ms(1_500);
     }
     assert_eq!(outside.finalized(), 0);
     // Level 1 soaks, so the next upgrade waits: what was soaking is made final first.
-    assert_eq!(active(&outside), 1);
+    assert_eq!(active_level(&outside), 1);
     // Returned.
     for number in [2, 0, 1] {
         controllers.stop(number).expect("an orderly stop");
         start(&mut controllers, number, &old, &outside);
-        pause(1_500);
+        sleep_ms(1_500);
     }
-    assert_eq!((active(&outside), outside.finalized()), (1, 0));
+    assert_eq!((active_level(&outside), outside.finalized()), (1, 0));
     // Upgraded again, for good.
     for number in [1, 2, 0] {
         controllers.stop(number).expect("an orderly stop");
         start(&mut controllers, number, &last, &outside);
-        pause(1_500);
+        sleep_ms(1_500);
     }
-    wait(&outside, "final", |o| o.finalized() >= 1);
-    wait(&outside, "the newest level", |o| {
-        o.finalized() == NEWEST_LEVEL
+    wait_until(&outside, "final", |outside| outside.finalized() >= 1);
+    wait_until(&outside, "the newest level", |outside| {
+        outside.finalized() == NEWEST_LEVEL
     });
-    // An older build that joins is told so, and is not ready.
+    // An older build that joins is refused: it logs so once, and is not ready.
     controllers.stop(0).expect("an orderly stop");
     start(&mut controllers, 0, &old, &outside);
-    pause(2_000);
-    let told = controllers.logs().matches("event=build_refused").count();
-    assert_eq!(told, 1, "one log line");
+    sleep_ms(2_000);
+    let refusals = controllers.logs().matches("event=build_refused").count();
+    assert_eq!(refusals, 1, "one log line");
     controllers.kill(0);
     start(&mut controllers, 0, &last, &outside);
-    assert!(outside.drain(WITHIN_MS), "every job is over");
+    assert!(outside.drain(WAIT_LIMIT_MS), "every job is over");
     {
         let history = outside.history();
         assert!(history.breaches().is_empty(), "{:?}", history.breaches());
@@ -125,7 +127,7 @@
 /// One controller with 25 sockets for callers and 40 workers: they take turns, and the lease of none ends.
 #[test]
 fn more_workers_than_sockets_take_turns() {
-    let folder = folder("few-sockets");
+    let folder = temporary_folder("few-sockets");
     let build = Build {
         program: program(),
         operator: None,
@@ -135,9 +137,9 @@
     let mut outside = Outside::start(controllers.labels(), controllers.addresses(), 40);
     controllers.start(0, &build, &outside).expect("a process");
     outside.start_users();
-    pause(30_000);
+    sleep_ms(30_000);
     let lapses = outside.history().lapses();
-    assert!(outside.drain(WITHIN_MS), "every job is over");
+    assert!(outside.drain(WAIT_LIMIT_MS), "every job is over");
     let breaches = outside.history().breaches().to_vec();
     outside.stop();
     drop(controllers);
@@ -148,14 +150,14 @@
 
 #[test]
 fn operators_settings_that_can_not_be_used_are_refused_with_the_field_named() {
-    let folder = folder("rollout-settings");
+    let folder = temporary_folder("rollout-settings");
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example-settings.toml");
     let text = std::fs::read_to_string(&example).expect("the example");
     std::fs::create_dir_all(&folder).expect("a folder");
     let twice = folder.join("twice.toml");
     std::fs::write(&twice, text.replace("label = \"n2\"", "label = \"n1\"")).expect("a file");
     let check = |settings: &Path, json: &str| {
-        let operator = operator(&folder, "operator.json", json);
+        let operator = write_operator_settings(&folder, "operator.json", json);
         let mut command = Command::new(program());
         command.arg("--operator").arg(operator);
         command.arg("--config").arg(settings).arg("--check");
