--- a/crates/vetchmount/src/servers/connection.rs
+++ b/crates/vetchmount/src/servers/connection.rs
@@ -37,7 +37,7 @@
     /// Whether the connection ends once its output is written.
     is_closing: bool,
     last_used: u64,
-    /// Whether a worker has reported on it; it is kept open when sockets run short.
+    /// Whether a worker has reported on it. Such a connection is not evicted when sockets run short.
     is_worker: bool,
 }
 
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,4 +1,4 @@
-//! What the cloud is asked and answers.
+//! Messages of the cloud: machine types, rentals and the list of machines.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,44 +7,44 @@
 pub struct MachineType {
     /// Name.
     pub name: String,
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory in GB.
     pub mem_gb: f64,
-    /// Image cache in GB.
+    /// Size of the image cache in GB.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// Rate of image fetches.
+    /// Rate at which images are fetched, in GB per second.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// Price per hour.
     #[serde(rename = "hourly", default)]
     pub price: f64,
-    /// Spot price an hour.
+    /// Price per hour as a spot instance.
     #[serde(rename = "low_price", default)]
     pub spot_price: f64,
-    /// Usual boot time in seconds.
+    /// Usual boot time, in seconds.
     #[serde(rename = "startup_s", default)]
     pub boot_s: f64,
-    /// Zones it is offered in.
+    /// Zones in which it is offered.
     #[serde(rename = "valleys", default)]
     pub zones: Vec<String>,
 }
 
-/// All machine types.
+/// The list of all machine types.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// Types.
+    /// Machine types.
     #[serde(rename = "breeds")]
     pub types: Vec<MachineType>,
 }
 
-/// A rental request.
+/// A request to rent machines. It is idempotent under its name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rent {
-    /// Name of the request, never used twice.
+    /// Name of the request. A new request never reuses it.
     #[serde(rename = "ask")]
     pub request: String,
     /// Machine type.
@@ -53,35 +53,35 @@
     /// Zone.
     #[serde(rename = "valley")]
     pub zone: String,
-    /// Whether spot machines are wanted.
+    /// Whether the machines are to be spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Names of machines: those rented, or those to be returned.
+/// Names of machines that were rented, or are to be returned.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Names.
+    /// Names of the machines.
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
 }
 
-/// Phase of a listed machine.
+/// Phase of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachinePhase {
-    /// Not up yet.
+    /// The machine is starting.
     Booting,
-    /// Up.
+    /// The machine is running.
     Running,
-    /// Stopped by itself.
+    /// The machine stopped by itself.
     Failed,
 }
 
-/// A listed machine.
+/// A machine in the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// Name.
@@ -95,7 +95,7 @@
     /// Zone.
     #[serde(rename = "valley")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Phase.
@@ -108,10 +108,10 @@
 /// A page of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Machines by name.
+    /// Machines, in the order of their names.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are more.
+    /// Whether more pages follow.
     #[serde(rename = "has_next", default)]
     pub more: bool,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Message formats of vetchmount's interfaces, usable by clients too.
+//! Message formats of vetchmount's interfaces. Clients can use them, too.
 //!
-//! Bodies are CBOR except between controllers, where frames are `postcard` behind a length. The outside's words
-//! stay in this crate: in Rust a `mandate` is a term, a `tenure` a session, a `shard` a task.
+//! Bodies are CBOR. Controllers exchange `postcard` frames that begin with their length. The protocols have field names
+//! of their own: each is mapped at its field by serde, and the Rust names are the usual ones.
 
 pub mod cloud;
 pub mod partitions;
@@ -12,44 +12,51 @@
 pub mod workers;
 
 use serde::{de::DeserializeOwned, Serialize};
+use std::io;
 use thiserror::Error;
 
-/// A body that could not be read.
+/// A body that could not be decoded.
 #[derive(Debug, Error)]
 #[error("not a valid message: {0}")]
 pub struct BadBody(pub String);
 
-/// Reads a CBOR body.
+/// Decodes a CBOR body.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, BadBody> {
-    ciborium::de::from_reader(body).map_err(|e| BadBody(e.to_string()))
+    ciborium::de::from_reader(body).map_err(|error| BadBody(error.to_string()))
 }
 
-/// Writes a CBOR body.
+/// Encodes a CBOR body.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    let mut out = Vec::new();
-    // Writing to memory fails only for types CBOR can't express; none of ours is one.
-    if ciborium::ser::into_writer(message, &mut out).is_err() {
-        out.clear();
+    let mut body = Vec::new();
+    // Writing to memory fails only for types that CBOR can't express. No type of this crate is one.
+    if ciborium::ser::into_writer(message, &mut body).is_err() {
+        body.clear();
     }
-    out
+    body
 }
 
-/// Bytes of a message in JSON, the form in which the outside counts sizes.
-pub fn json_bytes<T: Serialize>(message: &T) -> usize {
-    struct Count(usize);
-    impl std::io::Write for Count {
-        fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
-            self.0 += buf.len();
-            Ok(buf.len())
-        }
-        fn flush(&mut self) -> std::io::Result<()> {
-            Ok(())
-        }
+/// Counts the bytes that are written to it.
+struct ByteCounter {
+    bytes: usize,
+}
+
+impl io::Write for ByteCounter {
+    fn write(&mut self, buffer: &[u8]) -> io::Result<usize> {
+        self.bytes += buffer.len();
+        Ok(buffer.len())
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
     }
-    let mut count = Count(0);
-    // What can't be written as JSON has no size that would be allowed.
-    match serde_json::to_writer(&mut count, message) {
-        Ok(()) => count.0,
+}
+
+/// Size of a message as JSON, in bytes. The services limit sizes in this form.
+pub fn json_bytes<T: Serialize>(message: &T) -> usize {
+    let mut counter = ByteCounter { bytes: 0 };
+    // A message that can't be written as JSON counts as too large for any limit.
+    match serde_json::to_writer(&mut counter, message) {
+        Ok(()) => counter.bytes,
         Err(_) => usize::MAX,
     }
 }
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -1,74 +1,74 @@
-//! What controllers say to each other: `postcard` frames behind a length and a version.
+//! Messages between controllers: `postcard` frames that begin with their length and a version.
 
 use crate::partitions::PartitionMessage;
 use constants::{MAX_FRAME_BYTES, PEER_VERSION};
 use serde::{Deserialize, Serialize};
 
-/// What the leader tells of an open job.
+/// Progress of an open job, sent by the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobUpdate {
     /// Job.
     pub id: String,
-    /// Tasks done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks running.
+    /// Number of tasks that are running.
     pub running: u32,
-    /// Version of its record.
+    /// Version of the job's record.
     pub version: u64,
-    /// Whether that version says it is cancelled.
+    /// Whether the job is cancelled in that version.
     pub aborted: bool,
 }
 
 /// A message between controllers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// First on every connection: who speaks.
+    /// First message on every connection. It identifies the sender.
     Hello {
-        /// Label of the node.
+        /// Label of the sender.
         node: String,
     },
-    /// Regular sign of life.
+    /// Heartbeat.
     Heartbeat {
-        /// Highest term the node knows.
+        /// Highest term that the sender knows.
         term: u64,
-        /// Milliseconds since the state service last answered it well.
+        /// Milliseconds since the state service last answered it without an error.
         state_ago_ms: u64,
-        /// Whether it leads in that term.
+        /// Whether the sender is the leader of that term.
         leads: bool,
-        /// Milliseconds since a worker last asked it, if any did.
+        /// Milliseconds since a worker last contacted the sender, if any did.
         worker_ago_ms: Option<u64>,
-        /// Sender's steady clock.
+        /// The sender's steady clock.
         sent: u64,
-        /// `sent` of the last beat the sender had from the receiver.
+        /// `sent` of the last heartbeat that the sender received from the receiver.
         echo: u64,
-        /// Number drawn at the start of the sender's process.
+        /// Random number of the sender's process.
         boot: u64,
-        /// Cancellations this process has confirmed to users so far.
+        /// Number of cancellations that this process has confirmed to users.
         aborts: u64,
     },
-    /// A cancellation, told before its user is.
+    /// A cancellation. It is sent to peers before it is confirmed to the user.
     Aborted {
         /// Number of this cancellation among those of the process.
         number: u64,
         /// Job.
         job: String,
     },
-    /// Open jobs, from the leader: counts for display, and which version of the record to ask the state service
-    /// about.
+    /// Open jobs, from the leader: counts of tasks for display, and the version of the record, for reads from the state
+    /// service.
     Counts {
         /// Term of the leader.
         term: u64,
         /// Jobs.
         jobs: Vec<JobUpdate>,
     },
-    /// Jobs that have just been filed away for good: (job, whether done; else cancelled).
+    /// Jobs whose final records have just been written: the job, and whether it is done rather than cancelled.
     Over {
         /// Jobs.
         jobs: Vec<(String, bool)>,
     },
-    /// A user's request for a node that reaches the state service.
+    /// A user's request, forwarded to a controller that can reach the state service.
     Forward {
-        /// Number, the sender's own.
+        /// Number of the call, unique within the sender.
         call: u64,
         /// HTTP method.
         method: String,
@@ -77,66 +77,75 @@
         /// Body.
         body: Vec<u8>,
     },
-    /// Answer to a forwarded request.
+    /// Response to a forwarded request.
     Forwarded {
-        /// Its number.
+        /// Number of the call.
         call: u64,
         /// HTTP status.
         status: u16,
         /// Body.
         body: Vec<u8>,
     },
-    /// The leader stops as planned and names the receiver its successor. Only to processes that have announced the
-    /// feature: others can't read it and would end the connection.
+    /// The leader stops as planned, and the receiver is to succeed it. Sent only to processes that have announced the
+    /// feature: others can't decode it and would close the connection.
     Handover {
-        /// Its term.
+        /// Term of the leader that stops.
         term: u64,
     },
-    /// About partitions of the fleet. Only to processes that have announced the feature.
+    /// A message about partitions of the fleet. Sent only to processes that have announced the feature.
     Partitions(PartitionMessage),
 }
 
-/// Appends a frame to `out`.
-pub fn encode_frame(out: &mut Vec<u8>, message: &PeerMessage) {
+/// Bytes of a frame's length, which counts the version and the content.
+const LENGTH_BYTES: usize = 4;
+/// Bytes of a frame before its content: length and version.
+const HEADER_BYTES: usize = LENGTH_BYTES + 1;
+/// Minimum length of a frame: a version and one byte of content.
+const MIN_FRAME_BYTES: usize = 2;
+
+/// Appends a message to `output` as a frame. A message that is too large is left out.
+pub fn encode_frame(output: &mut Vec<u8>, message: &PeerMessage) {
     if let Ok(bytes) = postcard::to_stdvec(message) {
         if bytes.len() < MAX_FRAME_BYTES {
-            out.extend_from_slice(&(bytes.len() as u32 + 1).to_le_bytes());
-            out.push(PEER_VERSION);
-            out.extend_from_slice(&bytes);
+            output.extend_from_slice(&(bytes.len() as u32 + 1).to_le_bytes());
+            output.push(PEER_VERSION);
+            output.extend_from_slice(&bytes);
         }
     }
 }
 
-/// A frame that makes its connection useless.
+/// Why a frame can't be decoded. Its connection is of no further use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BadFrame {
-    /// Length out of bounds.
+    /// The length is out of bounds.
     #[error("frame length out of bounds")]
     Length,
-    /// Another version of the protocol.
+    /// The frame has another version of the protocol.
     #[error("other protocol version")]
     Version,
-    /// Content that can't be read.
+    /// The content can't be decoded.
     #[error("unreadable frame")]
     Content,
 }
 
-/// Takes the next whole frame from the front of `buf`.
-pub fn decode_frame(buf: &mut Vec<u8>) -> Result<Option<PeerMessage>, BadFrame> {
-    let Some(head) = buf.first_chunk::<4>() else {
+/// Removes the next whole frame from the front of `buffer`. `None` if there is no whole frame yet.
+pub fn decode_frame(buffer: &mut Vec<u8>) -> Result<Option<PeerMessage>, BadFrame> {
+    let Some(length_bytes) = buffer.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
-    let length = u32::from_le_bytes(*head) as usize;
-    if !(2..=MAX_FRAME_BYTES).contains(&length) {
+    let length = u32::from_le_bytes(*length_bytes) as usize;
+    if !(MIN_FRAME_BYTES..=MAX_FRAME_BYTES).contains(&length) {
         return Err(BadFrame::Length);
     }
-    if buf.len() < 4 + length {
+    let end = LENGTH_BYTES + length;
+    if buffer.len() < end {
         return Ok(None);
     }
-    if buf[4] != PEER_VERSION {
+    if buffer[LENGTH_BYTES] != PEER_VERSION {
         return Err(BadFrame::Version);
     }
-    let message = postcard::from_bytes(&buf[5..4 + length]).map_err(|_| BadFrame::Content)?;
-    buf.drain(..4 + length);
+    let content = &buffer[HEADER_BYTES..end];
+    let message = postcard::from_bytes(content).map_err(|_| BadFrame::Content)?;
+    buffer.drain(..end);
     Ok(Some(message))
 }
--- a/crates/wire/src/records/partitions.rs
+++ b/crates/wire/src/records/partitions.rs
@@ -1,4 +1,4 @@
-//! Records of the ownership table: who owns which partition of the fleet, in which epoch.
+//! Records of the ownership table: which controller owns which partition of the fleet, and in which epoch.
 
 use super::UnknownFields;
 use serde::{Deserialize, Serialize};
@@ -14,17 +14,17 @@
 /// A part of the ownership table.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PartitionsRecord {
-    /// Number of partitions of the whole table.
+    /// Number of partitions in the whole table.
     pub count: u16,
-    /// How machines are mapped to partitions.
+    /// Name of the hash that maps machines to partitions.
     pub hash: String,
     /// First partition of this part.
     pub first: u16,
-    /// Labels of the owners that the rows refer to.
+    /// Labels of the owners, to which the rows refer by index.
     pub owners: Vec<String>,
     /// Partitions in order.
     pub rows: Vec<PartitionRow>,
-    /// What a newer build has added.
+    /// Fields that a newer build has added.
     #[serde(flatten)]
     pub unknown: UnknownFields,
 }
@@ -32,13 +32,13 @@
 /// A row of the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRow {
-    /// Place of its owner among the labels.
+    /// Index of the owner among the labels.
     #[serde(rename = "o")]
     pub owner: u16,
-    /// Epoch.
+    /// Epoch, which grows with each change of the owner.
     #[serde(rename = "e")]
     pub epoch: u64,
-    /// Whether it is pinned to its owner.
+    /// Whether the partition is pinned to its owner.
     #[serde(rename = "p", default, skip_serializing_if = "std::ops::Not::not")]
     pub pinned: bool,
 }
--- a/crates/wire/src/records/rollout.rs
+++ b/crates/wire/src/records/rollout.rs
@@ -1,4 +1,4 @@
-//! Records of staged upgrades: what each controller can run, and what the cluster does run.
+//! Records of staged upgrades: the feature levels that each controller supports, and the level that is active.
 
 use super::UnknownFields;
 use serde::{Deserialize, Serialize};
@@ -15,23 +15,23 @@
     format!("{MEMBERS}{label}")
 }
 
-/// What a controller's process can run.
+/// Feature levels that a controller's process supports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Oldest feature level.
+    /// Oldest supported level.
     pub oldest: u32,
-    /// Newest feature level.
+    /// Newest supported level.
     pub newest: u32,
-    /// Name of the build, for people.
+    /// Name of the build, for display.
     pub build: String,
-    /// Number drawn at the start of the process, as in its heartbeats.
+    /// Random number of the process, as in its heartbeats.
     pub boot: u64,
-    /// What a newer build has added.
+    /// Fields that a newer build has added.
     #[serde(flatten)]
     pub unknown: UnknownFields,
 }
 
-/// Where an upgrade is.
+/// Phase of an upgrade.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
@@ -39,36 +39,36 @@
     Idle,
     /// Some controllers support a newer level, others do not.
     Mixed,
-    /// All support it; it is not active yet.
+    /// All controllers support the newer level; it is not active yet.
     Ready,
-    /// It is active, and controllers may still return to the build before.
+    /// The level is active, and controllers may still return to the previous build.
     Soaking,
-    /// It is active for good.
+    /// The level is active permanently.
     Finalized,
 }
 
-/// Why an upgrade goes no further for now.
+/// Why an upgrade is paused.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "why", rename_all = "snake_case")]
 pub enum PauseReason {
-    /// A controller restarts again and again.
+    /// A controller restarts repeatedly.
     Restarting {
-        /// Its label.
+        /// Label of the controller.
         label: String,
     },
-    /// A controller no longer supports the level that was aimed at.
+    /// A controller no longer supports the target level.
     Regressed {
-        /// Its label.
+        /// Label of the controller.
         label: String,
     },
-    /// Nothing has moved for too long.
+    /// The upgrade has made no progress for too long.
     Stalled {
-        /// What is waited for.
+        /// What the upgrade waits for.
         label: String,
     },
-    /// A controller that is not configured announces itself.
+    /// A controller that is not configured has announced itself.
     Unknown {
-        /// Its label.
+        /// Label of the controller.
         label: String,
     },
 }
@@ -84,32 +84,32 @@
     }
 }
 
-/// The feature level of the cluster. Each announcement and each transition writes it, so its version is a condition
-/// that any of them fails.
+/// The feature level of the cluster. Each announcement and each transition writes this record, so a transaction that
+/// compares its version fails if any of them has happened meanwhile.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LevelRecord {
-    /// Level that is active: never above what an announced controller supports.
+    /// Active level. Every announced controller supports it.
     pub active: u32,
-    /// Level that the upgrade leads to.
+    /// Target level of the upgrade.
     pub target: u32,
-    /// Where the upgrade is.
+    /// Phase of the upgrade.
     pub phase: Phase,
     /// Number of transitions so far.
     pub number: u64,
     /// Number of announcements so far.
     pub announcements: u64,
-    /// Time of day of the last transition, in milliseconds, for people.
+    /// Time of day of the last transition, in milliseconds, for display.
     pub since: u64,
-    /// Why the upgrade goes no further, if it does not.
+    /// Why the upgrade is paused, if it is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pause: Option<PauseReason>,
-    /// What a newer build has added.
+    /// Fields that a newer build has added.
     #[serde(flatten)]
     pub unknown: UnknownFields,
 }
 
 impl LevelRecord {
-    /// A cluster that runs a level and has no upgrade under way.
+    /// The record of a cluster that runs a level and is not being upgraded.
     pub fn idle(active: u32, since: u64) -> Self {
         LevelRecord {
             active,
--- a/crates/wire/src/records/small/tests.rs
+++ b/crates/wire/src/records/small/tests.rs
@@ -1,13 +1,13 @@
 //! Parts of jobs in their dense form.
 
-use super::*;
+use super::{ChunkRecord, SmallPart};
 
 #[test]
 fn the_dense_form_says_the_same_in_a_third_of_the_bytes() {
-    let place = |t: u32| (t, 2, format!("vm-{:06}", 150 + 7 * t));
+    let assignment = |task: u32| (task, 2, format!("vm-{:06}", 150 + 7 * task));
     let mut chunk = ChunkRecord {
         done: "0-3,7".into(),
-        at: (8..32).map(place).collect(),
+        at: (8..32).map(assignment).collect(),
         hi: 2,
         secs: 12.5,
         timed: 5,
@@ -23,7 +23,7 @@
     chunk.at = vec![(1, 2, "é1".into()), (2, 2, "è:2".into()), (3, 1, "".into())];
     assert_eq!(SmallPart::from(&chunk).read(), Some(chunk));
     let bad = SmallPart {
-        at: vec!["x:1".into()],
+        assignments: vec!["x:1".into()],
         ..small
     };
     assert_eq!(bad.read(), None);
--- a/crates/wire/src/records/unknown.rs
+++ b/crates/wire/src/records/unknown.rs
@@ -3,11 +3,11 @@
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// Fields of a record that this build does not know: kept when the record is written again, so that what a newer build
-/// has added survives. Empty in whatever this build writes itself.
+/// Fields of a record that this build does not know. They are preserved when the record is written again, so that what
+/// a newer build has added is not lost. Empty in records that this build creates.
 pub type UnknownFields = BTreeMap<String, ciborium::Value>;
 
-/// Writes a record with its unknown fields. Without any, its bytes are those of the known fields alone.
+/// Serializes a record with its unknown fields. Without unknown fields, the bytes are those of the known fields alone.
 pub(super) fn serialize_with<T: Serialize, S: Serializer>(
     known: &T,
     unknown: &UnknownFields,
@@ -20,8 +20,9 @@
         #[serde(flatten)]
         unknown: &'a UnknownFields,
     }
-    match unknown.is_empty() {
-        true => known.serialize(serializer),
-        false => Both { known, unknown }.serialize(serializer),
+    if unknown.is_empty() {
+        known.serialize(serializer)
+    } else {
+        Both { known, unknown }.serialize(serializer)
     }
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,4 +1,4 @@
-//! What the state service is asked and answers.
+//! Messages of the state service: keys, transactions, leases and watches.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -12,10 +12,10 @@
     /// Value.
     #[serde(rename = "v")]
     pub value: Value,
-    /// Revision of its last change.
+    /// Version: the revision of its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
-    /// Lease it is attached to.
+    /// Lease to which it is attached. The key is deleted when the lease expires.
     #[serde(rename = "tether", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
@@ -23,9 +23,9 @@
 /// A page of keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// Keys in order.
+    /// Keys with their values, in the order of the keys.
     pub items: Vec<Item>,
-    /// Whether there are more.
+    /// Whether more pages follow.
     #[serde(rename = "has_next", default)]
     pub more: bool,
     /// Revision of the store.
@@ -33,26 +33,26 @@
     pub revision: u64,
 }
 
-/// A condition of a transaction.
+/// A condition of a transaction, for compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Compare {
     /// Key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Version it must have; 0: it must not exist.
+    /// Version that the key must have. 0 means that it must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
 impl Compare {
-    /// The key must have this version.
+    /// The condition that a key has a version.
     pub fn new(key: impl Into<String>, version: u64) -> Self {
         let key = key.into();
         Self { key, version }
     }
 }
 
-/// A change of a transaction.
+/// A write of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
@@ -64,11 +64,11 @@
         /// Value.
         #[serde(rename = "v")]
         value: Value,
-        /// Lease to attach it to.
+        /// Lease to which the key is attached.
         #[serde(rename = "tether", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete {
         /// Key.
         #[serde(rename = "drop")]
@@ -76,7 +76,7 @@
     },
 }
 
-/// Any of ours as a value. Our record types are plain maps, which CBOR can always hold.
+/// Converts a record to a CBOR value. This never fails for the record types of this crate, which are plain maps.
 pub fn to_value<T: Serialize>(record: &T) -> Value {
     Value::serialized(record).unwrap_or(Value::Null)
 }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Removes a key.
+    /// Deletes a key.
     pub fn delete(key: impl Into<String>) -> Self {
         Write::Delete { key: key.into() }
     }
@@ -100,18 +100,18 @@
 /// A transaction.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Txn {
-    /// Conditions.
+    /// Conditions, all of which must be true.
     #[serde(rename = "guards")]
     pub compares: Vec<Compare>,
-    /// Changes.
+    /// Writes, all or none of which are executed.
     #[serde(rename = "writes")]
     pub writes: Vec<Write>,
 }
 
-/// Answer to a transaction, or to a look at a missing key.
+/// Response to a transaction, or to a read of a key that does not exist.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct TxnAnswer {
-    /// Keys whose condition failed.
+    /// Keys whose conditions failed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<String>,
     /// Revision of the store.
@@ -119,10 +119,10 @@
     pub revision: u64,
 }
 
-/// Request for a lease.
+/// Request for a new lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseAsk {
-    /// Life in milliseconds.
+    /// Time to live, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
@@ -130,21 +130,21 @@
 /// A lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its id.
+    /// Id of the lease.
     #[serde(rename = "tether")]
     pub lease: u64,
 }
 
-/// A change seen by a watch.
+/// A change that a watch reports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Key set.
+    /// Key that was set.
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
-    /// Its value.
+    /// Value that it was set to.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
-    /// Key removed.
+    /// Key that was deleted.
     #[serde(rename = "drop", default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
     /// Revision of the change.
@@ -152,13 +152,13 @@
     pub version: u64,
 }
 
-/// Answer to a watch.
+/// Response to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Revision up to which changes are told.
+    /// Revision up to which changes are reported.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// Changes in order.
+    /// Changes, in the order of their revisions.
     #[serde(rename = "log", default)]
     pub events: Vec<Change>,
 }
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -1,18 +1,19 @@
-//! What users say to the controllers.
+//! Messages of the users: submissions, job status and refusals.
 
 use serde::{Deserialize, Deserializer, Serialize};
+use std::ops::RangeInclusive;
 
-/// Kind of a job.
+/// Shape of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
-    /// Independent tasks.
+    /// A job array: independent tasks.
     #[serde(rename = "array")]
     Array,
-    /// All tasks at the same time or none.
+    /// A gang: all tasks run at the same time, or none.
     #[serde(rename = "group")]
     Gang,
-    /// Independent tasks that run until their user cancels the job. The protocol page does not name this shape,
-    /// the design page and users do (docs/questions.md).
+    /// A service: independent tasks that run until their user cancels the job. The protocol page does not name this
+    /// shape, but the design page and users do (docs/questions.md).
     #[serde(rename = "standing")]
     Service,
 }
@@ -23,7 +24,7 @@
 pub enum Priority {
     /// Lowest.
     Low,
-    /// The usual one.
+    /// Ordinary.
     Normal,
     /// Above normal.
     Urgent,
@@ -31,18 +32,18 @@
     Critical,
 }
 
-/// A job as its owner describes it.
+/// A job as its user describes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// Unique id, chosen by the user.
+    /// Unique id, chosen by the user, so that a repeated submission is idempotent.
     pub id: String,
-    /// Class of jobs the objectives speak of.
+    /// Class of jobs, for which service-level objectives are defined.
     #[serde(rename = "cohort")]
     pub class: String,
-    /// Team that pays with its guarantee and limit.
+    /// Team whose quota the job uses: its guarantee and its limit.
     #[serde(rename = "tenant")]
     pub team: String,
-    /// Array or gang.
+    /// Shape of the job.
     pub shape: Shape,
     /// Priority.
     #[serde(rename = "rank")]
@@ -50,45 +51,45 @@
     /// Number of tasks.
     #[serde(rename = "shards")]
     pub tasks: u64,
-    /// CPUs a task takes.
+    /// CPUs of a task.
     pub cpus: f64,
-    /// GPUs a task takes.
+    /// GPUs of a task.
     pub gpus: f64,
-    /// Memory a task takes, in GB.
+    /// Memory of a task, in GB.
     pub mem_gb: f64,
-    /// Image a machine must have first.
+    /// Image that a machine must have before a task starts.
     #[serde(rename = "bundle")]
     pub image: String,
-    /// Size of the image in GB.
+    /// Size of the image, in GB.
     #[serde(rename = "pull_gb")]
     pub image_gb: f64,
-    /// Allowed machine types; `None` for any.
+    /// Allowed machine types; `None` allows any.
     #[serde(rename = "breeds", default)]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone, if there is one.
     #[serde(rename = "valley", default)]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks have to run in the same zone.
     #[serde(rename = "same_place")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// Whether spot machines may be used.
+    /// Whether spot instances may be used.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Owner's estimate of a task's run time, in seconds.
+    /// The user's estimate of a task's run time, in seconds.
     pub guess_s: f64,
-    /// Seconds of progress between checkpoints; 0: the task never saves.
+    /// Seconds of progress between checkpoints; 0 if the task writes none.
     #[serde(rename = "stow_every_s")]
     pub checkpoint_s: f64,
-    /// Seconds a task needs to save when it is stopped.
+    /// Seconds that a task needs to write a checkpoint when it is stopped.
     #[serde(rename = "stow_s")]
     pub save_s: f64,
-    /// Seconds from submission until the job should be complete.
+    /// Seconds after its submission until which the job should be complete, if it has a due time.
     #[serde(default)]
     pub due_s: Option<f64>,
-    /// Jobs that must be done before any task of this one starts.
+    /// Dependencies: jobs that must be done before any task of this one starts.
     #[serde(
         rename = "awaits",
         default,
@@ -98,57 +99,79 @@
     pub needs: Vec<String>,
 }
 
-/// A list that may be null.
+/// Reads a list that may be null, which stands for an empty one.
 fn null_is_none<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<String>, D::Error> {
     Ok(Option::deserialize(from)?.unwrap_or_default())
 }
 
-/// Largest number of tasks of a job.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
-const MAX_TEXT: usize = 128;
+/// Maximum length of names, in bytes.
+const MAX_TEXT_BYTES: usize = 128;
+/// Maximum number of allowed machine types.
 const MAX_TYPES: usize = 64;
-/// What every job id begins with.
+/// Number of digits that a job id may have.
+const ID_DIGITS: RangeInclusive<usize> = 1..=40;
+/// Prefix of every job id.
 pub const ID_PREFIX: &str = "run-";
 
 /// Whether `id` has the form of a job id.
 pub fn is_job_id(id: &str) -> bool {
-    id.strip_prefix(ID_PREFIX)
-        .is_some_and(|n| (1..=40).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix(ID_PREFIX).is_some_and(|number| {
+        ID_DIGITS.contains(&number.len()) && number.bytes().all(|byte| byte.is_ascii_digit())
+    })
 }
 
 impl Submission {
-    /// Drops names of needed jobs that come twice.
+    /// Removes dependencies that are listed more than once.
     pub fn dedup_needs(&mut self) {
         let mut seen = std::collections::HashSet::new();
         self.needs.retain(|id| seen.insert(id.clone()));
     }
 
-    /// The first field whose value is not allowed.
+    /// The first field whose value is not allowed, under its name in the protocol, for the response to the user.
     pub fn invalid_field(&self) -> Option<&'static str> {
-        let amount = |v: f64| v.is_finite() && v >= 0.0;
-        let text = |s: &str| !s.is_empty() && s.len() <= MAX_TEXT;
-        let types_ok = |t: &Vec<String>| t.len() <= MAX_TYPES && t.iter().all(|t| text(t));
         let checks = [
             ("id", is_job_id(&self.id)),
-            ("cohort", text(&self.class)),
-            ("tenant", text(&self.team)),
+            ("cohort", is_valid_text(&self.class)),
+            ("tenant", is_valid_text(&self.team)),
             ("shards", (1..=MAX_TASKS).contains(&self.tasks)),
-            ("cpus", amount(self.cpus)),
-            ("gpus", amount(self.gpus)),
-            ("mem_gb", amount(self.mem_gb)),
-            ("bundle", text(&self.image)),
-            ("pull_gb", amount(self.image_gb)),
-            ("breeds", self.types.as_ref().is_none_or(types_ok)),
-            ("valley", self.zone.as_deref().is_none_or(text)),
-            ("guess_s", amount(self.guess_s)),
-            ("stow_every_s", amount(self.checkpoint_s)),
-            ("stow_s", amount(self.save_s)),
-            ("due_s", self.due_s.is_none_or(amount)),
+            ("cpus", is_valid_amount(self.cpus)),
+            ("gpus", is_valid_amount(self.gpus)),
+            ("mem_gb", is_valid_amount(self.mem_gb)),
+            ("bundle", is_valid_text(&self.image)),
+            ("pull_gb", is_valid_amount(self.image_gb)),
+            (
+                "breeds",
+                self.types
+                    .as_ref()
+                    .is_none_or(|types| is_valid_type_list(types)),
+            ),
+            ("valley", self.zone.as_deref().is_none_or(is_valid_text)),
+            ("guess_s", is_valid_amount(self.guess_s)),
+            ("stow_every_s", is_valid_amount(self.checkpoint_s)),
+            ("stow_s", is_valid_amount(self.save_s)),
+            ("due_s", self.due_s.is_none_or(is_valid_amount)),
         ];
-        checks.iter().find(|(_, ok)| !ok).map(|(name, _)| *name)
+        checks
+            .into_iter()
+            .find(|(_, is_valid)| !is_valid)
+            .map(|(name, _)| name)
     }
 }
 
+fn is_valid_amount(amount: f64) -> bool {
+    amount.is_finite() && amount >= 0.0
+}
+
+fn is_valid_text(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_TEXT_BYTES
+}
+
+fn is_valid_type_list(types: &[String]) -> bool {
+    types.len() <= MAX_TYPES && types.iter().all(|name| is_valid_text(name))
+}
+
 /// Only the id of a submission, for bodies that are otherwise invalid.
 #[derive(Debug, Deserialize)]
 pub struct JustId {
@@ -156,13 +179,13 @@
     pub id: String,
 }
 
-/// Phase of a job as users see it.
+/// Phase of a job, as users see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// No task runs.
+    /// No task is running.
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
     /// All tasks are done.
     Done,
@@ -170,24 +193,24 @@
     Aborted,
 }
 
-/// Answer about a job.
+/// Response about the status of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// Job id.
     pub id: String,
     /// Phase.
     pub phase: Phase,
-    /// Tasks done, for display.
+    /// Number of tasks that are done, for display.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u64>,
-    /// Tasks running, for display.
+    /// Number of tasks that are running, for display.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u64>,
 }
 
-/// Answer that refuses something.
+/// Response that refuses a request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What was wrong.
+    /// Reason for the refusal.
     pub error: String,
 }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,4 +1,4 @@
-//! What workers report and what they are told.
+//! Messages of the workers: heartbeats, and the orders that they receive.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,14 +8,14 @@
 pub enum TaskPhase {
     /// Waiting for its image.
     Fetching,
-    /// Gang task waiting for the others.
+    /// Waiting for the other tasks of its gang.
     #[serde(rename = "gathering")]
     Waiting,
     /// Running.
     Running,
-    /// Told to stop and saving.
+    /// Writing a checkpoint after an order to stop.
     Saving,
-    /// Over, see the cause.
+    /// Ended; [`TaskStatus::cause`] says why.
     Ended,
 }
 
@@ -25,24 +25,24 @@
 pub enum Cause {
     /// Completed.
     Done,
-    /// Stopped by command.
+    /// Stopped by an order.
     #[serde(rename = "halted")]
     Stopped,
     /// Another task of its gang is gone.
     Peers,
-    /// Its gang was not complete in time.
+    /// Its gang was not complete within the time limit.
     Alone,
     /// Failed.
     Error,
-    /// Refused: no room.
+    /// Refused: the machine has no capacity left.
     #[serde(rename = "full")]
     NoRoom,
-    /// Refused: there with another attempt.
+    /// Refused: the machine has another attempt of the task.
     #[serde(rename = "in_use")]
     Busy,
-    /// Refused: unknown job or task.
+    /// Refused: the job or the task is unknown.
     Unknown,
-    /// A cause this version does not know; treated as a failure.
+    /// A cause that this version does not know. It is treated as a failure.
     #[serde(other)]
     Other,
 }
@@ -53,26 +53,26 @@
     /// Name of the task, `job/number`.
     #[serde(rename = "shard")]
     pub task: String,
-    /// Attempt.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State.
+    /// Phase.
     pub phase: TaskPhase,
-    /// Why it ended.
+    /// Why the task ended, if it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
-    /// Whether its progress was saved.
+    /// Whether a checkpoint of its progress was written.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat, which reports all tasks on its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerHeartbeat {
     /// Machine name.
     #[serde(rename = "host")]
     pub machine: String,
-    /// Address for direct orders.
+    /// Address to which orders can be sent directly.
     #[serde(rename = "endpoint")]
     pub addr: String,
     /// Machine type.
@@ -81,19 +81,19 @@
     /// Zone.
     #[serde(rename = "valley")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Session; grows whenever the worker's lease runs out.
+    /// Incarnation, which grows whenever the worker's lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Number of the message within all of the worker's.
+    /// Sequence number among all of the worker's messages.
     #[serde(rename = "tick")]
     pub seq: u64,
-    /// Highest term the worker has seen.
+    /// Highest term that the worker has seen.
     #[serde(rename = "mandate")]
     pub term: u64,
-    /// Seconds until the cloud takes the machine.
+    /// Seconds until the cloud reclaims the machine, if it has announced that.
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
     /// Tasks on the machine.
@@ -101,7 +101,7 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker.
+/// An order to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Order {
@@ -111,7 +111,7 @@
         /// Task.
         #[serde(rename = "shard")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -121,52 +121,52 @@
         /// Task.
         #[serde(rename = "shard")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds it may take to save.
+        /// Seconds that the task may take to write a checkpoint.
         #[serde(rename = "leeway_s")]
         grace_s: f64,
     },
-    /// Remove an ended task from the reports.
+    /// Remove an ended task from the heartbeats.
     #[serde(rename = "reap")]
     Forget {
         /// Task.
         #[serde(rename = "shard")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Answer to a report.
+/// Response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Our term.
+    /// Term of the controller, the fencing token of its orders.
     #[serde(rename = "mandate")]
     pub term: u64,
-    /// Commands, executed in order.
+    /// Orders, which the worker executes in sequence.
     pub orders: Vec<Order>,
 }
 
-/// Commands sent to a worker's own address.
+/// Orders that are sent to a worker's own address.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectOrders {
-    /// Our term.
+    /// Term of the controller, the fencing token of its orders.
     #[serde(rename = "mandate")]
     pub term: u64,
-    /// Session they are meant for.
+    /// Incarnation of the worker for which they are meant.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Commands.
+    /// Orders.
     pub orders: Vec<Order>,
 }
 
-/// Answer 421: report to somebody else.
+/// Response with status 421: the worker is to report to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Elsewhere {
-    /// Label of the node to report to.
+    /// Label of that controller, if it is known.
     #[serde(rename = "steward", skip_serializing_if = "Option::is_none", default)]
     pub leader: Option<String>,
 }
