--- a/crates/vetchmount/src/clients/link.rs
+++ b/crates/vetchmount/src/clients/link.rs
@@ -101,9 +101,9 @@
         outcomes: &mut Vec<CallOutcome>,
     ) -> bool {
         let parser = &mut self.parser;
-        let read = self.connection.read(buffer, |bytes| parser.feed(bytes));
-        let flushed = self.connection.flush(poller);
-        let is_open = flushed.is_ok() && matches!(read, Ok(true));
+        let is_open = self
+            .connection
+            .exchange(poller, buffer, |bytes| parser.feed(bytes));
         let is_usable = self.take_response(now, outcomes);
         is_open && is_usable
     }
--- a/crates/vetchmount/src/daemon/routing.rs
+++ b/crates/vetchmount/src/daemon/routing.rs
@@ -38,7 +38,7 @@
                 break;
             };
             let key = self.keys.take();
-            if let Ok(connection) = Connection::new(&self.poller, stream, key, false) {
+            if let Ok(connection) = Connection::accepted(&self.poller, stream, key) {
                 self.servers.add(&self.poller, connection, key, now);
             }
         }
@@ -47,7 +47,7 @@
     fn accept_peers(&mut self, now: u64) {
         while let Some(stream) = self.peer_listener.accept() {
             let key = self.keys.take();
-            if let Ok(connection) = Connection::new(&self.poller, stream, key, false) {
+            if let Ok(connection) = Connection::accepted(&self.poller, stream, key) {
                 self.peers.accept(&self.poller, key, connection, now);
             }
         }
--- a/crates/vetchmount/src/daemon/startup.rs
+++ b/crates/vetchmount/src/daemon/startup.rs
@@ -6,7 +6,7 @@
 use super::{Daemon, DaemonError, PendingInputs};
 use crate::clients::Clients;
 use crate::net::{KeySequence, Listener};
-use crate::peer_links::PeerLinks;
+use crate::peer_links::{PeerAddress, PeerLinks};
 use crate::servers::Servers;
 use control::{Node, Operator, Settings};
 use polling::Poller;
@@ -81,11 +81,16 @@
 }
 
 /// Labels and addresses of the other controllers.
-fn sibling_addresses(settings: &Settings) -> Result<Vec<(String, SocketAddrV4)>, DaemonError> {
+fn sibling_addresses(settings: &Settings) -> Result<Vec<PeerAddress>, DaemonError> {
     settings
         .siblings
         .iter()
-        .map(|sibling| Ok((sibling.label.clone(), parse_address(&sibling.addr)?)))
+        .map(|sibling| {
+            Ok(PeerAddress {
+                label: sibling.label.clone(),
+                addr: parse_address(&sibling.addr)?,
+            })
+        })
         .collect()
 }
 
--- a/crates/vetchmount/src/net.rs
+++ b/crates/vetchmount/src/net.rs
@@ -21,24 +21,9 @@
 }
 
 impl Connection {
-    /// Registers a stream that is connected, or `connecting`.
-    pub fn new(
-        poller: &Poller,
-        stream: TcpStream,
-        key: usize,
-        connecting: bool,
-    ) -> io::Result<Self> {
-        stream.set_nonblocking(true)?;
-        let event = Event::new(key, true, connecting);
-        // The stream is removed from the poller before it is dropped, in `close`.
-        register(poller, &stream, event)?;
-        Ok(Connection {
-            stream,
-            key,
-            output: Vec::new(),
-            written: 0,
-            watches_write: connecting,
-        })
+    /// Takes over a stream that a listener has accepted.
+    pub fn accepted(poller: &Poller, stream: TcpStream, key: usize) -> io::Result<Self> {
+        Connection::new(poller, stream, key, false)
     }
 
     /// Starts to connect.
@@ -55,6 +40,21 @@
         Connection::new(poller, socket.into(), key, true)
     }
 
+    /// Registers a stream. While it is `connecting`, the poller reports when it can be written, which ends the attempt.
+    fn new(poller: &Poller, stream: TcpStream, key: usize, connecting: bool) -> io::Result<Self> {
+        stream.set_nonblocking(true)?;
+        let event = Event::new(key, true, connecting);
+        // The stream is removed from the poller before it is dropped, in `close`.
+        register(poller, &stream, event)?;
+        Ok(Connection {
+            stream,
+            key,
+            output: Vec::new(),
+            written: 0,
+            watches_write: connecting,
+        })
+    }
+
     /// Fails if the connection attempt has failed. Meant for the first event after [`Connection::connect`].
     pub fn check_connected(&self) -> io::Result<()> {
         match self.stream.take_error()? {
@@ -113,8 +113,21 @@
         poller.modify_with_mode(&self.stream, event, PollMode::Level)
     }
 
+    /// Passes all bytes that can be read now to `take`, and writes what can be written. Returns whether the connection
+    /// is still open in both directions.
+    pub fn exchange(
+        &mut self,
+        poller: &Poller,
+        buffer: &mut [u8],
+        take: impl FnMut(&[u8]),
+    ) -> bool {
+        let read = self.read(buffer, take);
+        let flushed = self.flush(poller);
+        flushed.is_ok() && matches!(read, Ok(true))
+    }
+
     /// Passes all bytes that can be read now to `take`. Returns false once the other side has closed the connection.
-    pub fn read(&mut self, buffer: &mut [u8], mut take: impl FnMut(&[u8])) -> io::Result<bool> {
+    fn read(&mut self, buffer: &mut [u8], mut take: impl FnMut(&[u8])) -> io::Result<bool> {
         loop {
             match self.stream.read(buffer) {
                 Ok(0) => return Ok(false),
--- a/crates/vetchmount/src/peer_links.rs
+++ b/crates/vetchmount/src/peer_links.rs
@@ -36,6 +36,14 @@
     was_connected: bool,
 }
 
+/// A controller as the settings name it.
+pub struct PeerAddress {
+    /// Label.
+    pub label: String,
+    /// Address of its listener for peers.
+    pub addr: SocketAddrV4,
+}
+
 /// Frames that a connection has yielded.
 struct ReceivedFrames {
     inputs: Vec<Input>,
@@ -52,8 +60,8 @@
 }
 
 impl PeerLinks {
-    /// `label` is this controller's own; `peers` are the labels and addresses of the others.
-    pub fn new(label: String, peers: Vec<(String, SocketAddrV4)>) -> Self {
+    /// `label` is this controller's own; `peers` are the other controllers.
+    pub fn new(label: String, peers: Vec<PeerAddress>) -> Self {
         PeerLinks {
             label,
             links: HashMap::new(),
@@ -114,12 +122,11 @@
             link.is_connected = true;
         }
         let input = &mut link.input;
-        let read = link
+        let is_open = link
             .connection
-            .read(buffer, |bytes| input.extend_from_slice(bytes));
-        let flushed = link.connection.flush(poller);
+            .exchange(poller, buffer, |bytes| input.extend_from_slice(bytes));
         let frames = link.read_frames();
-        if flushed.is_err() || !matches!(read, Ok(true)) || !frames.is_valid {
+        if !is_open || !frames.is_valid {
             self.close(poller, key);
         }
         frames.inputs
@@ -189,10 +196,10 @@
 }
 
 impl Peer {
-    fn new((label, addr): (String, SocketAddrV4)) -> Self {
+    fn new(address: PeerAddress) -> Self {
         Peer {
-            label,
-            addr,
+            label: address.label,
+            addr: address.addr,
             key: None,
             retry_at: 0,
             was_connected: false,
--- a/crates/vetchmount/src/servers/connection.rs
+++ b/crates/vetchmount/src/servers/connection.rs
@@ -68,16 +68,21 @@
     pub(super) fn exchange(&mut self, poller: &Poller, buffer: &mut [u8], now: u64) -> bool {
         self.last_used = now;
         let parser = &mut self.parser;
-        let read = self.connection.read(buffer, |bytes| parser.feed(bytes));
-        let goes_on = self.flush(poller);
-        goes_on && matches!(read, Ok(true))
+        let is_open = self
+            .connection
+            .exchange(poller, buffer, |bytes| parser.feed(bytes));
+        is_open && !self.is_finished()
     }
 
     /// Writes what can be written now. Returns whether the connection goes on.
     fn flush(&mut self, poller: &Poller) -> bool {
         let is_flushed = self.connection.flush(poller).is_ok();
-        let is_finished = self.is_closing && self.connection.backlog() == 0;
-        is_flushed && !is_finished
+        is_flushed && !self.is_finished()
+    }
+
+    /// Whether the last response has been written completely.
+    fn is_finished(&self) -> bool {
+        self.is_closing && self.connection.backlog() == 0
     }
 
     /// The next complete request, unless one is open. A request that can't be parsed is refused here.
