--- a/crates/vetchmount/src/daemon/outputs.rs
+++ b/crates/vetchmount/src/daemon/outputs.rs
@@ -48,9 +48,7 @@
                     retry_after_s,
                     body,
                 };
-                let requests = &mut self.pending.requests;
-                self.servers
-                    .respond(&self.poller, &response, now.mono, requests);
+                self.respond(now, &response);
             }
             Output::Call {
                 call,
@@ -77,6 +75,12 @@
         }
     }
 
+    fn respond(&mut self, now: Now, response: &Response) {
+        let requests = &mut self.pending.requests;
+        self.servers
+            .respond(&self.poller, response, now.mono, requests);
+    }
+
     /// The address of a call's recipient. A call to an address that can't be read fails as never sent.
     fn resolve_or_fail(&mut self, call: CallId, target: &Target) -> Option<SocketAddrV4> {
         let address = self.services.resolve(target).ok();
