--- a/crates/control/src/cloud/calls.rs
+++ b/crates/control/src/cloud/calls.rs
@@ -5,7 +5,7 @@
 use crate::requests::{CloudOp, CloudReply};
 use constants::{CLOUD_TIMEOUT_MS, LIST_MAX};
 use wire::cloud::{MachineNames, MachineTypes};
-use wire::BadBody;
+use wire::DecodeError;
 
 /// What the body of a refused rental contains if the cloud has no such machines at present.
 const NO_CAPACITY: &str = "no capacity";
@@ -60,7 +60,7 @@
     }
 }
 
-fn decode_body(op: &CloudOp, status: u16, body: &[u8]) -> Result<CloudReply, BadBody> {
+fn decode_body(op: &CloudOp, status: u16, body: &[u8]) -> Result<CloudReply, DecodeError> {
     let reply = match (op, status) {
         (CloudOp::Return(_), 200) => CloudReply::Returned,
         (CloudOp::Rent(_), 200) => {
--- a/crates/control/src/effects/node_io.rs
+++ b/crates/control/src/effects/node_io.rs
@@ -58,7 +58,7 @@
         result: Result<(u16, Vec<u8>), CallError>,
     },
     /// A peer's process has probably ended: its connection broke, and a new one is refused.
-    PeerRefuses {
+    PeerRefused {
         /// Label of the peer.
         from: String,
     },
--- a/crates/control/src/gateway/intake.rs
+++ b/crates/control/src/gateway/intake.rs
@@ -4,7 +4,7 @@
 use super::rejection::Rejection;
 use super::Gateway;
 use crate::effects::{Effects, RequestId};
-use wire::users::{is_job_id, JustId, Submission};
+use wire::users::{is_job_id, Submission, SubmissionId};
 
 const SUBMISSIONS_PATH: &str = "/submissions";
 const CANCEL_SUFFIX: &str = "/abort";
@@ -99,7 +99,7 @@
             Ok(spec) => self.check_submission(spec),
             Err(why) => {
                 let malformed = Rejection::Malformed(why.to_string());
-                let Ok(JustId { id }) = wire::decode(body) else {
+                let Ok(SubmissionId { id }) = wire::decode(body) else {
                     return Err(malformed);
                 };
                 UserRequest {
--- a/crates/control/src/gateway/job_records.rs
+++ b/crates/control/src/gateway/job_records.rs
@@ -3,7 +3,7 @@
 use super::rejection::Rejection;
 use crate::settings::{Limits, StateLimits};
 use constants::MORE_RECORDS;
-use wire::records::{job_key, more_key, JobRecord, MoreRecord};
+use wire::records::{job_key, job_overflow_key, JobOverflowRecord, JobRecord};
 use wire::state::Write;
 use wire::users::Submission;
 
@@ -102,7 +102,7 @@
         }
         let mut writes = vec![Write::put(key, &record)];
         for (number, record) in (1..).zip(&more) {
-            writes.push(Write::put(more_key(&spec.id, number), record));
+            writes.push(Write::put(job_overflow_key(&spec.id, number), record));
         }
         Ok(writes)
     }
@@ -123,17 +123,18 @@
 }
 
 /// Moves a record's machine types into further records of at most so many bytes each.
-fn move_types_out(record: &mut JobRecord, value_bytes: usize) -> Vec<MoreRecord> {
+fn move_types_out(record: &mut JobRecord, value_bytes: usize) -> Vec<JobOverflowRecord> {
     let types = record.spec.types.take().unwrap_or_default();
     // An empty list still says that only some types are allowed.
     record.spec.types = (!types.is_empty()).then(Vec::new);
-    let mut more: Vec<MoreRecord> = Vec::new();
+    let mut more: Vec<JobOverflowRecord> = Vec::new();
     for name in types {
         let name_bytes = wire::json_bytes(&name) + SEPARATOR_BYTES;
-        let fits = |last: &&mut MoreRecord| wire::json_bytes(*last) + name_bytes <= value_bytes;
+        let fits =
+            |last: &&mut JobOverflowRecord| wire::json_bytes(*last) + name_bytes <= value_bytes;
         match more.last_mut().filter(fits) {
             Some(last) => last.types.push(name),
-            None => more.push(MoreRecord { types: vec![name] }),
+            None => more.push(JobOverflowRecord { types: vec![name] }),
         }
     }
     record.more = more.len() as u32;
--- a/crates/control/src/leader/dependencies/lookups.rs
+++ b/crates/control/src/leader/dependencies/lookups.rs
@@ -6,7 +6,7 @@
 use crate::requests::{LeaderRequest, Priority, StateOp, StateReply};
 use constants::{LOOKUPS, LOOKUP_RETRY_MS};
 use std::collections::{HashMap, HashSet, VecDeque};
-use wire::records::{final_key, more_key, Final, JobRecord, MoreRecord};
+use wire::records::{final_key, job_overflow_key, Final, JobOverflowRecord, JobRecord};
 
 /// An open job's own record, read before its further ones.
 struct PartialJob {
@@ -127,7 +127,7 @@
             return;
         }
         let more = match reply {
-            StateReply::Item(item) => item.value.deserialized::<MoreRecord>().ok(),
+            StateReply::Item(item) => item.value.deserialized::<JobOverflowRecord>().ok(),
             _ => None,
         };
         let Some(PartialJob { record, .. }) = partial.get_mut(&id) else {
@@ -151,7 +151,7 @@
     }
 
     fn request_more(&self, id: String, number: u32, effects: &mut Effects) {
-        let op = StateOp::Get(more_key(&id, number));
+        let op = StateOp::Get(job_overflow_key(&id, number));
         let request = LeaderRequest::FurtherRecord(id, number);
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
     }
--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -11,7 +11,7 @@
 use constants::{HOUSEKEEPING_MS, STATE_RETRY_MS};
 use wire::cloud::MachineType;
 use wire::records::{
-    JobRecord, MoreRecord, PageRecord, RentalRecord, JOBS, MORE, PAGES, RENTALS, TYPES,
+    JobOverflowRecord, JobRecord, PageRecord, RentalRecord, JOBS, MORE, PAGES, RENTALS, TYPES,
 };
 use wire::state::Item;
 
@@ -119,7 +119,7 @@
                 self.jobs.insert(name.to_string(), job);
             }),
             MORE => value
-                .deserialized::<MoreRecord>()
+                .deserialized::<JobOverflowRecord>()
                 .map(|record| self.load_more_record(name, record)),
             PAGES => value.deserialized::<PageRecord>().map(|record| {
                 if let Ok(number) = name.parse::<u32>() {
@@ -141,7 +141,7 @@
     }
 
     /// Adds what did not fit into a job's own record. `name` is the job's id and the number of the further record.
-    fn load_more_record(&mut self, name: &str, record: MoreRecord) {
+    fn load_more_record(&mut self, name: &str, record: JobOverflowRecord) {
         let Some((id, _)) = name.split_once('/') else {
             return;
         };
--- a/crates/control/src/leader/store/record_write.rs
+++ b/crates/control/src/leader/store/record_write.rs
@@ -5,7 +5,7 @@
 use crate::leader::Leader;
 use crate::requests::RecordId;
 use constants::TXN_BYTES;
-use wire::records::{final_key, job_key, more_key};
+use wire::records::{final_key, job_key, job_overflow_key};
 use wire::state::{Compare, Write};
 
 /// Estimated bytes of the record of a rental request.
@@ -94,7 +94,7 @@
             Write::delete(job_key(id)),
             Write::put(final_key(id), &outcome),
         ];
-        writes.extend((1..=job.more).map(|number| Write::delete(more_key(id, number))));
+        writes.extend((1..=job.more).map(|number| Write::delete(job_overflow_key(id, number))));
         Some(RecordWrite {
             change: RecordChange::ArchiveJob {
                 id: id.to_string(),
--- a/crates/control/src/leader/worker_heartbeats/reconciliation.rs
+++ b/crates/control/src/leader/worker_heartbeats/reconciliation.rs
@@ -6,7 +6,7 @@
 use crate::leader::Leader;
 use constants::BOOT_OVERDUE;
 use std::collections::BTreeMap;
-use wire::workers::{Cause, TaskPhase, TaskStatus, WorkerHeartbeat};
+use wire::workers::{EndCause, TaskPhase, TaskStatus, WorkerHeartbeat};
 
 /// Tasks that a heartbeat lists, by job and number.
 pub(super) type ListedTasks<'a> = BTreeMap<(String, u32), &'a TaskStatus>;
@@ -105,7 +105,7 @@
             .filter(|status| status.attempt == assignment.attempt);
         match status {
             Some(status) if status.phase == TaskPhase::Ended => {
-                let cause = status.cause.unwrap_or(Cause::Other);
+                let cause = status.cause.unwrap_or(EndCause::Other);
                 self.on_task_ended(id, task, name, cause, now);
             }
             Some(status) => self.on_task_present(id, task, status.phase, now),
--- a/crates/control/src/leader/worker_heartbeats/task_state.rs
+++ b/crates/control/src/leader/worker_heartbeats/task_state.rs
@@ -4,7 +4,7 @@
 use crate::leader::model::{Assignment, AssignmentStage, Job};
 use crate::leader::Leader;
 use constants::ERROR_PAUSE_MS;
-use wire::workers::{Cause, TaskPhase, WorkerHeartbeat};
+use wire::workers::{EndCause, TaskPhase, WorkerHeartbeat};
 
 /// Milliseconds for which a job pauses after a worker refused one of its starts. Nothing failed, so the pause is
 /// shorter than after an error.
@@ -28,7 +28,7 @@
     job: &'a str,
     task: u32,
     machine: &'a str,
-    cause: Cause,
+    cause: EndCause,
     running_since: Option<u64>,
 }
 
@@ -137,7 +137,7 @@
         id: &str,
         task: u32,
         machine: &str,
-        cause: Cause,
+        cause: EndCause,
         now: Now,
     ) {
         let job = self.jobs.get(id);
@@ -157,12 +157,14 @@
             running_since: assignment.running_since,
         };
         match cause {
-            Cause::Done => self.on_task_done(&ended, now.mono),
-            Cause::Error | Cause::Other => self.on_task_failed(&ended, now.mono),
-            Cause::NoRoom | Cause::Busy | Cause::Unknown => self.on_start_refused(&ended, now.mono),
-            Cause::Stopped | Cause::Peers | Cause::Alone => {}
+            EndCause::Done => self.on_task_done(&ended, now.mono),
+            EndCause::Error | EndCause::Other => self.on_task_failed(&ended, now.mono),
+            EndCause::NoRoom | EndCause::Busy | EndCause::Unknown => {
+                self.on_start_refused(&ended, now.mono)
+            }
+            EndCause::Stopped | EndCause::Peers | EndCause::Alone => {}
         }
-        if cause != Cause::Done {
+        if cause != EndCause::Done {
             self.break_gang(&ended);
         }
         self.release_assignment(id, task, "ended", now);
@@ -215,8 +217,8 @@
         let Some(job) = self.jobs.get_mut(ended.job).filter(|job| job.is_gang()) else {
             return;
         };
-        job.gathering_timed_out |= ended.cause == Cause::Alone && !job.started;
-        job.broken |= job.started || ended.cause != Cause::NoRoom;
+        job.gathering_timed_out |= ended.cause == EndCause::Alone && !job.started;
+        job.broken |= job.started || ended.cause != EndCause::NoRoom;
     }
 }
 
--- a/crates/control/src/node/dispatch.rs
+++ b/crates/control/src/node/dispatch.rs
@@ -27,7 +27,7 @@
             }
             Input::Reply { call, result } => self.on_reply(call, &result, &mut effects),
             Input::Peer { from, message } => self.on_peer(&from, message, &mut effects),
-            Input::PeerRefuses { from } => self.election.on_peer_refused(&from, &mut effects),
+            Input::PeerRefused { from } => self.election.on_peer_refused(&from, &mut effects),
             Input::Stop => self.begin_stop(now),
         }
         self.deliver(effects);
--- a/crates/control/src/node/worker_heartbeats.rs
+++ b/crates/control/src/node/worker_heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::pending_heartbeats::LeaderStatus;
 use constants::{PEER_HEARTBEAT_MS, REPORT_DROP_MS};
 use partitions::Decision;
-use wire::workers::{Elsewhere, HeartbeatResponse, WorkerHeartbeat};
+use wire::workers::{HeartbeatResponse, Redirect, WorkerHeartbeat};
 
 /// Milliseconds per second between heartbeats after which a worker's next heartbeat should have reached the leader:
 /// one and a half times as long.
@@ -260,5 +260,5 @@
 /// Redirects a worker to a controller, or to the next one it knows.
 fn redirect(controller: Option<String>, id: RequestId, effects: &mut Effects) {
     let leader = controller;
-    effects.respond(id, 421, wire::encode(&Elsewhere { leader }));
+    effects.respond(id, 421, wire::encode(&Redirect { leader }));
 }
--- a/crates/control/src/state/calls.rs
+++ b/crates/control/src/state/calls.rs
@@ -3,7 +3,7 @@
 use crate::effects::{CallId, Output, Target};
 use crate::requests::StateOp;
 use constants::{LIST_PAGE, STATE_TIMEOUT_MS, WATCH_HOLD_MS};
-use wire::state::LeaseAsk;
+use wire::state::LeaseRequest;
 
 /// The HTTP call of a request.
 pub(super) fn encode_call(op: &StateOp, call: CallId) -> Output {
@@ -47,7 +47,7 @@
 fn body(op: &StateOp) -> Vec<u8> {
     match op {
         StateOp::Txn(txn) => wire::encode(txn),
-        StateOp::Grant { ttl_ms } => wire::encode(&LeaseAsk { ttl_ms: *ttl_ms }),
+        StateOp::Grant { ttl_ms } => wire::encode(&LeaseRequest { ttl_ms: *ttl_ms }),
         _ => Vec::new(),
     }
 }
--- a/crates/control/src/state/replies.rs
+++ b/crates/control/src/state/replies.rs
@@ -3,8 +3,8 @@
 use super::CallResult;
 use crate::effects::CallError;
 use crate::requests::{StateOp, StateReply};
-use wire::state::{Lease, TxnAnswer};
-use wire::BadBody;
+use wire::state::{Lease, TxnResponse};
+use wire::DecodeError;
 
 /// What the body of a refused transaction contains if a lease that it names does not exist.
 const NO_SUCH_LEASE: &str = "no such lease";
@@ -21,7 +21,7 @@
     }
 }
 
-fn decode_body(op: &StateOp, status: u16, body: &[u8]) -> Result<StateReply, BadBody> {
+fn decode_body(op: &StateOp, status: u16, body: &[u8]) -> Result<StateReply, DecodeError> {
     let reply = match (op, status) {
         (StateOp::Get(_), 200) => StateReply::Item(wire::decode(body)?),
         (StateOp::Get(_), 404) => StateReply::Missing,
@@ -41,16 +41,16 @@
     Ok(reply)
 }
 
-fn decode_txn_reply(status: u16, body: &[u8]) -> Result<StateReply, BadBody> {
+fn decode_txn_reply(status: u16, body: &[u8]) -> Result<StateReply, DecodeError> {
     let reply = match status {
         200 => {
-            let answer: TxnAnswer = wire::decode(body)?;
+            let answer: TxnResponse = wire::decode(body)?;
             StateReply::Committed {
                 version: answer.revision,
             }
         }
         409 => {
-            let answer: TxnAnswer = wire::decode(body)?;
+            let answer: TxnResponse = wire::decode(body)?;
             StateReply::Conflict {
                 failed: answer.failed,
             }
--- a/crates/control/tests/node_wakeup.rs
+++ b/crates/control/tests/node_wakeup.rs
@@ -6,7 +6,7 @@
 use common::*;
 use fakes::{array, FakeWorker, World, KIND};
 use wire::users::{JobStatus, Phase, Submission};
-use wire::workers::Elsewhere;
+use wire::workers::Redirect;
 
 /// Jobs of that many seconds are there for the whole of a scenario.
 const LONG_MS: u64 = 600_000;
@@ -140,7 +140,7 @@
         let sent = w.send(first, "POST", "/v1/report", wire::encode(&report));
         w.run(2_500);
         let (status, body) = w.answer(sent).expect("an answer");
-        let named = wire::decode::<Elsewhere>(&body).ok().and_then(|e| e.leader);
+        let named = wire::decode::<Redirect>(&body).ok().and_then(|e| e.leader);
         assert_eq!((status, named), (421, None), "offset {offset}");
         clean(&w);
     }
--- a/crates/control/tests/scenarios.rs
+++ b/crates/control/tests/scenarios.rs
@@ -6,7 +6,7 @@
 use fakes::{array, gang, Behaviour, World};
 use wire::records::*;
 use wire::users::{Phase, Shape};
-use wire::workers::{Cause, HeartbeatResponse, TaskPhase, TaskStatus};
+use wire::workers::{EndCause, HeartbeatResponse, TaskPhase, TaskStatus};
 
 #[test]
 fn a_job_runs_and_stays_done_for_every_node_and_after_every_restart() {
@@ -235,7 +235,7 @@
     let worker = w.workers.get_mut(&machine).expect("worker");
     let mut old = worker.report(fakes::KIND, now);
     old.seq = 1;
-    for (tasks, cause) in [(1, Cause::Done), (0, Cause::Error)] {
+    for (tasks, cause) in [(1, EndCause::Done), (0, EndCause::Error)] {
         old.tasks = vec![
             TaskStatus {
                 task: task.clone(),
--- a/crates/fakes/src/network/workers.rs
+++ b/crates/fakes/src/network/workers.rs
@@ -4,7 +4,7 @@
 use crate::fleet::REPORT_DROP_MS;
 use crate::jobs::behaviour_of;
 use crate::World;
-use wire::workers::{DirectOrders, Elsewhere, HeartbeatResponse, Order};
+use wire::workers::{DirectOrders, HeartbeatResponse, Order, Redirect};
 
 /// Milliseconds until a worker reports to the leader of a newer term.
 const NEW_TERM_REPORT_MS: u64 = 500;
@@ -121,7 +121,7 @@
 
     /// A node sent the worker elsewhere: to the node that it named, or else to the next one.
     fn on_redirect(&mut self, machine: &str, body: &[u8]) {
-        let named = wire::decode::<Elsewhere>(body).ok();
+        let named = wire::decode::<Redirect>(body).ok();
         let label = named.and_then(|named| named.leader);
         let mut settings = self.settings.iter();
         let leader = label.and_then(|label| settings.position(|s| s.label == label));
--- a/crates/fakes/src/state/leases.rs
+++ b/crates/fakes/src/state/leases.rs
@@ -1,7 +1,7 @@
 //! Leases: keys that are removed when their lease expires.
 
 use super::FakeState;
-use wire::state::{Lease, LeaseAsk};
+use wire::state::{Lease, LeaseRequest};
 
 /// A lease that has not ended.
 pub(super) struct ActiveLease {
@@ -56,7 +56,7 @@
         body: &[u8],
     ) -> (u16, Vec<u8>) {
         if rest.is_empty() {
-            let Ok(ask) = wire::decode::<LeaseAsk>(body) else {
+            let Ok(ask) = wire::decode::<LeaseRequest>(body) else {
                 return (400, vec![]);
             };
             self.next_lease += 1;
--- a/crates/fakes/src/state/transactions.rs
+++ b/crates/fakes/src/state/transactions.rs
@@ -1,7 +1,7 @@
 //! Transactions: writes that are executed together, under conditions on versions of keys.
 
 use super::{Entry, FakeState, Response};
-use wire::state::{Change, Txn, TxnAnswer, Write};
+use wire::state::{Change, Txn, TxnResponse, Write};
 
 impl FakeState {
     /// Executes a transaction, unless it is beyond the limits.
@@ -42,7 +42,7 @@
             .collect();
         if !failed.is_empty() {
             let revision = self.revision;
-            return (409, wire::encode(&TxnAnswer { failed, revision }));
+            return (409, wire::encode(&TxnResponse { failed, revision }));
         }
         let lacks_lease = |write: &Write| match write {
             Write::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
@@ -59,7 +59,7 @@
                 Write::Delete { key } => self.remove(&key),
             }
         }
-        let answer = TxnAnswer {
+        let answer = TxnResponse {
             failed: vec![],
             revision: self.revision,
         };
--- a/crates/fakes/src/users.rs
+++ b/crates/fakes/src/users.rs
@@ -3,7 +3,7 @@
 use crate::{Behaviour, Cut, Party, Question, World, DELAY_MS};
 use control::Input;
 use std::collections::BTreeSet;
-use wire::users::{JobStatus, JustId, Phase, Submission};
+use wire::users::{JobStatus, Phase, Submission, SubmissionId};
 
 impl World {
     /// Sends a request to a node and waits for the answer, for 3 s at most.
@@ -29,7 +29,7 @@
         let question = match (method, target.strip_prefix("/submissions")) {
             ("POST", Some("")) => wire::decode(&body)
                 .ok()
-                .map(|submitted: JustId| (Question::Submit, submitted.id)),
+                .map(|submitted: SubmissionId| (Question::Submit, submitted.id)),
             (_, Some(rest)) => {
                 let rest = rest.trim_start_matches('/');
                 Some(match rest.strip_suffix("/abort") {
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -4,7 +4,7 @@
 mod progress;
 
 use std::collections::{BTreeMap, BTreeSet};
-use wire::workers::{Cause, TaskPhase, TaskStatus, WorkerHeartbeat};
+use wire::workers::{EndCause, TaskPhase, TaskStatus, WorkerHeartbeat};
 
 /// A task on a fake machine.
 #[derive(Debug, Clone)]
@@ -12,7 +12,7 @@
     /// State.
     pub phase: TaskPhase,
     /// Why it ended.
-    pub cause: Option<Cause>,
+    pub cause: Option<EndCause>,
     /// When it changes to the next state.
     pub next_at: u64,
     /// Since when other tasks of its gang are missing.
@@ -98,7 +98,7 @@
 }
 
 impl FakeTask {
-    fn end(&mut self, cause: Cause) {
+    fn end(&mut self, cause: EndCause) {
         self.phase = TaskPhase::Ended;
         self.cause = Some(cause);
         self.next_at = u64::MAX;
--- a/crates/fakes/src/worker/orders.rs
+++ b/crates/fakes/src/worker/orders.rs
@@ -2,7 +2,7 @@
 
 use super::{Behaviour, FakeTask, FakeWorker};
 use crate::jobs::job_of;
-use wire::workers::{Cause, Order, TaskPhase};
+use wire::workers::{EndCause, Order, TaskPhase};
 
 /// Milliseconds until a worker reports a change of its tasks at the latest.
 pub(super) const CHANGE_REPORT_MS: u64 = 100;
@@ -48,8 +48,8 @@
         let is_busy =
             tasks.any(|((name, _), state)| name == task && state.phase != TaskPhase::Ended);
         let refusal = match (is_busy, behaviour) {
-            (true, _) => Some(Cause::Busy),
-            (false, None) => Some(Cause::Unknown),
+            (true, _) => Some(EndCause::Busy),
+            (false, None) => Some(EndCause::Unknown),
             (false, Some(_)) => None,
         };
         let (phase, next_at) = match behaviour.filter(|_| refusal.is_none()) {
@@ -84,7 +84,7 @@
                 state.phase = TaskPhase::Saving;
                 state.next_at = now + save_ms;
             }
-            _ => state.end(Cause::Stopped),
+            _ => state.end(EndCause::Stopped),
         }
         self.report_at = self.report_at.min(now + CHANGE_REPORT_MS);
     }
--- a/crates/fakes/src/worker/progress.rs
+++ b/crates/fakes/src/worker/progress.rs
@@ -3,7 +3,7 @@
 use super::orders::CHANGE_REPORT_MS;
 use super::{Behaviour, FakeTask, FakeWorker, Gang};
 use crate::jobs::job_of;
-use wire::workers::{Cause, TaskPhase};
+use wire::workers::{EndCause, TaskPhase};
 
 /// Milliseconds for which a task waits for the others of its gang.
 const GANG_WAIT_MS: u64 = 35_000;
@@ -79,9 +79,9 @@
     /// The image has been fetched.
     fn begin(&mut self, context: &Context, is_faulty: bool, has_result: impl Fn() -> bool) {
         if is_faulty {
-            self.end(Cause::Error);
+            self.end(EndCause::Error);
         } else if has_result() {
-            self.end(Cause::Done);
+            self.end(EndCause::Done);
         } else if context.behaviour.gang > 0 {
             self.phase = TaskPhase::Waiting;
             self.next_at = context.now + GANG_WAIT_MS;
@@ -103,9 +103,9 @@
                 self.run(context);
                 Progress::Changed
             }
-            TaskPhase::Waiting if is_due => self.ended(Cause::Alone),
+            TaskPhase::Waiting if is_due => self.ended(EndCause::Alone),
             TaskPhase::Running => self.advance_running(context),
-            TaskPhase::Saving if is_due => self.ended(Cause::Stopped),
+            TaskPhase::Saving if is_due => self.ended(EndCause::Stopped),
             _ => Progress::Unchanged,
         }
     }
@@ -114,23 +114,23 @@
         let is_due = context.now >= self.next_at;
         let (gang, size) = (context.gang, context.behaviour.gang);
         if context.behaviour.fails && is_due {
-            return self.ended(Cause::Error);
+            return self.ended(EndCause::Error);
         }
         if gang.present < size {
             let since = *self.incomplete_since.get_or_insert(context.now);
             return match context.now >= since + context.peer_ms {
-                true => self.ended(Cause::Peers),
+                true => self.ended(EndCause::Peers),
                 false => Progress::Unchanged,
             };
         }
         if is_due && gang.due >= size {
-            self.end(Cause::Done);
+            self.end(EndCause::Done);
             return Progress::Completed;
         }
         Progress::Unchanged
     }
 
-    fn ended(&mut self, cause: Cause) -> Progress {
+    fn ended(&mut self, cause: EndCause) -> Progress {
         self.end(cause);
         Progress::Changed
     }
--- a/crates/partitions/src/delegation.rs
+++ b/crates/partitions/src/delegation.rs
@@ -13,7 +13,7 @@
 use crate::hash::{partition_of, PARTITION_COUNT};
 use constants::{ANSWER_RETENTION_MS, STEADY_REPORTS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use wire::partitions::{OwnedElsewhere, PartitionId};
+use wire::partitions::{OtherOwner, PartitionId};
 
 /// A process of a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -167,19 +167,17 @@
     }
 
     /// Partitions that other owners may answer for, by owner.
-    fn granted_elsewhere(&self, asking: &str, now: u64) -> Vec<OwnedElsewhere> {
+    fn granted_elsewhere(&self, asking: &str, now: u64) -> Vec<OtherOwner> {
         let mut owners: BTreeMap<&str, Vec<PartitionId>> = BTreeMap::new();
         for partition in 0..PARTITION_COUNT {
             if let Some(owner) = self.holder(partition, now).filter(|o| *o != asking) {
                 owners.entry(owner).or_default().push(partition);
             }
         }
-        let owned = owners
-            .into_iter()
-            .map(|(owner, partitions)| OwnedElsewhere {
-                owner: owner.to_string(),
-                partitions,
-            });
+        let owned = owners.into_iter().map(|(owner, partitions)| OtherOwner {
+            owner: owner.to_string(),
+            partitions,
+        });
         owned.collect()
     }
 
--- a/crates/standins/src/workers.rs
+++ b/crates/standins/src/workers.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use wire::workers::{Elsewhere, HeartbeatResponse};
+use wire::workers::{HeartbeatResponse, Redirect};
 
 /// How long a worker waits for an answer.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
@@ -72,7 +72,7 @@
             }
         }
         Ok((421, body)) => {
-            let named = wire::decode::<Elsewhere>(&body)
+            let named = wire::decode::<Redirect>(&body)
                 .ok()
                 .and_then(|elsewhere| elsewhere.leader);
             let leader =
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -18,11 +18,11 @@
 /// A body that could not be decoded.
 #[derive(Debug, Error)]
 #[error("not a valid message: {0}")]
-pub struct BadBody(pub String);
+pub struct DecodeError(pub String);
 
 /// Decodes a CBOR body.
-pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, BadBody> {
-    ciborium::de::from_reader(body).map_err(|error| BadBody(error.to_string()))
+pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
+    ciborium::de::from_reader(body).map_err(|error| DecodeError(error.to_string()))
 }
 
 /// Encodes a CBOR body.
--- a/crates/wire/src/partitions.rs
+++ b/crates/wire/src/partitions.rs
@@ -71,7 +71,7 @@
 
 /// Partitions for which another controller has a grant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OwnedElsewhere {
+pub struct OtherOwner {
     /// Label of that controller.
     pub owner: String,
     /// Its partitions.
@@ -96,7 +96,7 @@
     /// All permits that are withdrawn and whose end the owner has not confirmed yet.
     pub recalled: Vec<RecalledPermit>,
     /// Partitions of other controllers, for redirects.
-    pub elsewhere: Vec<OwnedElsewhere>,
+    pub elsewhere: Vec<OtherOwner>,
 }
 
 /// Permission for an owner to answer a machine's heartbeats by itself, as long as they repeat the last one. The leader
--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -116,7 +116,7 @@
 
 /// Why a frame can't be decoded. Its connection is of no further use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum BadFrame {
+pub enum FrameError {
     /// The length is out of bounds.
     #[error("frame length out of bounds")]
     Length,
@@ -129,23 +129,23 @@
 }
 
 /// Removes the next whole frame from the front of `buffer`. `None` if there is no whole frame yet.
-pub fn decode_frame(buffer: &mut Vec<u8>) -> Result<Option<PeerMessage>, BadFrame> {
+pub fn decode_frame(buffer: &mut Vec<u8>) -> Result<Option<PeerMessage>, FrameError> {
     let Some(length_bytes) = buffer.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
     let length = u32::from_le_bytes(*length_bytes) as usize;
     if !(MIN_FRAME_BYTES..=MAX_FRAME_BYTES).contains(&length) {
-        return Err(BadFrame::Length);
+        return Err(FrameError::Length);
     }
     let end = LENGTH_BYTES + length;
     if buffer.len() < end {
         return Ok(None);
     }
     if buffer[LENGTH_BYTES] != PEER_VERSION {
-        return Err(BadFrame::Version);
+        return Err(FrameError::Version);
     }
     let content = &buffer[HEADER_BYTES..end];
-    let message = postcard::from_bytes(content).map_err(|_| BadFrame::Content)?;
+    let message = postcard::from_bytes(content).map_err(|_| FrameError::Content)?;
     buffer.drain(..end);
     Ok(Some(message))
 }
--- a/crates/wire/src/records.rs
+++ b/crates/wire/src/records.rs
@@ -12,10 +12,10 @@
 mod unknown;
 
 pub use generation::GenerationRecord;
-pub use job::{Final, JobRecord, MoreRecord};
+pub use job::{Final, JobOverflowRecord, JobRecord};
 pub use keys::{
-    final_key, job_key, more_key, node_key, page_key, rental_key, FINALS, GENERATIONS, JOBS,
-    LEADER, MARK, MORE, NODES, PAGES, RENTALS, TERM, TYPES,
+    final_key, job_key, job_overflow_key, node_key, page_key, rental_key, FINALS, GENERATIONS,
+    JOBS, LEADER, MARK, MORE, NODES, PAGES, RENTALS, TERM, TYPES,
 };
 pub use leadership::{LeaderRecord, TermRecord};
 pub use pages::{ChunkRecord, PageEntry, PageRecord};
--- a/crates/wire/src/records/job.rs
+++ b/crates/wire/src/records/job.rs
@@ -14,7 +14,7 @@
     pub at: u64,
     /// Whether its user has cancelled the job.
     pub aborted: bool,
-    /// Number of further records, [`MoreRecord`].
+    /// Number of further records, [`JobOverflowRecord`].
     pub more: u32,
     /// Fields that a newer build has added.
     pub unknown: UnknownFields,
@@ -97,7 +97,7 @@
 
 /// Parts of a submission that do not fit into the open job's own record.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct MoreRecord {
+pub struct JobOverflowRecord {
     /// Further allowed machine types.
     pub types: Vec<String>,
 }
--- a/crates/wire/src/records/keys.rs
+++ b/crates/wire/src/records/keys.rs
@@ -32,7 +32,7 @@
 }
 
 /// Key of a further record of an open job. Numbers begin with 1.
-pub fn more_key(id: &str, number: u32) -> String {
+pub fn job_overflow_key(id: &str, number: u32) -> String {
     format!("{MORE}{id}/{number}")
 }
 
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -110,7 +110,7 @@
 
 /// Response to a transaction, or to a read of a key that does not exist.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct TxnAnswer {
+pub struct TxnResponse {
     /// Keys whose conditions failed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<String>,
@@ -121,7 +121,7 @@
 
 /// Request for a new lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LeaseAsk {
+pub struct LeaseRequest {
     /// Time to live, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -174,7 +174,7 @@
 
 /// Only the id of a submission, for bodies that are otherwise invalid.
 #[derive(Debug, Deserialize)]
-pub struct JustId {
+pub struct SubmissionId {
     /// Job id.
     pub id: String,
 }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -22,7 +22,7 @@
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum EndCause {
     /// Completed.
     Done,
     /// Stopped by an order.
@@ -60,7 +60,7 @@
     pub phase: TaskPhase,
     /// Why the task ended, if it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<EndCause>,
     /// Whether a checkpoint of its progress was written.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -165,7 +165,7 @@
 
 /// Response with status 421: the worker is to report to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct Redirect {
     /// Label of that controller, if it is known.
     #[serde(rename = "steward", skip_serializing_if = "Option::is_none", default)]
     pub leader: Option<String>,
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -16,9 +16,9 @@
     assert_eq!(seen, vec![message]);
     let mut other = bytes.clone();
     other[4] = PEER_VERSION + 1;
-    assert_eq!(decode_frame(&mut other), Err(BadFrame::Version));
+    assert_eq!(decode_frame(&mut other), Err(FrameError::Version));
     let mut huge = u32::MAX.to_le_bytes().to_vec();
-    assert_eq!(decode_frame(&mut huge), Err(BadFrame::Length));
+    assert_eq!(decode_frame(&mut huge), Err(FrameError::Length));
     let mut junk = vec![3, 0, 0, 0, PEER_VERSION, 250, 250];
-    assert_eq!(decode_frame(&mut junk), Err(BadFrame::Content));
+    assert_eq!(decode_frame(&mut junk), Err(FrameError::Content));
 }
