--- a/crates/control/tests/troubles.rs
+++ b/crates/control/tests/troubles.rs
@@ -846,7 +846,7 @@
 /// A task where no record has it, on a machine that hears nothing: it counts against its team's limit while it may be
 /// there, and ends with its worker's lease, though nobody can tell it to.
 #[test]
-fn a_stray_on_a_deaf_machine_counts_until_its_lease_ends_it() {
+fn an_orphan_on_an_unreached_machine_counts_until_its_lease_ends_it() {
     let mut w = limited(3, 4);
     let pairs = |id: &str, tasks: u64| Submission {
         gpus: 2.0,
