--- /dev/null
+++ b/crates/control/src/effects/node_event.rs
@@ -0,0 +1,44 @@
+//! Events that concern the whole node.
+
+use wire::cloud::MachineType;
+use wire::records::Final;
+
+/// An event that concerns the whole node.
+#[derive(Debug, Clone, PartialEq)]
+pub(crate) enum NodeEvent {
+    /// This node has become the leader.
+    Elected {
+        /// Fencing term of the new leader.
+        term: u64,
+        /// Version of the leader key, which every transaction of this leader is conditional on.
+        version: u64,
+    },
+    /// This node has lost or given up leadership.
+    SteppedDown {
+        /// Why, for the log.
+        reason: &'static str,
+    },
+    /// A job has reached its final state.
+    JobEnded {
+        /// Id of the job.
+        job: String,
+        /// How it ended.
+        outcome: Final,
+    },
+    /// A user is about to receive the confirmation that a job is cancelled.
+    JobCancelled {
+        /// Id of the job.
+        job: String,
+    },
+    /// No controller is left that can't read the records of generation 1.
+    Upgraded,
+    /// An observation proves that every controller runs generation 1.
+    UpgradeEvidence {
+        /// What was observed, for the log.
+        observation: &'static str,
+    },
+    /// A write failed since the cluster's feature level has changed.
+    LevelChanged,
+    /// The machine types were read, or have changed.
+    MachineTypesRead(Vec<MachineType>),
+}
--- a/crates/control/src/election.rs
+++ b/crates/control/src/election.rs
@@ -148,7 +148,9 @@
     pub fn on_reply(&mut self, step: ElectionStep, reply: StateReply, effects: &mut Effects) {
         match step {
             ElectionStep::Revoke => {}
-            ElectionStep::Renew(term, sent_at) => self.on_renewal(term, sent_at, &reply, effects),
+            ElectionStep::Renew { term, sent_at } => {
+                self.on_renewal(term, sent_at, &reply, effects)
+            }
             ElectionStep::Poll(round)
             | ElectionStep::ReadTerm(round)
             | ElectionStep::GrantLease(round)
@@ -179,7 +181,7 @@
     fn request(&mut self, op: StateOp, step: ElectionStep, effects: &mut Effects) {
         self.busy_until = effects.now.mono + REPLY_LOST_MS;
         let tag = StateTag::Election(step);
-        effects.state.push((Priority::Leadership, op, tag));
+        effects.request_state(Priority::Leadership, op, tag);
     }
 }
 
@@ -187,5 +189,5 @@
 fn revoke(lease: u64, effects: &mut Effects) {
     let tag = StateTag::Election(ElectionStep::Revoke);
     let op = StateOp::Revoke(lease);
-    effects.state.push((Priority::Leadership, op, tag));
+    effects.request_state(Priority::Leadership, op, tag);
 }
--- a/crates/control/src/election/candidacy.rs
+++ b/crates/control/src/election/candidacy.rs
@@ -116,7 +116,7 @@
                 // Most often another controller has announced itself meanwhile: the level is read again first.
                 self.role = Role::Follower;
                 self.rules.may_stand = false;
-                effects.events.push(NodeEvent::LevelChanged);
+                effects.emit(NodeEvent::LevelChanged);
                 self.next_at = effects.now.mono + HANDOVER_POLL_MS;
                 self.busy_until = 0;
             }
@@ -165,7 +165,7 @@
         self.round += 1;
         self.busy_until = 0;
         self.next_at = effects.now.mono;
-        effects.events.push(NodeEvent::Elected { term, version });
+        effects.emit(NodeEvent::Elected { term, version });
         self.tick(effects);
     }
 
--- a/crates/control/src/election/renewal.rs
+++ b/crates/control/src/election/renewal.rs
@@ -10,7 +10,7 @@
     /// Asks the state service to renew the lease.
     pub(super) fn renew(&mut self, term: u64, lease: u64, effects: &mut Effects) {
         let now = effects.now.mono;
-        let step = ElectionStep::Renew(term, now);
+        let step = ElectionStep::Renew { term, sent_at: now };
         self.request(StateOp::Renew(lease), step, effects);
         self.next_at = now + LEADER_RENEW_MS;
         // Renewals don't wait for the reply to the one before: the lease would expire meanwhile.
@@ -71,6 +71,6 @@
         self.busy_until = 0;
         self.known_leader = None;
         self.next_at = effects.now.mono + LEADER_POLL_MS;
-        effects.events.push(NodeEvent::SteppedDown(reason));
+        effects.emit(NodeEvent::SteppedDown { reason });
     }
 }
--- a/crates/control/src/election/tests.rs
+++ b/crates/control/src/election/tests.rs
@@ -37,9 +37,9 @@
 fn a_renewal_sent_before_a_stall_does_not_make_the_lease_valid_after_it() {
     let (sent, resumed) = (10_000, 12_000);
     let mut election = elected(sent);
-    let renewed = |election: &mut Election, sent: u64| {
+    let renewed = |election: &mut Election, sent_at: u64| {
         election.on_reply(
-            ElectionStep::Renew(1, sent),
+            ElectionStep::Renew { term: 1, sent_at },
             StateReply::Renewed,
             &mut effects(resumed),
         );
--- a/crates/control/src/forwarding.rs
+++ b/crates/control/src/forwarding.rs
@@ -5,9 +5,7 @@
 //! receiver by request ids that differ from those of its own sockets.
 
 use crate::effects::{Effects, Output, RequestId};
-use constants::{
-    DEADLINE_CHECK_MS, REPORT_FORWARD_MS, RETRY_AFTER_S, USER_DEADLINE_MS, USER_REQUESTS_MAX,
-};
+use constants::{DEADLINE_CHECK_MS, REPORT_FORWARD_MS, USER_DEADLINE_MS, USER_REQUESTS_MAX};
 use std::collections::HashMap;
 use wire::peers::PeerMessage;
 
@@ -138,15 +136,13 @@
             deadline: effects.now.mono + request.timeout_ms(),
         };
         self.pending.insert(self.last_call, pending);
-        effects.outputs.push(Output::Peer {
-            to: Some(peer),
-            message: PeerMessage::Forward {
-                call: self.last_call,
-                method: request.method.to_string(),
-                target: request.target.to_string(),
-                body: request.body.to_vec(),
-            },
-        });
+        let message = PeerMessage::Forward {
+            call: self.last_call,
+            method: request.method.to_string(),
+            target: request.target.to_string(),
+            body: request.body.to_vec(),
+        };
+        effects.send_to_peer(peer, message);
     }
 
     /// Answers the request that was forwarded as `call` with the peer's answer.
@@ -164,12 +160,7 @@
             return;
         }
         if let Some(pending) = self.pending.remove(&call) {
-            effects.outputs.push(Output::Respond {
-                id: pending.request,
-                status,
-                retry_after_s: matches!(status, 429 | 503).then_some(RETRY_AFTER_S),
-                body,
-            });
+            effects.respond_or_retry(pending.request, status, body);
         }
     }
 
--- a/crates/control/src/gateway/cancel.rs
+++ b/crates/control/src/gateway/cancel.rs
@@ -28,9 +28,7 @@
             writes: vec![Write::put(key, &self.records.cancelled(record))],
         };
         let tag = StateTag::User(number);
-        effects
-            .state
-            .push((Priority::Change, StateOp::Txn(txn), tag));
+        effects.request_state(Priority::Change, StateOp::Txn(txn), tag);
     }
 
     /// A cancellation is recorded.
@@ -41,9 +39,9 @@
         log::info!("event=job_aborted job={}", pending.id);
         self.cache
             .remember_version(&pending.id, JobVersion::released(version, true));
-        effects
-            .events
-            .push(NodeEvent::JobCancelled(pending.id.clone()));
+        effects.emit(NodeEvent::JobCancelled {
+            job: pending.id.clone(),
+        });
         self.answer_phase(pending.request, &pending.id, Phase::Aborted, effects);
     }
 }
--- a/crates/control/src/gateway/dependency_reads.rs
+++ b/crates/control/src/gateway/dependency_reads.rs
@@ -59,7 +59,7 @@
                 let record: JobRecord = read_record(&item)?;
                 if record.aborted {
                     // This node may answer so from now on.
-                    effects.events.push(NodeEvent::JobCancelled(id.clone()));
+                    effects.emit(NodeEvent::JobCancelled { job: id.clone() });
                 }
                 let observed = JobVersion::new(item.version, record.aborted, &record.spec.needs);
                 self.cache.remember_version(&id, observed);
--- a/crates/control/src/gateway/events.rs
+++ b/crates/control/src/gateway/events.rs
@@ -9,10 +9,10 @@
     /// Takes over what an event of this node says about jobs, machine types or the upgrade.
     pub fn on_event(&mut self, event: &NodeEvent) {
         match event {
-            NodeEvent::JobEnded(id, end) => self.remember_final(id.clone(), *end),
-            NodeEvent::JobCancelled(id) => self.remember_cancelled(id),
+            NodeEvent::JobEnded { job, outcome } => self.remember_final(job.clone(), *outcome),
+            NodeEvent::JobCancelled { job } => self.remember_cancelled(job),
             NodeEvent::MachineTypesRead(types) => self.admission.set_types(types.clone()),
-            NodeEvent::Upgraded | NodeEvent::UpgradeEvidence(_) => self.records.set_upgraded(),
+            NodeEvent::Upgraded | NodeEvent::UpgradeEvidence { .. } => self.records.set_upgraded(),
             _ => {}
         }
     }
--- a/crates/control/src/gateway/read_validation.rs
+++ b/crates/control/src/gateway/read_validation.rs
@@ -85,11 +85,8 @@
         self.validation.next_at = now + VALIDATION_INTERVAL_MS;
         self.validation.last_number += 1;
         let number = self.validation.last_number;
-        effects.state.push((
-            Priority::ReadValidation,
-            op,
-            StateTag::ReadValidation(number),
-        ));
+        let tag = StateTag::ReadValidation(number);
+        effects.request_state(Priority::ReadValidation, op, tag);
         self.validation.in_flight = Some(Batch {
             number,
             versions,
--- a/crates/control/src/gateway/replies.rs
+++ b/crates/control/src/gateway/replies.rs
@@ -57,9 +57,9 @@
         if let (Stage::Creating, Operation::Submit(spec)) = (&pending.stage, &pending.operation) {
             if !self.records.is_upgraded() && self.records.is_larger_than_least(spec) {
                 self.records.set_upgraded();
-                effects.events.push(NodeEvent::UpgradeEvidence(
-                    "a submission that only new limits refuse",
-                ));
+                effects.emit(NodeEvent::UpgradeEvidence {
+                    observation: "a submission that only new limits refuse",
+                });
                 return self.send(number, effects);
             }
         }
--- a/crates/control/src/gateway/sending.rs
+++ b/crates/control/src/gateway/sending.rs
@@ -32,7 +32,7 @@
             (_, true) => Priority::ChangeRead,
             (_, false) => Priority::Question,
         };
-        effects.state.push((priority, op, StateTag::User(number)));
+        effects.request_state(priority, op, StateTag::User(number));
     }
 
     /// The request to the state service for a stage.
--- a/crates/control/src/gateway/status.rs
+++ b/crates/control/src/gateway/status.rs
@@ -40,9 +40,9 @@
         };
         if cancelled {
             // Perhaps by a transaction of ours whose answer was lost, or of a node that crashed since.
-            effects
-                .events
-                .push(NodeEvent::JobCancelled(pending.id.clone()));
+            effects.emit(NodeEvent::JobCancelled {
+                job: pending.id.clone(),
+            });
         }
         self.answer_open(pending.request, &pending.id, cancelled, effects);
     }
--- a/crates/control/src/gateway/submit.rs
+++ b/crates/control/src/gateway/submit.rs
@@ -97,8 +97,8 @@
             pending.dependency_cancelled
         );
         if !needs.is_empty() && !self.records.is_upgraded() {
-            let evidence = "a submission that needs others";
-            effects.events.push(NodeEvent::UpgradeEvidence(evidence));
+            let observation = "a submission that needs others";
+            effects.emit(NodeEvent::UpgradeEvidence { observation });
         }
         self.cache
             .remember_version(&pending.id, JobVersion::new(version, false, &needs));
--- a/crates/control/src/gateway/unknown_ids.rs
+++ b/crates/control/src/gateway/unknown_ids.rs
@@ -119,7 +119,7 @@
         self.unknown_ids.last_number += 1;
         let number = self.unknown_ids.last_number;
         let tag = StateTag::UnknownIds(number);
-        effects.state.push((Priority::ReadValidation, op, tag));
+        effects.request_state(Priority::ReadValidation, op, tag);
         self.unknown_ids.in_flight = Some(Search { number, requests });
     }
 
--- a/crates/control/src/leader/fleet/replies.rs
+++ b/crates/control/src/leader/fleet/replies.rs
@@ -64,9 +64,7 @@
 
     fn on_types(&mut self, types: Vec<MachineType>, effects: &mut Effects) {
         if self.types.desired.as_ref() != Some(&types) {
-            effects
-                .events
-                .push(NodeEvent::MachineTypesRead(types.clone()));
+            effects.emit(NodeEvent::MachineTypesRead(types.clone()));
             self.types.desired = Some(types);
             self.queue_write(RecordId::Types);
             self.plan_due = true;
--- a/crates/control/src/leader/job_records.rs
+++ b/crates/control/src/leader/job_records.rs
@@ -64,9 +64,9 @@
             job.split();
         } else if !job.spec.needs.is_empty() {
             // Only a node that runs the version with pipelines accepts such a job, so the upgrade is over.
-            effects
-                .events
-                .push(NodeEvent::UpgradeEvidence("a job that needs others"));
+            effects.emit(NodeEvent::UpgradeEvidence {
+                observation: "a job that needs others",
+            });
         }
         self.jobs.insert(id.to_string(), job);
         self.track_dependencies(id, effects.now);
--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -157,9 +157,7 @@
         self.ready_at = now;
         self.next_housekeeping = now + HOUSEKEEPING_MS;
         if let Some(types) = &self.types.saved {
-            effects
-                .events
-                .push(NodeEvent::MachineTypesRead(types.clone()));
+            effects.emit(NodeEvent::MachineTypesRead(types.clone()));
         }
         self.apply_page_copies();
         self.apply_cancellation_notices();
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -336,12 +336,18 @@
         request: LeaderRequest,
         effects: &mut Effects,
     ) {
-        let tag = StateTag::Leader(self.term, request);
-        effects.state.push((priority, op, tag));
+        let tag = StateTag::Leader {
+            term: self.term,
+            request,
+        };
+        effects.request_state(priority, op, tag);
     }
 
     fn send_cloud_request(&self, op: CloudOp, request: CloudRequest, effects: &mut Effects) {
-        let tag = CloudTag::Leader(self.term, request);
-        effects.cloud.push((op, tag));
+        let tag = CloudTag::Leader {
+            term: self.term,
+            request,
+        };
+        effects.request_cloud(op, tag);
     }
 }
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -179,8 +179,10 @@
                 self.retry_transaction(number, effects);
             }
             StateReply::Conflict { failed } if failed.iter().any(|key| key == LEADER) => {
-                let event = NodeEvent::SteppedDown("a transaction was fenced");
-                effects.events.push(event);
+                let event = NodeEvent::SteppedDown {
+                    reason: "a transaction was fenced",
+                };
+                effects.emit(event);
             }
             StateReply::Conflict { failed } => {
                 if let Some(transaction) = self.pending_transactions.remove(&number) {
@@ -211,8 +213,10 @@
             return;
         };
         if !self.dense && self.fits_only_today(&transaction.txn) {
-            let event = NodeEvent::UpgradeEvidence("a size that only new limits refuse");
-            effects.events.push(event);
+            let event = NodeEvent::UpgradeEvidence {
+                observation: "a size that only new limits refuse",
+            };
+            effects.emit(event);
             self.switch_to_dense_layout();
         } else {
             // Nothing that is written should ever be invalid; if it is, other work must go on meanwhile.
--- a/crates/control/src/leader/store/saved.rs
+++ b/crates/control/src/leader/store/saved.rs
@@ -82,8 +82,10 @@
             self.remove_dependent(dependency, id);
         }
         self.on_job_archived(id, outcome, effects.now);
-        let event = NodeEvent::JobEnded(id.to_string(), outcome);
-        effects.events.push(event);
+        effects.emit(NodeEvent::JobEnded {
+            job: id.to_string(),
+            outcome,
+        });
         self.cancellation_notices.remove(id);
         self.archived.insert(id.to_string(), outcome);
     }
--- a/crates/control/src/leader/tests/job_watch.rs
+++ b/crates/control/src/leader/tests/job_watch.rs
@@ -27,10 +27,10 @@
     };
     let requested = |effects: &Effects| {
         effects
-            .state
+            .state_requests
             .iter()
-            .find_map(|(_, op, tag)| match (op, tag) {
-                (StateOp::List { .. }, StateTag::Leader(_, request)) => Some(request.clone()),
+            .find_map(|sent| match (&sent.op, &sent.tag) {
+                (StateOp::List { .. }, StateTag::Leader { request, .. }) => Some(request.clone()),
                 _ => None,
             })
     };
@@ -46,10 +46,13 @@
     let second = requested(&effects).expect("the second page");
     let mut effects = at(5_200);
     leader.on_state(second, page(30, false), &mut effects);
-    let from = effects.state.iter().find_map(|(_, op, _)| match op {
-        StateOp::Watch { from, .. } => Some(*from),
-        _ => None,
-    });
+    let from = effects
+        .state_requests
+        .iter()
+        .find_map(|sent| match &sent.op {
+            StateOp::Watch { from, .. } => Some(*from),
+            _ => None,
+        });
     assert_eq!(from, Some(20));
     // Dated by when the reading began.
     assert_eq!(leader.informed_until(), Some(5_000));
--- a/crates/control/src/leader/tests/page_writes.rs
+++ b/crates/control/src/leader/tests/page_writes.rs
@@ -25,13 +25,16 @@
     let mut pages = Vec::new();
     let mut effects = at(now);
     leader.flush(&mut effects);
-    while !effects.state.is_empty() {
+    while !effects.state_requests.is_empty() {
         let mut next = at(now);
-        for (_, op, tag) in std::mem::take(&mut effects.state) {
+        for sent in std::mem::take(&mut effects.state_requests) {
             let (
                 StateOp::Txn(Txn { compares, writes }),
-                StateTag::Leader(_, LeaderRequest::PendingTransaction(number)),
-            ) = (op, tag)
+                StateTag::Leader {
+                    request: LeaderRequest::PendingTransaction(number),
+                    ..
+                },
+            ) = (sent.op, sent.tag)
             else {
                 panic!("only transactions");
             };
--- a/crates/control/src/leader/watch/direct_orders.rs
+++ b/crates/control/src/leader/watch/direct_orders.rs
@@ -83,7 +83,7 @@
                 incarnation: machine.incarnation,
                 orders,
             });
-            effects.worker_messages.push((addr.clone(), body));
+            effects.send_to_worker(addr.clone(), body);
         }
     }
 }
--- a/crates/control/src/machine_types.rs
+++ b/crates/control/src/machine_types.rs
@@ -31,9 +31,7 @@
         }
         self.reading = true;
         let read = StateOp::Get(TYPES.into());
-        effects
-            .state
-            .push((Priority::Leadership, read, StateTag::Types));
+        effects.request_state(Priority::Leadership, read, StateTag::Types);
     }
 
     /// Reports the types to the node if the read found them. Otherwise it is repeated after a while.
@@ -44,7 +42,7 @@
             return;
         };
         if let Ok(types) = item.value.deserialized() {
-            effects.events.push(NodeEvent::MachineTypesRead(types));
+            effects.emit(NodeEvent::MachineTypesRead(types));
         }
     }
 }
--- a/crates/control/src/node/delivery.rs
+++ b/crates/control/src/node/delivery.rs
@@ -1,7 +1,7 @@
 //! Delivery of the effects of actors: requests to the clients, events to the node, and outputs to the process.
 
 use super::Node;
-use crate::effects::Effects;
+use crate::effects::{CloudCall, Effects, StateRequest, WorkerMessage};
 use crate::leader::direct_call;
 use std::mem;
 
@@ -27,13 +27,13 @@
     /// Carries effects out once; what this has in turn is added to them.
     fn carry_out(&mut self, effects: &mut Effects) {
         let now = effects.now;
-        for (priority, op, tag) in mem::take(&mut effects.state) {
+        for StateRequest { priority, op, tag } in mem::take(&mut effects.state_requests) {
             self.state.push(now, priority, op, tag);
         }
-        for (op, tag) in mem::take(&mut effects.cloud) {
+        for CloudCall { op, tag } in mem::take(&mut effects.cloud_requests) {
             self.cloud.push(op, tag);
         }
-        for (address, body) in mem::take(&mut effects.worker_messages) {
+        for WorkerMessage { address, body } in mem::take(&mut effects.worker_messages) {
             self.last_call += 1;
             effects
                 .outputs
--- a/crates/control/src/node/dispatch.rs
+++ b/crates/control/src/node/dispatch.rs
@@ -100,7 +100,7 @@
             return self.on_state_reply(tag, reply, effects);
         }
         if let Some((tag, op, reply)) = self.cloud.on_reply(effects.now.mono, call, result) {
-            let CloudTag::Leader(term, request) = tag;
+            let CloudTag::Leader { term, request } = tag;
             if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) {
                 leader.on_cloud(request, op, reply, effects);
             }
@@ -122,13 +122,13 @@
             }
             StateTag::UnknownIds(number) => self.gateway.on_unknown_ids(number, reply, effects),
             StateTag::Rollout(request) => self.rollout.on_reply(request, reply, effects),
-            StateTag::Partitions(term, number) => {
+            StateTag::Partitions { term, number } => {
                 if let Some(partitions) = &mut self.partitions {
                     partitions.on_state_reply(term, number, reply, effects.now.mono);
                 }
             }
             StateTag::Types => self.machine_types.on_reply(reply, effects),
-            StateTag::Leader(term, request) => {
+            StateTag::Leader { term, request } => {
                 if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) {
                     leader.on_state(request, reply, effects);
                 }
--- a/crates/control/src/node/events.rs
+++ b/crates/control/src/node/events.rs
@@ -10,10 +10,10 @@
         self.gateway.on_event(&event);
         match event {
             NodeEvent::Elected { term, version } => self.on_elected(term, version, effects),
-            NodeEvent::SteppedDown(reason) => self.on_stepped_down(reason, effects),
-            NodeEvent::JobCancelled(job) => self.on_cancellation(job, effects),
-            NodeEvent::JobEnded(job, end) => self.heartbeat.on_job_ended(job, end),
-            NodeEvent::UpgradeEvidence(reason) => self.rollout.proven(reason, effects),
+            NodeEvent::SteppedDown { reason } => self.on_stepped_down(reason, effects),
+            NodeEvent::JobCancelled { job } => self.on_cancellation(job, effects),
+            NodeEvent::JobEnded { job, outcome } => self.heartbeat.on_job_ended(job, outcome),
+            NodeEvent::UpgradeEvidence { observation } => self.rollout.proven(observation, effects),
             NodeEvent::LevelChanged => self.rollout.reread(effects.now.mono),
             NodeEvent::Upgraded => self.on_upgraded(effects),
             NodeEvent::MachineTypesRead(_) => {}
--- a/crates/control/src/partitions/leading/table.rs
+++ b/crates/control/src/partitions/leading/table.rs
@@ -26,8 +26,11 @@
     fn send_request(&mut self, pending: Pending, op: StateOp, effects: &mut Effects) {
         self.request += 1;
         self.pending = Some(pending);
-        let tag = StateTag::Partitions(self.term, self.request);
-        effects.state.push((Priority::Leadership, op, tag));
+        let tag = StateTag::Partitions {
+            term: self.term,
+            number: self.request,
+        };
+        effects.request_state(Priority::Leadership, op, tag);
     }
 
     /// Commits moves, and records a table that does not exist yet.
--- a/crates/control/src/partitions/mod.rs
+++ b/crates/control/src/partitions/mod.rs
@@ -8,7 +8,7 @@
 mod load;
 mod redirects;
 
-use crate::effects::{Effects, Now, Output};
+use crate::effects::{Effects, Now};
 use crate::election::Election;
 use crate::leader::{AnsweredHeartbeat, Leader};
 use crate::peers::Peers;
@@ -281,8 +281,6 @@
 
 /// Sends a message about partitions to a peer.
 fn send(to: &str, term: u64, body: PartitionBody, effects: &mut Effects) {
-    effects.outputs.push(Output::Peer {
-        to: Some(to.to_string()),
-        message: PeerMessage::Partitions(PartitionMessage { term, body }),
-    });
+    let message = PeerMessage::Partitions(PartitionMessage { term, body });
+    effects.send_to_peer(to.to_string(), message);
 }
--- a/crates/control/src/peer_heartbeats.rs
+++ b/crates/control/src/peer_heartbeats.rs
@@ -126,19 +126,17 @@
             at => ago(at),
         };
         for (label, echo) in peers.echoes() {
-            effects.outputs.push(Output::Peer {
-                to: Some(label.clone()),
-                message: PeerMessage::Heartbeat {
-                    term: election.highest_term(),
-                    state_ago_ms,
-                    leads: election.leads().is_some(),
-                    worker_ago_ms: self.last_worker_heartbeat.map(ago),
-                    sent: self.clock_base + now,
-                    echo,
-                    boot: self.boot,
-                    aborts: self.cancellations,
-                },
-            });
+            let heartbeat = PeerMessage::Heartbeat {
+                term: election.highest_term(),
+                state_ago_ms,
+                leads: election.leads().is_some(),
+                worker_ago_ms: self.last_worker_heartbeat.map(ago),
+                sent: self.clock_base + now,
+                echo,
+                boot: self.boot,
+                aborts: self.cancellations,
+            };
+            effects.send_to_peer(label.clone(), heartbeat);
         }
     }
 
@@ -157,10 +155,7 @@
         let jobs = leader.next_job_updates();
         gateway.on_job_updates(&jobs);
         let term = leader.term;
-        effects.outputs.push(Output::Peer {
-            to: None,
-            message: PeerMessage::Counts { term, jobs },
-        });
+        effects.send_to_all_peers(PeerMessage::Counts { term, jobs });
     }
 
     fn send_ended_jobs(&mut self, effects: &mut Effects) {
@@ -169,11 +164,8 @@
         for jobs in ended.chunks(JOB_UPDATES_MAX) {
             let is_done = |job: &EndedJob| job.end == Final::Done;
             let jobs = jobs.iter().map(|job| (job.id.clone(), is_done(job)));
-            effects.outputs.push(Output::Peer {
-                to: None,
-                message: PeerMessage::Over {
-                    jobs: jobs.collect(),
-                },
+            effects.send_to_all_peers(PeerMessage::Over {
+                jobs: jobs.collect(),
             });
         }
     }
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -159,20 +159,35 @@
     Types,
     /// The upgrade, with the number of its request.
     Rollout(u64),
-    /// The leader of this term.
-    Leader(u64, LeaderRequest),
-    /// The ownership table, with the term and the number of the request.
-    Partitions(u64, u64),
+    /// A leader.
+    Leader {
+        /// The leader's term.
+        term: u64,
+        /// What the request is for.
+        request: LeaderRequest,
+    },
+    /// The ownership table of the partitions.
+    Partitions {
+        /// Term of the leader that owns the table.
+        term: u64,
+        /// Number of the request.
+        number: u64,
+    },
 }
 
 /// Who sent a request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum CloudTag {
-    /// The leader of this term.
-    Leader(u64, CloudRequest),
+    /// A leader.
+    Leader {
+        /// The leader's term.
+        term: u64,
+        /// What the request is for.
+        request: CloudRequest,
+    },
 }
 
-/// The step of the election that a reply belongs to. The number identifies the attempt or the term.
+/// The step of the election that a reply belongs to. A bare number identifies the attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ElectionStep {
     /// Reads the leader's record.
@@ -183,8 +198,13 @@
     GrantLease(u64),
     /// Writes the leader's record.
     Commit(u64),
-    /// Renewal in this term, sent at this moment.
-    Renew(u64, u64),
+    /// Renews the leader's lease.
+    Renew {
+        /// The leader's term.
+        term: u64,
+        /// When the renewal was sent.
+        sent_at: u64,
+    },
     /// Revokes a lease: its own, or that of a leader found unreachable.
     Revoke,
 }
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -168,14 +168,14 @@
         };
         self.request += 1;
         let tag = StateTag::Rollout(self.request);
-        effects.state.push((Priority::Leadership, op, tag));
+        effects.request_state(Priority::Leadership, op, tag);
     }
 
     /// Tells the node, once, that small values may be written.
     fn announce_small_values(&mut self, effects: &mut Effects) {
         if !self.small_values_announced && self.has_small_values() {
             self.small_values_announced = true;
-            effects.events.push(NodeEvent::Upgraded);
+            effects.emit(NodeEvent::Upgraded);
         }
     }
 
