--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -99,7 +99,7 @@
             self.jobs.len(),
             blocked.len(),
             self.rentals.len(),
-            self.unsaved.len(),
+            self.write_queue.len(),
             self.start_latencies.sent.n,
             self.start_latencies.sent,
             self.start_latencies.seen,
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -45,7 +45,7 @@
 use model::{BootTimes, Job, Machine, RecordCell};
 use rental::{OfferBackoff, OfferKey, Rental};
 use start_latencies::StartLatencies;
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::cloud::MachineType;
 use wire::records::Final;
 
@@ -111,8 +111,7 @@
     /// Chunks are written in the dense form, which the version before the pipelines can't read.
     dense: bool,
     /// Records whose write is wanted.
-    unsaved: BTreeSet<RecordId>,
-    write_queue: VecDeque<RecordId>,
+    write_queue: store::WriteQueue,
     pending_transactions: HashMap<u64, store::PendingTransaction>,
     next_transaction_number: u64,
     /// Transactions to be sent again: when, and their numbers.
@@ -121,9 +120,6 @@
     refreshing: BTreeSet<RecordId>,
     /// Until when nothing is written, after a transaction that the state service called invalid.
     invalid_until: u64,
-    /// Records whose change may wait, with the time up to which.
-    deferred_writes: BTreeMap<RecordId, u64>,
-    next_deferred_check: u64,
 
     // Planning.
     plan_due: bool,
@@ -198,15 +194,12 @@
             machines_with_new_orders: Vec::new(),
             pages: BTreeMap::new(),
             dense,
-            unsaved: BTreeSet::new(),
-            write_queue: VecDeque::new(),
+            write_queue: store::WriteQueue::default(),
             pending_transactions: HashMap::new(),
             next_transaction_number: 0,
             retries: Vec::new(),
             refreshing: BTreeSet::new(),
             invalid_until: 0,
-            deferred_writes: BTreeMap::new(),
-            next_deferred_check: 0,
             plan_due: true,
             next_round: 0,
             next_housekeeping: 0,
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -5,12 +5,15 @@
 
 mod builder;
 mod conflicts;
+mod in_flight;
+mod queueing;
 mod record_write;
 mod saved;
 mod transaction;
 mod write_queue;
 
 pub(super) use transaction::PendingTransaction;
+pub(super) use write_queue::WriteQueue;
 
 use super::pages::NoRoom;
 use super::Leader;
@@ -73,7 +76,7 @@
     /// Adds queued writes in their order until one does not fit. Records that are in flight stay in the queue.
     fn add_queued_writes(&mut self, builder: &mut TransactionBuilder) {
         let mut remaining = VecDeque::new();
-        while let Some(record) = self.write_queue.pop_front() {
+        while let Some(record) = self.write_queue.pop() {
             if self.is_in_flight(&record) {
                 remaining.push_back(record);
                 continue;
@@ -82,11 +85,9 @@
                 remaining.push_front(record);
                 break;
             }
-            self.unsaved.remove(&record);
-        }
-        for record in remaining.into_iter().rev() {
-            self.write_queue.push_front(record);
+            self.write_queue.confirm(&record);
         }
+        self.write_queue.put_back(remaining);
     }
 
     /// Adds what a record needs to a transaction, if anything.
@@ -112,13 +113,8 @@
         let Some(room) = builder.room_on_drafted_pages() else {
             return;
         };
-        let mut deferred: Vec<(u64, RecordId)> = self
-            .deferred_writes
-            .iter()
-            .map(|(record, at)| (*at, record.clone()))
-            .collect();
-        deferred.sort_unstable();
-        for (_, record) in deferred.into_iter().take(DEFERRED_WRITES_PER_TRANSACTION) {
+        let deferred = self.write_queue.deferred_by_time();
+        for record in deferred.into_iter().take(DEFERRED_WRITES_PER_TRANSACTION) {
             let Some(id) = self.job_with_unsaved_parts(&record) else {
                 continue;
             };
@@ -126,7 +122,7 @@
                 continue;
             }
             if self.add_parts(id, builder.drafts_mut(), room).is_ok() {
-                self.deferred_writes.remove(&record);
+                self.write_queue.remove_deferred(&record);
             }
         }
     }
--- a/crates/control/src/leader/tests/page_writes.rs
+++ b/crates/control/src/leader/tests/page_writes.rs
@@ -106,7 +106,7 @@
     let pages = flush_and_commit(&mut leader, 30);
     assert_eq!(pages.len(), 1);
     assert!(jobs(&pages[0].1).contains("run-1"));
-    assert!(leader.deferred_writes.is_empty());
+    assert!(leader.write_queue.has_no_deferred_writes());
     // If no other write comes, it is written after a while.
     leader
         .jobs
