--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -34,8 +34,8 @@
 use crate::effects::{Effects, Now};
 use crate::recent_map::RecentMap;
 use crate::requests::{
-    CloudOp, CloudReply, CloudRequest, CloudTag, LeaderRequest, Priority, RecordId, StateOp,
-    StateReply, StateTag,
+    CloudOp, CloudReply, CloudRequest, CloudTag, LeaderRequest, Priority, StateOp, StateReply,
+    StateTag,
 };
 use crate::settings::{Operator, Settings};
 use crate::token_bucket::TokenBucket;
@@ -112,14 +112,8 @@
     dense: bool,
     /// Records whose write is wanted.
     write_queue: store::WriteQueue,
-    pending_transactions: HashMap<u64, store::PendingTransaction>,
-    next_transaction_number: u64,
-    /// Transactions to be sent again: when, and their numbers.
-    retries: Vec<(u64, u64)>,
-    /// Records that are being read again.
-    refreshing: BTreeSet<RecordId>,
-    /// Until when nothing is written, after a transaction that the state service called invalid.
-    invalid_until: u64,
+    /// Transactions in flight.
+    transactions: store::PendingTransactions,
 
     // Planning.
     plan_due: bool,
@@ -195,11 +189,7 @@
             pages: BTreeMap::new(),
             dense,
             write_queue: store::WriteQueue::default(),
-            pending_transactions: HashMap::new(),
-            next_transaction_number: 0,
-            retries: Vec::new(),
-            refreshing: BTreeSet::new(),
-            invalid_until: 0,
+            transactions: store::PendingTransactions::default(),
             plan_due: true,
             next_round: 0,
             next_housekeeping: 0,
@@ -284,10 +274,10 @@
         }
         let next_round = (active && self.plan_due).then_some(self.next_round);
         let next_watch = (!self.job_watch.open).then_some(self.job_watch.retry_at);
-        let retries = self.retries.iter().map(|(at, _)| *at);
-        retries
-            .chain(next_round)
-            .chain(next_watch)
+        let next_retry = self.transactions.next_retry();
+        [next_round, next_watch, next_retry]
+            .into_iter()
+            .flatten()
             .chain([self.next_housekeeping, self.pipelines_wake()])
             .min()
             .unwrap_or(u64::MAX)
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -6,13 +6,14 @@
 mod builder;
 mod conflicts;
 mod in_flight;
+mod pending_transactions;
 mod queueing;
 mod record_write;
 mod saved;
 mod transaction;
 mod write_queue;
 
-pub(super) use transaction::PendingTransaction;
+pub(super) use pending_transactions::PendingTransactions;
 pub(super) use write_queue::WriteQueue;
 
 use super::pages::NoRoom;
@@ -20,20 +21,21 @@
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{LeaderRequest, Priority, RecordId, StateOp, StateReply};
 use builder::TransactionBuilder;
-use constants::{DEFERRED_WRITES_PER_TRANSACTION, INVALID_RETRY_MS, STATE_RETRY_MS, TXN_PARALLEL};
+use constants::DEFERRED_WRITES_PER_TRANSACTION;
 use std::collections::VecDeque;
+use transaction::PendingTransaction;
 use wire::records::LEADER;
 
 impl Leader {
     /// Sends transactions for the queued writes, as many as may be in flight at a time.
     pub(super) fn flush(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        if !self.is_ready() || now < self.invalid_until {
+        if !self.is_ready() || self.transactions.is_paused(now) {
             return;
         }
         self.queue_due_deferred_writes(now);
         self.resend_due_transactions(effects);
-        while self.pending_transactions.len() < TXN_PARALLEL && !self.write_queue.is_empty() {
+        while self.transactions.has_room() && !self.write_queue.is_empty() {
             let Some(transaction) = self.next_transaction() else {
                 return;
             };
@@ -42,15 +44,7 @@
     }
 
     fn resend_due_transactions(&mut self, effects: &mut Effects) {
-        let now = effects.now.mono;
-        let due: Vec<u64> = self
-            .retries
-            .iter()
-            .filter(|(at, _)| *at <= now)
-            .map(|(_, number)| *number)
-            .collect();
-        self.retries.retain(|(at, _)| *at > now);
-        for number in due {
+        for number in self.transactions.take_due_retries(effects.now.mono) {
             self.send_transaction(number, effects);
         }
     }
@@ -139,14 +133,12 @@
     }
 
     fn start_transaction(&mut self, transaction: PendingTransaction, effects: &mut Effects) {
-        self.next_transaction_number += 1;
-        let number = self.next_transaction_number;
-        self.pending_transactions.insert(number, transaction);
+        let number = self.transactions.insert(transaction);
         self.send_transaction(number, effects);
     }
 
     fn send_transaction(&mut self, number: u64, effects: &mut Effects) {
-        if let Some(transaction) = self.pending_transactions.get(&number) {
+        if let Some(transaction) = self.transactions.get(number) {
             let op = StateOp::Txn(transaction.txn.clone());
             let request = LeaderRequest::PendingTransaction(number);
             self.send_state_request(Priority::LeaderRecords, op, request, effects);
@@ -160,26 +152,27 @@
         reply: StateReply,
         effects: &mut Effects,
     ) {
-        let Some(transaction) = self.pending_transactions.get_mut(&number) else {
+        if self.transactions.get(number).is_none() {
             return;
-        };
+        }
+        let now = effects.now.mono;
         match reply {
             StateReply::Committed { version } => {
                 self.has_new_decisions = true;
                 self.on_committed(number, version, effects);
             }
-            StateReply::Refused => self.retry_transaction(number, effects),
+            StateReply::Refused => self.transactions.retry_later(number, now),
             StateReply::Unknown => {
                 // The very same transaction is sent again: its compares let it be applied once at most.
-                transaction.is_ambiguous = true;
-                self.retry_transaction(number, effects);
+                self.transactions.mark_ambiguous(number);
+                self.transactions.retry_later(number, now);
             }
             StateReply::Conflict { failed } if failed.iter().any(|key| key == LEADER) => {
                 let event = NodeEvent::SteppedDown("a transaction was fenced");
                 effects.events.push(event);
             }
             StateReply::Conflict { failed } => {
-                if let Some(transaction) = self.pending_transactions.remove(&number) {
+                if let Some(transaction) = self.transactions.remove(number) {
                     self.on_conflict(transaction, &failed, effects);
                 }
             }
@@ -189,21 +182,16 @@
     }
 
     fn on_committed(&mut self, number: u64, version: u64, effects: &mut Effects) {
-        if let Some(transaction) = self.pending_transactions.remove(&number) {
+        if let Some(transaction) = self.transactions.remove(number) {
             for change in transaction.changes {
                 self.on_saved(change, version, effects);
             }
         }
     }
 
-    fn retry_transaction(&mut self, number: u64, effects: &Effects) {
-        self.retries
-            .push((effects.now.mono + STATE_RETRY_MS, number));
-    }
-
     /// The state service does not accept a transaction as it is.
     fn on_invalid(&mut self, number: u64, reply: &StateReply, effects: &mut Effects) {
-        let Some(transaction) = self.pending_transactions.remove(&number) else {
+        let Some(transaction) = self.transactions.remove(number) else {
             return;
         };
         if !self.dense && self.fits_only_today(&transaction.txn) {
@@ -213,7 +201,7 @@
         } else {
             // Nothing that is written should ever be invalid; if it is, other work must go on meanwhile.
             log::error!("event=txn_invalid reply={reply:?}");
-            self.invalid_until = effects.now.mono + INVALID_RETRY_MS;
+            self.transactions.pause(effects.now.mono);
         }
         // An earlier copy of it may have been executed, or may be yet: what is recorded decides.
         self.on_conflict(transaction, &[], effects);
@@ -221,6 +209,6 @@
 
     /// Whether transactions have been sent whose outcome is not known yet.
     pub fn has_writes_in_flight(&self) -> bool {
-        !self.pending_transactions.is_empty()
+        !self.transactions.is_empty()
     }
 }
--- a/crates/control/src/leader/store/conflicts.rs
+++ b/crates/control/src/leader/store/conflicts.rs
@@ -73,7 +73,7 @@
 
     /// Reads a record again unless that is under way already.
     fn start_refresh(&mut self, refresh: Refresh, effects: &mut Effects) {
-        if self.refreshing.insert(refresh.record.clone()) {
+        if self.transactions.begin_refresh(&refresh.record) {
             self.set_in_flight(&refresh.record, true);
             self.request_refresh(refresh, effects);
         }
@@ -110,7 +110,7 @@
             }
             RecordId::Types => refresh_cell(&mut self.types, item),
         }
-        self.refreshing.remove(&record);
+        self.transactions.end_refresh(&record);
         self.set_in_flight(&record, false);
         if !matches!(record, RecordId::Page(_)) {
             self.queue_write(record);
--- a/crates/control/src/leader/store/transaction.rs
+++ b/crates/control/src/leader/store/transaction.rs
@@ -64,11 +64,11 @@
 
 /// A transaction in flight.
 #[derive(Debug, Clone)]
-pub(in crate::leader) struct PendingTransaction {
+pub(super) struct PendingTransaction {
     /// What is sent to the state service.
-    pub(super) txn: Txn,
+    pub txn: Txn,
     /// The changes of records that it makes.
-    pub(super) changes: Vec<RecordChange>,
+    pub changes: Vec<RecordChange>,
     /// Whether it was sent before with an unknown outcome.
-    pub(super) is_ambiguous: bool,
+    pub is_ambiguous: bool,
 }
