--- a/crates/control/src/leader/job_records.rs
+++ b/crates/control/src/leader/job_records.rs
@@ -60,7 +60,7 @@
         log_new_job(id, &record);
         let mut job = Job::new(record, version);
         job.aborted |= self.cancellation_notices.contains(id);
-        if self.dense {
+        if self.pages.is_dense() {
             job.split();
         } else if !job.spec.needs.is_empty() {
             // Only a node that runs the version with pipelines accepts such a job, so the upgrade is over.
--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -123,7 +123,7 @@
                 .map(|record| self.load_more_record(name, record)),
             PAGES => value.deserialized::<PageRecord>().map(|record| {
                 if let Ok(number) = name.parse::<u32>() {
-                    self.load_page(number, record, version);
+                    self.pages.load(number, record, version);
                 }
             }),
             RENTALS => value.deserialized::<RentalRecord>().map(|record| {
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -70,8 +70,6 @@
     load_in_flight: bool,
     /// When the next page may be requested, after a failure.
     load_retry_at: u64,
-    /// Copies of chunks found while loading.
-    copies: pages::Copies,
     /// When the term began.
     since: u64,
     /// When all records had been read.
@@ -107,9 +105,7 @@
     machines_with_new_orders: Vec<String>,
 
     // Store.
-    pages: BTreeMap<u32, pages::Page>,
-    /// Chunks are written in the dense form, which the version before the pipelines can't read.
-    dense: bool,
+    pages: pages::PageTable,
     /// Records whose write is wanted.
     write_queue: store::WriteQueue,
     /// Transactions in flight.
@@ -168,7 +164,6 @@
             loading: Loading::start(),
             load_in_flight: false,
             load_retry_at: 0,
-            copies: pages::Copies::default(),
             since: now.mono,
             ready_at: 0,
             resumed_at: 0,
@@ -186,8 +181,7 @@
             has_new_decisions: false,
             delegation: None,
             machines_with_new_orders: Vec::new(),
-            pages: BTreeMap::new(),
-            dense,
+            pages: pages::PageTable::new(dense),
             write_queue: store::WriteQueue::default(),
             transactions: store::PendingTransactions::default(),
             plan_due: true,
@@ -218,7 +212,7 @@
     pub fn upgraded(&mut self, effects: &mut Effects) {
         if !self.is_ready() {
             // The records that are still being read show which chunks are in which form.
-            self.dense = true;
+            self.pages.use_dense_layout();
             return;
         }
         self.switch_to_dense_layout();
--- a/crates/control/src/leader/pages.rs
+++ b/crates/control/src/leader/pages.rs
@@ -23,18 +23,21 @@
 mod encoding;
 mod limits;
 mod packing;
+mod page;
 mod table;
 
-pub(super) use copies::{copies_in, Copies, PartCopy};
+pub(super) use copies::{copies_in, PartCopy};
 pub(super) use draft::{NoRoom, PageDrafts, PageRoom};
 pub(super) use encoding::PageWrite;
 pub(super) use limits::max_compares;
-pub(super) use table::{Page, PartId};
+pub(super) use page::PartId;
+pub(super) use table::PageTable;
 
 use super::model::{Chunk, Job};
 use super::Leader;
 use crate::requests::RecordId;
-use wire::records::PageRecord;
+use copies::{Copies, LoadedCopy};
+use std::collections::HashMap;
 
 /// Whether a job has parts whose last change is not recorded yet.
 pub(super) fn has_unsaved_parts(job: &Job) -> bool {
@@ -44,10 +47,10 @@
 impl Leader {
     /// Writes parts in the dense layout from now on.
     pub(super) fn switch_to_dense_layout(&mut self) {
-        if self.dense {
+        if self.pages.is_dense() {
             return;
         }
-        self.dense = true;
+        self.pages.use_dense_layout();
         self.split_all_jobs();
         self.rebuild_page_contents();
         log::info!(
@@ -75,14 +78,12 @@
 
     /// Determines anew which parts belong to which page.
     fn rebuild_page_contents(&mut self) {
-        for page in self.pages.values_mut() {
-            page.clear_parts();
-        }
+        self.pages.clear_parts();
         for (id, job) in &self.jobs {
             for (part, chunk) in &job.chunks {
-                let page = chunk.home.and_then(|home| self.pages.get_mut(&home));
-                if let Some(page) = page {
-                    page.add_part(PartId::new(id, *part), chunk.bytes(job.is_dense()));
+                if let Some(home) = chunk.home {
+                    let bytes = chunk.bytes(job.is_dense());
+                    self.pages.add_part(home, PartId::new(id, *part), bytes);
                 }
             }
         }
@@ -92,26 +93,37 @@
         self.jobs.get(&part.job)?.chunks.get(&part.number)
     }
 
-    /// Takes in a page while the records are being loaded.
-    pub(super) fn load_page(&mut self, number: u32, record: PageRecord, version: u64) {
-        self.pages.insert(number, Page::loaded(version));
-        self.copies.add_page(number, record);
-    }
-
     /// Gives the open jobs the newest copies of their parts once all pages have been read.
     pub(super) fn apply_page_copies(&mut self) {
-        let copies = std::mem::take(&mut self.copies);
-        // Whoever wrote small parts knew that no node is left that can't read them.
-        self.dense |= copies.has_small_parts();
-        for (part, copy) in copies.wide {
+        let copies = self.pages.take_loaded_copies();
+        if copies.has_small_parts() {
+            // Whoever wrote small parts knew that no node is left that can't read them.
+            self.pages.use_dense_layout();
+        }
+        let Copies { wide, small } = copies;
+        self.apply_wide_copies(wide);
+        if self.pages.is_dense() {
+            self.split_all_jobs();
+        }
+        self.apply_small_copies(small);
+        for job in self.jobs.values_mut() {
+            job.count_chunks();
+            job.failed_under_earlier_leaders = job.has_failed_under_earlier_leaders();
+        }
+        self.rebuild_page_contents();
+    }
+
+    fn apply_wide_copies(&mut self, copies: HashMap<PartId, LoadedCopy>) {
+        for (part, copy) in copies {
             if let Some(job) = self.jobs.get_mut(&part.job) {
                 job.load_chunk(part.number, copy.seq, copy.chunk, copy.page);
             }
         }
-        if self.dense {
-            self.split_all_jobs();
-        }
-        for (part, copy) in copies.small {
+    }
+
+    /// Applies the copies in the dense layout, after wide parts have been split to the same numbering.
+    fn apply_small_copies(&mut self, copies: HashMap<PartId, LoadedCopy>) {
+        for (part, copy) in copies {
             let Some(job) = self.jobs.get_mut(&part.job) else {
                 continue;
             };
@@ -120,18 +132,11 @@
                 job.load_chunk(part.number, copy.seq, copy.chunk, copy.page);
             }
         }
-        for job in self.jobs.values_mut() {
-            job.count_chunks();
-            job.failed_under_earlier_leaders = job.has_failed_under_earlier_leaders();
-        }
-        self.rebuild_page_contents();
     }
 
     /// Notes what a page is known to hold. The copies that are newest belong to it from now on.
     pub(super) fn on_page_saved(&mut self, number: u32, version: u64, copies: &[PartCopy]) {
-        let page = self.pages.entry(number).or_default();
-        page.in_flight = false;
-        page.version = version;
+        self.pages.end_write(number, version);
         for copy in copies {
             self.move_parts_to_page(number, copy);
         }
@@ -156,22 +161,17 @@
             let previous = chunk.home.replace(number);
             let part = PartId::new(&copy.part.job, part);
             if let Some(previous) = previous.filter(|previous| *previous != number) {
-                if let Some(page) = self.pages.get_mut(&previous) {
-                    page.remove_part(&part);
-                }
-            }
-            if let Some(page) = self.pages.get_mut(&number) {
-                page.add_part(part, bytes);
+                self.pages.remove_part(previous, &part);
             }
+            self.pages.add_part(number, part, bytes);
         }
     }
 
     /// Removes the parts of a finished job from their pages. Copies that are still recorded there are ignored.
     pub(super) fn remove_from_pages(&mut self, id: &str, job: &Job) {
         for (part, chunk) in &job.chunks {
-            let page = chunk.home.and_then(|home| self.pages.get_mut(&home));
-            if let Some(page) = page {
-                page.remove_part(&PartId::new(id, *part));
+            if let Some(home) = chunk.home {
+                self.pages.remove_part(home, &PartId::new(id, *part));
             }
         }
     }
--- a/crates/control/src/leader/pages/copies.rs
+++ b/crates/control/src/leader/pages/copies.rs
@@ -1,6 +1,6 @@
 //! Copies of parts on pages: finding the newest of each while loading, and identifying those that a write contains.
 
-use super::PartId;
+use super::page::PartId;
 use std::collections::HashMap;
 use wire::records::{ChunkRecord, PageRecord};
 
@@ -42,19 +42,21 @@
 
 /// The newest copy of each part while pages are being loaded, apart for each layout.
 #[derive(Default)]
-pub(in crate::leader) struct Copies {
-    pub(super) wide: HashMap<PartId, LoadedCopy>,
-    pub(super) small: HashMap<PartId, LoadedCopy>,
+pub(super) struct Copies {
+    /// Wide parts.
+    pub wide: HashMap<PartId, LoadedCopy>,
+    /// Parts in the dense layout.
+    pub small: HashMap<PartId, LoadedCopy>,
 }
 
 impl Copies {
     /// Whether a part in the dense layout was found.
-    pub(super) fn has_small_parts(&self) -> bool {
+    pub fn has_small_parts(&self) -> bool {
         !self.small.is_empty()
     }
 
     /// Takes in the copies of a page.
-    pub(super) fn add_page(&mut self, page: u32, record: PageRecord) {
+    pub fn add_page(&mut self, page: u32, record: PageRecord) {
         for entry in record.parts {
             let part = PartId::new(&entry.job, entry.part);
             let (seq, chunk) = (entry.seq, entry.chunk);
--- a/crates/control/src/leader/pages/draft.rs
+++ b/crates/control/src/leader/pages/draft.rs
@@ -1,6 +1,6 @@
 //! Drafts of the pages that one transaction is to write.
 
-use super::PartId;
+use super::page::PartId;
 use std::collections::BTreeSet;
 
 /// Something does not fit into a transaction any more.
--- a/crates/control/src/leader/pages/encoding.rs
+++ b/crates/control/src/leader/pages/encoding.rs
@@ -39,13 +39,12 @@
             })
             .collect();
         let number = draft.number();
-        let page = self.pages.entry(number).or_default();
-        page.in_flight = true;
+        let version = self.pages.begin_write(number);
         let key = page_key(number);
         PageWrite {
             number,
             job_compares,
-            compare: Compare::new(key.clone(), page.version),
+            compare: Compare::new(key.clone(), version),
             write: Write::put(key, &record),
             copies: copies_in(&record),
         }
@@ -59,7 +58,7 @@
             };
             let (job, part, seq) = (id.job.clone(), id.number, chunk.seq);
             let chunk = chunk.record();
-            if self.dense {
+            if self.pages.is_dense() {
                 record.small.push(SmallEntry {
                     job,
                     part,
--- a/crates/control/src/leader/pages/limits.rs
+++ b/crates/control/src/leader/pages/limits.rs
@@ -33,7 +33,7 @@
     /// Limits that transactions must stay within.
     pub(in crate::leader) fn limits(&self) -> Limits {
         let state = &self.settings.deployment.state;
-        if self.dense {
+        if self.pages.is_dense() {
             state.least()
         } else {
             state.now()
@@ -49,7 +49,7 @@
     /// Bytes that a page may have.
     pub(super) fn page_bytes(&self) -> usize {
         let value_bytes = self.limits().value_bytes;
-        if self.dense {
+        if self.pages.is_dense() {
             ((value_bytes as f64 * DENSE_PAGE_FILL) as usize).min(PAGE_BYTES)
         } else {
             value_bytes / WIDE_LAYOUT_SHARE
@@ -58,7 +58,7 @@
 
     /// Bytes that a page may already have for new parts to be added to it.
     pub(super) fn max_rewritten_bytes(&self) -> usize {
-        if self.dense {
+        if self.pages.is_dense() {
             self.page_bytes() / REWRITTEN_PART
         } else {
             self.page_bytes() / WIDE_LAYOUT_SHARE
--- a/crates/control/src/leader/pages/packing.rs
+++ b/crates/control/src/leader/pages/packing.rs
@@ -1,10 +1,9 @@
 //! Chooses the pages that a transaction writes, and adds the unsaved parts of jobs to them.
 
 use super::draft::{NoRoom, PageDraft, PageDrafts, PageRoom};
-use super::table::{Page, PartId};
+use super::page::{Page, PartId};
 use crate::leader::model::Chunk;
 use crate::leader::Leader;
-use std::collections::BTreeSet;
 
 impl Leader {
     /// Adds the unsaved parts of a job to the pages of a transaction, as far as they fit.
@@ -35,7 +34,7 @@
         if drafts.contains_part(&part) {
             return Ok(());
         }
-        let bytes = chunk.bytes(self.dense);
+        let bytes = chunk.bytes(self.pages.is_dense());
         let needs_page = |draft: &PageDraft| self.is_full(draft, bytes);
         if drafts.last().is_none_or(needs_page) {
             self.add_draft(drafts, room)?;
@@ -81,15 +80,11 @@
     /// Starts to write a page: the one with the fewest bytes, or a new one if all have too many. Parts that are
     /// rewritten take room from new ones: with small pages and few writes a second, starts waited for that room.
     fn open_page(&self, drafts: &PageDrafts) -> PageDraft {
-        let smallest = self
-            .pages
-            .iter()
-            .filter(|(number, page)| !page.in_flight && !drafts.contains_page(**number))
-            .min_by_key(|(_, page)| page.bytes());
+        let smallest = self.pages.smallest_writable(drafts);
         let max_bytes = self.max_rewritten_bytes();
         match smallest.filter(|(_, page)| page.bytes() <= max_bytes) {
-            Some((number, page)) => self.rewrite_page(*number, page),
-            None => PageDraft::new(self.unused_page_number(drafts)),
+            Some((number, page)) => self.rewrite_page(number, page),
+            None => PageDraft::new(self.pages.unused_number(drafts)),
         }
     }
 
@@ -98,18 +93,10 @@
         let mut draft = PageDraft::new(number);
         for part in page.parts() {
             let chunk = self.part_chunk(part);
-            let bytes = chunk.map_or(0, |chunk| chunk.bytes(self.dense));
+            let bytes = chunk.map_or(0, |chunk| chunk.bytes(self.pages.is_dense()));
             let is_guarded = chunk.is_some_and(Chunk::has_new_assignments);
             draft.add(part.clone(), bytes, is_guarded);
         }
         draft
     }
-
-    fn unused_page_number(&self, drafts: &PageDrafts) -> u32 {
-        let existing = self.pages.keys().copied();
-        let used: BTreeSet<u32> = existing.chain(drafts.page_numbers()).collect();
-        (0..)
-            .find(|number| !used.contains(number))
-            .unwrap_or(u32::MAX)
-    }
 }
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -123,7 +123,7 @@
 
     /// Deletes an empty page with a transaction that has room for it.
     fn add_page_deletion(&mut self, builder: &mut TransactionBuilder) {
-        let Some((number, version)) = self.spare_page() else {
+        let Some((number, version)) = self.pages.spare_page() else {
             return;
         };
         if builder.has_room_for_deletion() {
@@ -194,7 +194,7 @@
         let Some(transaction) = self.transactions.remove(number) else {
             return;
         };
-        if !self.dense && self.fits_only_today(&transaction.txn) {
+        if !self.pages.is_dense() && self.fits_only_today(&transaction.txn) {
             let event = NodeEvent::UpgradeEvidence("a size that only new limits refuse");
             effects.events.push(event);
             self.switch_to_dense_layout();
--- a/crates/control/src/leader/store/in_flight.rs
+++ b/crates/control/src/leader/store/in_flight.rs
@@ -13,7 +13,7 @@
                 rental.is_some_and(|rental| rental.record.in_flight)
             }
             RecordId::Types => self.types.in_flight,
-            RecordId::Page(number) => self.pages.get(number).is_some_and(|page| page.in_flight),
+            RecordId::Page(number) => self.pages.is_in_flight(*number),
         }
     }
 
@@ -31,11 +31,7 @@
                 }
             }
             RecordId::Types => self.types.in_flight = in_flight,
-            RecordId::Page(number) => {
-                if let Some(page) = self.pages.get_mut(number) {
-                    page.in_flight = in_flight;
-                }
-            }
+            RecordId::Page(number) => self.pages.set_in_flight(*number, in_flight),
         }
     }
 }
--- a/crates/control/src/leader/store/saved.rs
+++ b/crates/control/src/leader/store/saved.rs
@@ -19,9 +19,7 @@
             RecordChange::WritePage { number, copies } => {
                 self.on_page_saved(number, version, &copies);
             }
-            RecordChange::DeletePage(number) => {
-                self.pages.remove(&number);
-            }
+            RecordChange::DeletePage(number) => self.pages.remove(number),
             RecordChange::ArchiveJob { id, outcome } => self.on_archived(&id, outcome, effects),
             RecordChange::Rental { name, record } => {
                 self.on_rental_saved(name, record, version, effects);
