--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -1,7 +1,7 @@
 //! Loading the records after an election.
 //!
-//! Open jobs come first, then what else belongs to them, then rentals and machine types. Each prefix is read page by
-//! page. Nothing is decided before all have been read.
+//! Open jobs come first, then what else belongs to them, then rentals and machine types. Each prefix is read in
+//! lists of limited length. Nothing is decided before all have been read.
 
 use super::model::{Job, Machine, RecordCell};
 use super::rental::Rental;
@@ -15,28 +15,24 @@
 };
 use wire::state::Item;
 
-/// How far loading has come.
+/// The records that are read next.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) enum Loading {
-    /// The records under a prefix are being read.
-    Pages {
+enum Stage {
+    /// Those under a prefix.
+    Prefix {
         /// The prefix.
         prefix: &'static str,
         /// Key to continue from.
         from: String,
     },
-    /// All records have been read.
-    Ready,
+    /// None: all have been read.
+    Complete,
 }
 
-impl Loading {
-    /// Loading that has yet to begin.
-    pub fn start() -> Self {
-        Loading::prefix(JOBS)
-    }
-
-    fn prefix(prefix: &'static str) -> Self {
-        Loading::Pages {
+impl Stage {
+    /// The records under a prefix, from the first one.
+    fn start_of(prefix: &'static str) -> Self {
+        Stage::Prefix {
             prefix,
             from: String::new(),
         }
@@ -46,26 +42,69 @@
     /// in only if the job is known.
     fn after(prefix: &'static str) -> Self {
         match prefix {
-            JOBS => Loading::prefix(MORE),
-            MORE => Loading::prefix(PAGES),
-            PAGES => Loading::prefix(RENTALS),
-            RENTALS => Loading::prefix(TYPES),
-            _ => Loading::Ready,
+            JOBS => Stage::start_of(MORE),
+            MORE => Stage::start_of(PAGES),
+            PAGES => Stage::start_of(RENTALS),
+            RENTALS => Stage::start_of(TYPES),
+            _ => Stage::Complete,
+        }
+    }
+}
+
+/// How far loading has come.
+pub(super) struct Loading {
+    stage: Stage,
+    /// A list of records was requested.
+    in_flight: bool,
+    /// When the next list may be requested, after a failure.
+    retry_at: u64,
+}
+
+impl Loading {
+    /// Loading that has yet to begin.
+    pub fn start() -> Self {
+        Loading {
+            stage: Stage::start_of(JOBS),
+            in_flight: false,
+            retry_at: 0,
+        }
+    }
+
+    /// Loading that is over.
+    #[cfg(test)]
+    pub fn complete() -> Self {
+        Loading {
+            stage: Stage::Complete,
+            ..Loading::start()
+        }
+    }
+
+    /// Whether all records have been read.
+    pub fn is_complete(&self) -> bool {
+        self.stage == Stage::Complete
+    }
+
+    /// When the next list may be requested; never while one is under way.
+    pub fn wake(&self) -> u64 {
+        if self.in_flight {
+            u64::MAX
+        } else {
+            self.retry_at
         }
     }
 }
 
 impl Leader {
-    /// Requests the next page of records, unless one is under way or the backoff after a failure lasts.
-    pub(super) fn load_next_page(&mut self, effects: &mut Effects) {
+    /// Requests the next list of records, unless one is under way or the backoff after a failure lasts.
+    pub(super) fn request_next_list(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        let Loading::Pages { prefix, from } = self.loading.clone() else {
+        let Stage::Prefix { prefix, from } = self.loading.stage.clone() else {
             return;
         };
-        if self.load_in_flight || now < self.load_retry_at {
+        if self.loading.in_flight || now < self.loading.retry_at {
             return;
         }
-        self.load_in_flight = true;
+        self.loading.in_flight = true;
         if self.job_watch.revision == 0 {
             self.job_watch.informed_until = now;
         }
@@ -77,17 +116,17 @@
         );
     }
 
-    /// A page of records has arrived, or the request for it has failed.
+    /// A list of records has arrived, or the request for it has failed.
     pub(super) fn on_load(
         &mut self,
         prefix: &'static str,
         reply: StateReply,
         effects: &mut Effects,
     ) {
-        self.load_in_flight = false;
+        self.loading.in_flight = false;
         let now = effects.now.mono;
         let StateReply::Page(page) = reply else {
-            self.load_retry_at = now + STATE_RETRY_MS;
+            self.loading.retry_at = now + STATE_RETRY_MS;
             return;
         };
         if prefix == JOBS && self.job_watch.revision == 0 {
@@ -98,13 +137,13 @@
             self.load_item(prefix, item, now);
         }
         let next = match last_key {
-            Some(from) if page.more => Loading::Pages { prefix, from },
-            _ => Loading::after(prefix),
+            Some(from) if page.more => Stage::Prefix { prefix, from },
+            _ => Stage::after(prefix),
         };
-        if next == Loading::Ready {
+        if next == Stage::Complete {
             return self.finish_loading(effects);
         }
-        self.loading = next;
+        self.loading.stage = next;
         self.tick(false, effects);
     }
 
@@ -120,7 +159,7 @@
             }),
             MORE => value
                 .deserialized::<JobOverflowRecord>()
-                .map(|record| self.load_more_record(name, record)),
+                .map(|record| self.load_overflow_record(name, record)),
             PAGES => value.deserialized::<PageRecord>().map(|record| {
                 if let Ok(number) = name.parse::<u32>() {
                     self.pages.load(number, record, version);
@@ -141,7 +180,7 @@
     }
 
     /// Adds what did not fit into a job's own record. `name` is the job's id and the number of the further record.
-    fn load_more_record(&mut self, name: &str, record: JobOverflowRecord) {
+    fn load_overflow_record(&mut self, name: &str, record: JobOverflowRecord) {
         let Some((id, _)) = name.split_once('/') else {
             return;
         };
@@ -153,7 +192,7 @@
 
     fn finish_loading(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        self.loading = Loading::Ready;
+        self.loading.stage = Stage::Complete;
         self.ready_at = now;
         self.next_housekeeping = now + HOUSEKEEPING_MS;
         if let Some(types) = &self.types.saved {
@@ -172,7 +211,7 @@
             self.pages.len(),
             self.machines.len(),
             self.rentals.len(),
-            now.saturating_sub(self.since)
+            now.saturating_sub(self.elected_at)
         );
         self.plan_due = true;
         self.tick(false, effects);
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -23,6 +23,7 @@
 mod store;
 #[cfg(test)]
 mod tests;
+mod timers;
 mod watch;
 mod worker_heartbeats;
 mod worker_silence;
@@ -39,7 +40,7 @@
 };
 use crate::settings::{Operator, Settings};
 use crate::token_bucket::TokenBucket;
-use constants::{FINAL_CACHE, HOUSEKEEPING_MS, ROUND_AT_LEAST_MS, ROUND_EVERY_MS};
+use constants::FINAL_CACHE;
 use job_watch::JobWatch;
 use loading::Loading;
 use model::{BootTimes, Job, Machine, RecordCell};
@@ -66,20 +67,19 @@
 
     // Loading the records.
     loading: Loading,
-    /// A page of records was requested.
-    load_in_flight: bool,
-    /// When the next page may be requested, after a failure.
-    load_retry_at: u64,
     /// When the term began.
-    since: u64,
+    elected_at: u64,
     /// When all records had been read.
     ready_at: u64,
     /// When this process last resumed after a stall: silence up to then says nothing about a machine.
     resumed_at: u64,
 
     // Jobs.
+    /// Open jobs, by id.
     jobs: BTreeMap<String, Job>,
+    /// The watch that reports changes of open jobs.
     job_watch: JobWatch,
+    /// Which jobs wait for which others.
     dependencies: dependencies::Dependencies,
     /// Jobs archived in this term.
     archived: RecentMap<Final>,
@@ -89,6 +89,7 @@
     last_updated_job: String,
 
     // Machines.
+    /// Known machines, by name.
     machines: BTreeMap<String, Machine>,
     /// Machines that are certainly gone, with the time when that became known.
     departed: HashMap<String, u64>,
@@ -105,6 +106,7 @@
     machines_with_new_orders: Vec<String>,
 
     // Store.
+    /// Pages of assignments and progress.
     pages: pages::PageTable,
     /// Records whose write is wanted.
     write_queue: store::WriteQueue,
@@ -112,7 +114,9 @@
     transactions: store::PendingTransactions,
 
     // Planning.
+    /// Something changed that a round of decisions may answer.
     plan_due: bool,
+    /// When the next round may begin at the earliest.
     next_round: u64,
     next_housekeeping: u64,
     next_consolidation: u64,
@@ -122,7 +126,9 @@
     rounds: u64,
 
     // Fleet.
+    /// Rental requests, by name.
     rentals: BTreeMap<String, Rental>,
+    /// Machine types that the cloud offers.
     types: RecordCell<Vec<MachineType>>,
     next_request: u64,
     /// Offers that the cloud had no capacity for: until when they are left alone, and for how long.
@@ -162,9 +168,7 @@
             operator: operator.clone(),
             stopwatch,
             loading: Loading::start(),
-            load_in_flight: false,
-            load_retry_at: 0,
-            since: now.mono,
+            elected_at: now.mono,
             ready_at: 0,
             resumed_at: 0,
             jobs: BTreeMap::new(),
@@ -221,60 +225,7 @@
 
     /// Whether all records have been read.
     pub fn is_ready(&self) -> bool {
-        self.loading == Loading::Ready
-    }
-
-    /// Time-driven work. `active` tells whether the leader's lease is valid and the state service answers: without
-    /// that nothing is decided.
-    pub fn tick(&mut self, active: bool, effects: &mut Effects) {
-        if !self.is_ready() {
-            return self.load_next_page(effects);
-        }
-        self.open_job_watch(effects);
-        self.maintain_pipelines(effects);
-        self.run_housekeeping(active, effects);
-        let now = effects.now.mono;
-        if active && self.plan_due && now >= self.next_round {
-            self.next_round = now + ROUND_EVERY_MS;
-            self.run_round(effects);
-        }
-        self.flush(effects);
-    }
-
-    fn run_housekeeping(&mut self, active: bool, effects: &mut Effects) {
-        let now = effects.now.mono;
-        if now < self.next_housekeeping {
-            return;
-        }
-        self.next_housekeeping = now + HOUSEKEEPING_MS;
-        // Backoffs and rests end, and what was uncertain becomes certain, without any event.
-        self.plan_due |= now >= self.next_round + ROUND_AT_LEAST_MS;
-        self.check_machines_and_gangs(active, effects);
-        if active {
-            self.maintain_fleet(effects);
-        }
-    }
-
-    /// When [`Leader::tick`] is to be called next.
-    ///
-    /// A round that is due waits for `active`: a leader that was cut off used a whole core by asking for it over and
-    /// over.
-    pub fn next_wake(&self, active: bool) -> u64 {
-        if !self.is_ready() {
-            return match self.load_in_flight {
-                true => u64::MAX,
-                false => self.load_retry_at,
-            };
-        }
-        let next_round = (active && self.plan_due).then_some(self.next_round);
-        let next_watch = (!self.job_watch.open).then_some(self.job_watch.retry_at);
-        let next_retry = self.transactions.next_retry();
-        [next_round, next_watch, next_retry]
-            .into_iter()
-            .flatten()
-            .chain([self.next_housekeeping, self.pipelines_wake()])
-            .min()
-            .unwrap_or(u64::MAX)
+        self.loading.is_complete()
     }
 
     /// A request to the state service has ended.
--- a/crates/control/src/leader/pages.rs
+++ b/crates/control/src/leader/pages.rs
@@ -97,7 +97,7 @@
     pub(super) fn apply_page_copies(&mut self) {
         let copies = self.pages.take_loaded_copies();
         if copies.has_small_parts() {
-            // Whoever wrote small parts knew that no node is left that can't read them.
+            // Small parts are written only once no node is left that can't read them.
             self.pages.use_dense_layout();
         }
         let Copies { wide, small } = copies;
--- a/crates/control/src/leader/pages/copies.rs
+++ b/crates/control/src/leader/pages/copies.rs
@@ -60,7 +60,7 @@
         for entry in record.parts {
             let part = PartId::new(&entry.job, entry.part);
             let (seq, chunk) = (entry.seq, entry.chunk);
-            keep_newest(&mut self.wide, part, LoadedCopy { page, seq, chunk });
+            insert_if_newest(&mut self.wide, part, LoadedCopy { page, seq, chunk });
         }
         for entry in record.small {
             let part = PartId::new(&entry.job, entry.part);
@@ -73,12 +73,12 @@
                 continue;
             };
             let seq = entry.seq;
-            keep_newest(&mut self.small, part, LoadedCopy { page, seq, chunk });
+            insert_if_newest(&mut self.small, part, LoadedCopy { page, seq, chunk });
         }
     }
 }
 
-fn keep_newest(newest: &mut HashMap<PartId, LoadedCopy>, part: PartId, copy: LoadedCopy) {
+fn insert_if_newest(newest: &mut HashMap<PartId, LoadedCopy>, part: PartId, copy: LoadedCopy) {
     let known = newest.get(&part);
     if known.is_none_or(|known| copy.seq > known.seq) {
         newest.insert(part, copy);
--- a/crates/control/src/leader/store/queueing.rs
+++ b/crates/control/src/leader/store/queueing.rs
@@ -14,9 +14,9 @@
         self.write_queue.push(record, is_urgent);
     }
 
-    /// Defers the write of a record that nothing waits for: a worker keeps the result of an ended task until it is
-    /// told to forget it, and an assignment that was released only leaves capacity unused. Such changes of a job are
-    /// written with the next one that something waits for, or after a while.
+    /// Defers the write of a record that nothing waits for. A worker keeps the result of an ended task until it is
+    /// ordered to discard it, and an assignment that was released only leaves capacity unused. Such changes of a job
+    /// are written with the next one that something waits for, or after a while.
     pub(in crate::leader) fn defer_write(&mut self, record: RecordId, now: Now) {
         if self.is_of_finished_job(&record) {
             self.queue_write(record);
--- a/crates/control/src/leader/tests.rs
+++ b/crates/control/src/leader/tests.rs
@@ -51,7 +51,7 @@
 fn leader() -> Leader {
     let settings: Settings = toml::from_str(SETTINGS).expect("settings");
     let mut leader = Leader::new(&settings, &Operator::default(), || 0, 1, 7, true, at(1).now);
-    leader.loading = Loading::Ready;
+    leader.loading = Loading::complete();
     leader
 }
 
