--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -94,12 +94,12 @@
         let assigned: u32 = self.jobs.values().map(|job| job.assigned).sum();
         log::info!(
             "event=summary machines={} up={up} jobs={} held={} placed={assigned} waiting={waiting} rentals={} \
-             is_unsaved={} starts={} sent_ms={} seen_ms={} ran_ms={}",
+             unsaved={} starts={} sent_ms={} seen_ms={} ran_ms={}",
             self.machines.len(),
             self.jobs.len(),
             blocked.len(),
             self.rentals.len(),
-            self.unsaved.len(),
+            self.write_queue.len(),
             self.start_latencies.sent.n,
             self.start_latencies.sent,
             self.start_latencies.seen,
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -5,32 +5,37 @@
 
 mod builder;
 mod conflicts;
+mod in_flight;
+mod pending_transactions;
+mod queueing;
 mod record_write;
 mod saved;
 mod transaction;
 mod write_queue;
 
-pub(super) use transaction::PendingTransaction;
+pub(super) use pending_transactions::PendingTransactions;
+pub(super) use write_queue::WriteQueue;
 
 use super::pages::NoRoom;
 use super::Leader;
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{LeaderRequest, Priority, RecordId, StateOp, StateReply};
 use builder::TransactionBuilder;
-use constants::{DEFERRED_WRITES_PER_TRANSACTION, INVALID_RETRY_MS, STATE_RETRY_MS, TXN_PARALLEL};
+use constants::DEFERRED_WRITES_PER_TRANSACTION;
 use std::collections::VecDeque;
+use transaction::PendingTransaction;
 use wire::records::LEADER;
 
 impl Leader {
     /// Sends transactions for the queued writes, as many as may be in flight at a time.
     pub(super) fn flush(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        if !self.is_ready() || now < self.invalid_until {
+        if !self.is_ready() || self.transactions.is_paused(now) {
             return;
         }
         self.queue_due_deferred_writes(now);
         self.resend_due_transactions(effects);
-        while self.pending_transactions.len() < TXN_PARALLEL && !self.write_queue.is_empty() {
+        while self.transactions.has_room() && !self.write_queue.is_empty() {
             let Some(transaction) = self.next_transaction() else {
                 return;
             };
@@ -39,15 +44,7 @@
     }
 
     fn resend_due_transactions(&mut self, effects: &mut Effects) {
-        let now = effects.now.mono;
-        let due: Vec<u64> = self
-            .retries
-            .iter()
-            .filter(|(at, _)| *at <= now)
-            .map(|(_, number)| *number)
-            .collect();
-        self.retries.retain(|(at, _)| *at > now);
-        for number in due {
+        for number in self.transactions.take_due_retries(effects.now.mono) {
             self.send_transaction(number, effects);
         }
     }
@@ -73,7 +70,7 @@
     /// Adds queued writes in their order until one does not fit. Records that are in flight stay in the queue.
     fn add_queued_writes(&mut self, builder: &mut TransactionBuilder) {
         let mut remaining = VecDeque::new();
-        while let Some(record) = self.write_queue.pop_front() {
+        while let Some(record) = self.write_queue.pop() {
             if self.is_in_flight(&record) {
                 remaining.push_back(record);
                 continue;
@@ -82,11 +79,9 @@
                 remaining.push_front(record);
                 break;
             }
-            self.unsaved.remove(&record);
-        }
-        for record in remaining.into_iter().rev() {
-            self.write_queue.push_front(record);
+            self.write_queue.confirm(&record);
         }
+        self.write_queue.put_back(remaining);
     }
 
     /// Adds what a record needs to a transaction, if anything.
@@ -112,13 +107,8 @@
         let Some(room) = builder.room_on_drafted_pages() else {
             return;
         };
-        let mut deferred: Vec<(u64, RecordId)> = self
-            .deferred_writes
-            .iter()
-            .map(|(record, at)| (*at, record.clone()))
-            .collect();
-        deferred.sort_unstable();
-        for (_, record) in deferred.into_iter().take(DEFERRED_WRITES_PER_TRANSACTION) {
+        let deferred = self.write_queue.deferred_by_time();
+        for record in deferred.into_iter().take(DEFERRED_WRITES_PER_TRANSACTION) {
             let Some(id) = self.job_with_unsaved_parts(&record) else {
                 continue;
             };
@@ -126,14 +116,14 @@
                 continue;
             }
             if self.add_parts(id, builder.drafts_mut(), room).is_ok() {
-                self.deferred_writes.remove(&record);
+                self.write_queue.remove_deferred(&record);
             }
         }
     }
 
     /// Deletes an empty page with a transaction that has room for it.
     fn add_page_deletion(&mut self, builder: &mut TransactionBuilder) {
-        let Some((number, version)) = self.spare_page() else {
+        let Some((number, version)) = self.pages.spare_page() else {
             return;
         };
         if builder.has_room_for_deletion() {
@@ -143,14 +133,12 @@
     }
 
     fn start_transaction(&mut self, transaction: PendingTransaction, effects: &mut Effects) {
-        self.next_transaction_number += 1;
-        let number = self.next_transaction_number;
-        self.pending_transactions.insert(number, transaction);
+        let number = self.transactions.insert(transaction);
         self.send_transaction(number, effects);
     }
 
     fn send_transaction(&mut self, number: u64, effects: &mut Effects) {
-        if let Some(transaction) = self.pending_transactions.get(&number) {
+        if let Some(transaction) = self.transactions.get(number) {
             let op = StateOp::Txn(transaction.txn.clone());
             let request = LeaderRequest::PendingTransaction(number);
             self.send_state_request(Priority::LeaderRecords, op, request, effects);
@@ -164,19 +152,20 @@
         reply: StateReply,
         effects: &mut Effects,
     ) {
-        let Some(transaction) = self.pending_transactions.get_mut(&number) else {
+        if self.transactions.get(number).is_none() {
             return;
-        };
+        }
+        let now = effects.now.mono;
         match reply {
             StateReply::Committed { version } => {
                 self.has_new_decisions = true;
                 self.on_committed(number, version, effects);
             }
-            StateReply::Refused => self.retry_transaction(number, effects),
+            StateReply::Refused => self.transactions.retry_later(number, now),
             StateReply::Unknown => {
                 // The very same transaction is sent again: its compares let it be applied once at most.
-                transaction.is_ambiguous = true;
-                self.retry_transaction(number, effects);
+                self.transactions.mark_ambiguous(number);
+                self.transactions.retry_later(number, now);
             }
             StateReply::Conflict { failed } if failed.iter().any(|key| key == LEADER) => {
                 let event = NodeEvent::SteppedDown {
@@ -185,7 +174,7 @@
                 effects.emit(event);
             }
             StateReply::Conflict { failed } => {
-                if let Some(transaction) = self.pending_transactions.remove(&number) {
+                if let Some(transaction) = self.transactions.remove(number) {
                     self.on_conflict(transaction, &failed, effects);
                 }
             }
@@ -195,24 +184,19 @@
     }
 
     fn on_committed(&mut self, number: u64, version: u64, effects: &mut Effects) {
-        if let Some(transaction) = self.pending_transactions.remove(&number) {
+        if let Some(transaction) = self.transactions.remove(number) {
             for change in transaction.changes {
                 self.on_saved(change, version, effects);
             }
         }
     }
 
-    fn retry_transaction(&mut self, number: u64, effects: &Effects) {
-        self.retries
-            .push((effects.now.mono + STATE_RETRY_MS, number));
-    }
-
     /// The state service does not accept a transaction as it is.
     fn on_invalid(&mut self, number: u64, reply: &StateReply, effects: &mut Effects) {
-        let Some(transaction) = self.pending_transactions.remove(&number) else {
+        let Some(transaction) = self.transactions.remove(number) else {
             return;
         };
-        if !self.dense && self.fits_only_today(&transaction.txn) {
+        if !self.pages.is_dense() && self.fits_only_today(&transaction.txn) {
             let event = NodeEvent::UpgradeEvidence {
                 observation: "a size that only new limits refuse",
             };
@@ -221,7 +205,7 @@
         } else {
             // Nothing that is written should ever be invalid; if it is, other work must go on meanwhile.
             log::error!("event=txn_invalid reply={reply:?}");
-            self.invalid_until = effects.now.mono + INVALID_RETRY_MS;
+            self.transactions.pause(effects.now.mono);
         }
         // An earlier copy of it may have been executed, or may be yet: what is recorded decides.
         self.on_conflict(transaction, &[], effects);
@@ -229,6 +213,6 @@
 
     /// Whether transactions have been sent whose outcome is not known yet.
     pub fn has_writes_in_flight(&self) -> bool {
-        !self.pending_transactions.is_empty()
+        !self.transactions.is_empty()
     }
 }
