--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -93,8 +93,8 @@
             .sum();
         let assigned: u32 = self.jobs.values().map(|job| job.assigned).sum();
         log::info!(
-            "event=summary machines={} up={up} jobs={} held={} placed={assigned} waiting={waiting} rentals={} \
-             unsaved={} starts={} sent_ms={} seen_ms={} ran_ms={}",
+            "event=summary machines={} up={up} jobs={} awaiting_dependencies={} assigned={assigned} \
+             waiting={waiting} rentals={} unsaved={} starts={} sent_ms={} seen_ms={} ran_ms={}",
             self.machines.len(),
             self.jobs.len(),
             blocked.len(),
