--- a/crates/control/src/leader/consolidation.rs
+++ b/crates/control/src/leader/consolidation.rs
@@ -1,4 +1,4 @@
-//! Consolidation: where cost counts, machines with few tasks are drained, so that they can be returned.
+//! Consolidation: where cost is to be minimized, machines with few tasks are drained so that they can be returned.
 //!
 //! | module | subject |
 //! | --- | --- |
@@ -6,7 +6,7 @@
 
 mod demand;
 
-pub(super) use demand::WantedMachines;
+pub(super) use demand::MachineDemand;
 
 use super::model::Job;
 use super::planning::SchedulingSnapshot;
@@ -16,34 +16,34 @@
 use sched::{ClusterSnapshot, JobSnapshot, Resources, RunningTask};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Why a machine is drained whose tasks fit elsewhere.
+/// Reason for draining or returning a machine whose tasks fit on other machines.
 pub(super) const CONSOLIDATED: &str = "consolidated";
 
-/// Share of its GPUs that must be free on a machine for it to be drained.
-const LEAST_FREE_GPU_SHARE: f64 = 0.5;
-/// Share of its CPUs that must be free.
-const LEAST_FREE_CPU_SHARE: f64 = 0.4;
+/// Share of a machine's GPUs that must be free for the machine to be drained.
+const MIN_FREE_GPU_SHARE: f64 = 0.5;
+/// Share of a machine's CPUs that must be free for the machine to be drained.
+const MIN_FREE_CPU_SHARE: f64 = 0.4;
 
-/// Free capacity on a machine that tasks may be moved to.
+/// Capacity of a machine that tasks may be moved to: what is free, or what has been reserved.
 struct Target {
     machine: usize,
     free: Resources,
 }
 
-/// The choice of machines to drain.
+/// Selects the machines to drain.
 struct Consolidation<'a> {
     view: &'a ClusterSnapshot,
     tasks_by_machine: Vec<Vec<&'a RunningTask>>,
-    /// The fullest first: what is moved fills up what stays.
+    /// Sorted by free GPUs, fewest first, so that moved tasks fill up the machines that stay.
     targets: Vec<Target>,
-    /// Machines that are to take tasks of chosen ones, and so are not drained themselves.
+    /// Machines that are to receive tasks of chosen machines, and so must not be drained themselves.
     receiving: BTreeSet<usize>,
     chosen: Vec<usize>,
 }
 
 impl Leader {
-    /// Where cost counts, drains on-demand machines whose few tasks fit on others, so that they can be returned: a
-    /// small part of the fleet at a time, and only while nothing waits.
+    /// Where cost is to be minimized, drains on-demand machines whose few tasks fit on other machines, so that they can
+    /// be returned. Drains a small part of the fleet at a time, and only while no task waits.
     pub(super) fn consolidate(&mut self, effects: &mut Effects) {
         let now = effects.now;
         if !self.settings.minimizes_cost() || now.mono < self.next_consolidation {
@@ -57,18 +57,18 @@
         let draining = machines
             .filter(|m| m.draining == Some(CONSOLIDATED) && !m.returning)
             .count();
-        let most = 1 + view.machines.len() / CONSOLIDATE_PART;
-        if is_waiting || draining >= most {
+        let max_draining = 1 + view.machines.len() / CONSOLIDATE_PART;
+        if is_waiting || draining >= max_draining {
             return;
         }
         let mut consolidation = Consolidation::new(view);
-        consolidation.choose(most - draining, &snapshot, &self.jobs);
+        consolidation.choose(max_draining - draining, &snapshot, &self.jobs);
         for machine in consolidation.chosen {
-            self.drain_consolidated(&snapshot.machines[machine]);
+            self.drain_for_consolidation(&snapshot.machines[machine]);
         }
     }
 
-    fn drain_consolidated(&mut self, name: &str) {
+    fn drain_for_consolidation(&mut self, name: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
             log::info!(
                 "event=consolidate kind={} tasks={}",
@@ -97,7 +97,7 @@
         consolidation
     }
 
-    /// Machines that tasks may be moved to: spot instances, and on-demand machines that have tasks already.
+    /// Machines that tasks may be moved to: spot instances, and on-demand machines that already have tasks.
     fn targets(&self) -> Vec<Target> {
         let may_receive = |&machine: &usize| {
             let host = &self.view.machines[machine];
@@ -116,19 +116,24 @@
         targets
     }
 
-    /// Chooses at most so many machines whose tasks all fit elsewhere.
-    fn choose(&mut self, most: usize, snapshot: &SchedulingSnapshot, jobs: &BTreeMap<String, Job>) {
+    /// Chooses at most `max_chosen` machines whose tasks all fit on other machines.
+    fn choose(
+        &mut self,
+        max_chosen: usize,
+        snapshot: &SchedulingSnapshot,
+        jobs: &BTreeMap<String, Job>,
+    ) {
         for machine in self.candidates(snapshot, jobs) {
-            if self.chosen.len() >= most {
+            if self.chosen.len() >= max_chosen {
                 break;
             }
-            if !self.receiving.contains(&machine) && self.move_tasks(machine) {
+            if !self.receiving.contains(&machine) && self.reserve_targets(machine) {
                 self.chosen.push(machine);
             }
         }
     }
 
-    /// Machines that could be drained, the emptiest first.
+    /// Machines that could be drained, sorted by free GPUs, most first.
     fn candidates(
         &self,
         snapshot: &SchedulingSnapshot,
@@ -136,8 +141,9 @@
     ) -> Vec<usize> {
         let is_movable = |task: &&RunningTask| {
             let job = jobs.get(&snapshot.jobs[task.job]);
-            let saves = job.is_some_and(|job| !job.is_gang() && job.spec.checkpoint_s > 0.0);
-            task.preemptible && saves
+            let saves_checkpoints =
+                job.is_some_and(|job| !job.is_gang() && job.spec.checkpoint_s > 0.0);
+            task.preemptible && saves_checkpoints
         };
         let all_movable = |machine: usize| self.tasks_by_machine[machine].iter().all(is_movable);
         let machines = 0..self.view.machines.len();
@@ -151,25 +157,26 @@
         candidates
     }
 
-    /// Whether a machine is on-demand and has few tasks that run on for long enough.
+    /// Whether a machine is on-demand, has few tasks, and stays busy for long enough that draining it saves cost.
     fn is_worth_draining(&self, machine: usize) -> bool {
         let host = &self.view.machines[machine];
         host.usable
             && !host.spot
             && !self.tasks_by_machine[machine].is_empty()
-            && host.free.gpus >= host.total.gpus * LEAST_FREE_GPU_SHARE
-            && host.free.cpus >= host.total.cpus * LEAST_FREE_CPU_SHARE
+            && host.free.gpus >= host.total.gpus * MIN_FREE_GPU_SHARE
+            && host.free.cpus >= host.total.cpus * MIN_FREE_CPU_SHARE
             && host.busy_s >= CONSOLIDATE_LEFT_S
     }
 
-    /// Takes up capacity on other machines for all tasks of a machine; false, with nothing taken up, if some don't fit.
-    fn move_tasks(&mut self, from: usize) -> bool {
-        let mut moved: Vec<Target> = Vec::new();
+    /// Reserves capacity on other machines for all tasks of a machine. Returns false and reserves nothing if some task
+    /// doesn't fit or its job is constrained to certain machines.
+    fn reserve_targets(&mut self, from: usize) -> bool {
+        let mut reserved: Vec<Target> = Vec::new();
         let tasks = std::mem::take(&mut self.tasks_by_machine[from]);
         let all_fit = tasks.iter().all(|task| {
-            let target = self.take_target(from, &task.resources);
+            let target = self.reserve_target(from, &task.resources);
             let found = target.is_some();
-            moved.extend(target.map(|machine| Target {
+            reserved.extend(target.map(|machine| Target {
                 machine,
                 free: task.resources,
             }));
@@ -177,16 +184,16 @@
         });
         self.tasks_by_machine[from] = tasks;
         if all_fit {
-            let machines = moved.iter().map(|target| target.machine);
+            let machines = reserved.iter().map(|target| target.machine);
             self.receiving.extend(machines);
         } else {
-            self.release(moved);
+            self.release_reserved(reserved);
         }
         all_fit
     }
 
-    /// Takes up capacity on the first machine where a task fits, and returns the machine.
-    fn take_target(&mut self, from: usize, task: &Resources) -> Option<usize> {
+    /// Reserves capacity on the first machine where a task fits, and returns the machine.
+    fn reserve_target(&mut self, from: usize, task: &Resources) -> Option<usize> {
         let chosen = &self.chosen;
         let fits = |target: &&mut Target| {
             target.machine != from && !chosen.contains(&target.machine) && target.free.can_fit(task)
@@ -196,18 +203,18 @@
         Some(target.machine)
     }
 
-    /// Frees capacity that was taken up in vain.
-    fn release(&mut self, moved: Vec<Target>) {
-        for taken in moved {
+    /// Releases capacity that was reserved for a machine that can't be drained.
+    fn release_reserved(&mut self, reserved: Vec<Target>) {
+        for reservation in reserved {
             let mut targets = self.targets.iter_mut();
-            if let Some(target) = targets.find(|target| target.machine == taken.machine) {
-                target.free.add(&taken.free);
+            if let Some(target) = targets.find(|target| target.machine == reservation.machine) {
+                target.free.add(&reservation.free);
             }
         }
     }
 }
 
-/// Whether tasks of a job may go to any machine with room.
+/// Whether tasks of a job may be placed on any machine with enough free capacity.
 fn is_unconstrained(job: &JobSnapshot) -> bool {
     job.spot && job.zone.is_none() && !job.one_zone && job.max_per_zone.is_none()
 }
--- a/crates/control/src/leader/consolidation/demand.rs
+++ b/crates/control/src/leader/consolidation/demand.rs
@@ -1,4 +1,4 @@
-//! Machines that must stay because waiting work could use them.
+//! Machines that are kept because waiting tasks could use them.
 
 use crate::effects::Now;
 use crate::leader::model::{Job, Machine};
@@ -8,44 +8,46 @@
 use std::collections::HashMap;
 use wire::cloud::MachineType;
 
-/// Machines of one type, zone and kind that waiting work could use.
-pub(in crate::leader) struct WantedMachines {
+/// How many machines of one offer (type, zone, spot or on-demand) the waiting tasks could use.
+pub(in crate::leader) struct MachineDemand {
     kind: String,
     zone: String,
     spot: bool,
-    /// How many of them all that work fills.
+    /// Machines that all these tasks together would fill, less those claimed.
     count: usize,
 }
 
-impl WantedMachines {
-    /// Whether the machine is one of these. Each is counted once: a few waiting tasks are no reason to keep all the
-    /// machines they could use.
-    pub fn take(&mut self, machine: &Machine) -> bool {
-        let is_same =
+impl MachineDemand {
+    /// Counts a machine towards this demand if it is of this offer and the demand is not met yet; returns whether it
+    /// was counted. Without the count, a few waiting tasks would keep all the machines that they could use.
+    pub fn claim(&mut self, machine: &Machine) -> bool {
+        let matches_offer =
             self.kind == machine.kind && self.zone == machine.zone && self.spot == machine.spot;
-        let takes = is_same && self.count > 0;
-        self.count -= usize::from(takes);
-        takes
+        let is_claimed = matches_offer && self.count > 0;
+        self.count -= usize::from(is_claimed);
+        is_claimed
     }
 }
 
 impl Leader {
-    /// What waits for machines, so that none is returned that the next round may need: the machines of a large gang
-    /// come up one by one, and the first would otherwise be gone before the last is there.
-    pub(in crate::leader) fn wanted_machines(&self, now: Now) -> Vec<WantedMachines> {
+    /// The demand of waiting tasks for machines, so that no machine is returned that the next planning round may need.
+    /// The machines of a large gang come up one by one; without this, the first would be returned before the last is
+    /// up.
+    pub(in crate::leader) fn machine_demand(&self, now: Now) -> Vec<MachineDemand> {
         let usage = self.usage_by_team();
-        let waits = |job: &&Job| is_waiting(job, now) && !self.exceeds_limit(job, &usage);
-        let jobs: Vec<&Job> = self.jobs.values().filter(waits).collect();
-        let mut wanted = Vec::new();
+        let is_candidate =
+            |job: &&Job| is_waiting(job, now) && !self.exceeds_team_limit(job, &usage);
+        let jobs: Vec<&Job> = self.jobs.values().filter(is_candidate).collect();
+        let mut demand = Vec::new();
         for machine_type in self.types.desired.iter().flatten() {
             for zone in &machine_type.zones {
                 for spot in [false, true] {
                     let suitable = jobs
                         .iter()
-                        .filter(|job| may_use(job, machine_type, zone, spot));
-                    let count = suitable.map(|job| machines_for(job, machine_type)).sum();
+                        .filter(|job| can_use(job, machine_type, zone, spot));
+                    let count = suitable.map(|job| machines_needed(job, machine_type)).sum();
                     if count > 0 {
-                        wanted.push(WantedMachines {
+                        demand.push(MachineDemand {
                             kind: machine_type.name.clone(),
                             zone: zone.clone(),
                             spot,
@@ -55,10 +57,10 @@
                 }
             }
         }
-        wanted
+        demand
     }
 
-    /// Resources of assigned tasks, by team.
+    /// Resources of the assigned tasks of each team.
     fn usage_by_team(&self) -> HashMap<&str, Resources> {
         let mut usage: HashMap<&str, Resources> = HashMap::new();
         for job in self.jobs.values() {
@@ -68,8 +70,8 @@
         usage
     }
 
-    /// Whether the next task of a job, or the whole gang, exceeds the limit of its team.
-    fn exceeds_limit(&self, job: &Job, usage: &HashMap<&str, Resources>) -> bool {
+    /// Whether the next task of a job, or all tasks of a gang, would exceed the limit of its team.
+    fn exceeds_team_limit(&self, job: &Job, usage: &HashMap<&str, Resources>) -> bool {
         let mut teams = self.settings.deployment.teams.iter();
         let Some(team) = teams.find(|team| team.name == job.spec.team) else {
             return false;
@@ -80,14 +82,14 @@
             true => job.spec.tasks as f64,
             false => 1.0,
         };
-        // A limit of 0 is none.
+        // 0 means no limit.
         let exceeds = |limit: f64, used: f64, task: f64| limit > 0.0 && used + task * tasks > limit;
         exceeds(team.cpus_max, used.cpus, job.spec.cpus)
             || exceeds(team.gpus_max, used.gpus, job.spec.gpus)
     }
 }
 
-/// Whether a job has tasks that wait for a machine, and none that have failed.
+/// Whether a job has tasks that wait for a machine, and neither failures in a row nor a backoff.
 fn is_waiting(job: &Job, now: Now) -> bool {
     !job.aborted
         && !job.awaits_dependencies()
@@ -96,8 +98,8 @@
         && !job.is_backed_off(now.unix)
 }
 
-/// Whether a task of the job fits on an empty machine of the type, and may go there.
-fn may_use(job: &Job, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
+/// Whether a task of the job fits on an empty machine of the type and may be placed there.
+fn can_use(job: &Job, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
     let spec = &job.spec;
     (spec.spot || !spot)
         && spec.zone.as_ref().is_none_or(|only| only == zone)
@@ -110,8 +112,8 @@
         && spec.mem_gb <= machine_type.mem_gb
 }
 
-/// How many empty machines of the type the waiting tasks of a job fill.
-fn machines_for(job: &Job, machine_type: &MachineType) -> usize {
+/// How many empty machines of the type the waiting tasks of a job need.
+fn machines_needed(job: &Job, machine_type: &MachineType) -> usize {
     let waiting = (job.spec.tasks - job.done) as u32 - job.assigned;
     let per_machine = type_resources(machine_type).capacity_for(&job.task_resources(), waiting);
     waiting.div_ceil(per_machine.max(1)) as usize
--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -1,15 +1,15 @@
 //! The fleet: which machines are rented, which are returned, and what they cost.
 //!
-//! Every rental is recorded before it is requested, so that a next leader knows of it. A return has no record: sent
-//! twice it changes nothing.
+//! Every rental is recorded before it is requested, so that the next leader knows of it. A return needs no record
+//! because it is idempotent.
 //!
 //! | module | subject |
 //! | --- | --- |
-//! | `costs` | accounting of what machines cost, by what they did |
+//! | `costs` | accounting of the cost of machines, by what they were used for |
 //! | `listing` | reconciliation with the cloud's list of machines |
-//! | `returns` | scale in: machines to return |
-//! | `renting` | scale out: rental requests |
-//! | `replies` | replies of the cloud |
+//! | `returns` | scale-in: machines to return |
+//! | `renting` | scale-out: rental requests |
+//! | `replies` | replies from the cloud |
 
 mod costs;
 mod listing;
@@ -25,22 +25,22 @@
 use constants::{CLOUD_TYPES_S, REMOVED_MACHINE_RETENTION_MS, SILENT_EXTRA_MS};
 
 /// Milliseconds between two summaries in the log.
-const SUMMARY_EVERY_MS: u64 = 15_000;
+const SUMMARY_INTERVAL_MS: u64 = 15_000;
 
-/// Milliseconds, for each second that the cloud's list may lag, for which a machine that is gone is remembered besides
-/// [`REMOVED_MACHINE_RETENTION_MS`]: four lags, so that late listings don't bring it back.
-const DEPARTED_MS_PER_LAG_S: f64 = 4_000.0;
+/// Milliseconds, per second of the list's maximum lag, for which a removed machine is remembered in addition to
+/// [`REMOVED_MACHINE_RETENTION_MS`]. This is four times the lag, so that a late listing doesn't add the machine again.
+const DEPARTED_RETENTION_MS_PER_LAG_S: f64 = 4_000.0;
 
-/// Milliseconds without a report, for each second between reports, after which a machine is silent: two and a half
-/// reports.
-const SILENT_MS_PER_REPORT_S: f64 = 2_500.0;
+/// Milliseconds without a heartbeat, per second of the heartbeat interval, after which a machine is silent: two and a
+/// half intervals.
+const HEARTBEAT_TIMEOUT_MS_PER_REPORT_S: f64 = 2_500.0;
 
 impl Leader {
-    /// Periodic work on the fleet.
+    /// Runs the periodic maintenance of the fleet.
     pub(super) fn maintain_fleet(&mut self, effects: &mut Effects) {
         let now = effects.now;
         self.account_costs(now);
-        self.request_types(effects);
+        self.request_machine_types(effects);
         self.request_listing(effects);
         self.consolidate(effects);
         self.return_machines(effects);
@@ -48,20 +48,20 @@
         self.rent_machines(effects);
         self.expire_departed(now);
         if now.mono >= self.next_summary {
-            self.next_summary = now.mono + SUMMARY_EVERY_MS;
+            self.next_summary = now.mono + SUMMARY_INTERVAL_MS;
             self.log_costs();
             self.log_summary();
             self.start_latencies = StartLatencies::default();
         }
     }
 
-    /// Milliseconds without a report after which a machine is silent.
-    pub(super) fn silent_ms(&self) -> u64 {
+    /// Milliseconds without a heartbeat after which a machine is silent.
+    pub(super) fn heartbeat_timeout_ms(&self) -> u64 {
         let report_s = self.settings.deployment.workers.report_s;
-        (report_s * SILENT_MS_PER_REPORT_S) as u64 + SILENT_EXTRA_MS
+        (report_s * HEARTBEAT_TIMEOUT_MS_PER_REPORT_S) as u64 + SILENT_EXTRA_MS
     }
 
-    fn request_types(&mut self, effects: &mut Effects) {
+    fn request_machine_types(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
         if now >= self.next_types {
             self.next_types = now + (CLOUD_TYPES_S * 1000.0) as u64;
@@ -69,13 +69,13 @@
         }
     }
 
-    /// Drops machines that have been gone for so long that nothing late can speak of them.
+    /// Forgets machines that were removed so long ago that no delayed heartbeat or listing can still name them.
     fn expire_departed(&mut self, now: Now) {
         let list_lag_s = self.settings.deployment.cloud.list_lag_s;
-        let remembered_ms =
-            (list_lag_s * DEPARTED_MS_PER_LAG_S) as u64 + REMOVED_MACHINE_RETENTION_MS;
+        let retention_ms =
+            (list_lag_s * DEPARTED_RETENTION_MS_PER_LAG_S) as u64 + REMOVED_MACHINE_RETENTION_MS;
         self.departed
-            .retain(|_, removed_at| now.mono < *removed_at + remembered_ms);
+            .retain(|_, removed_at| now.mono < *removed_at + retention_ms);
     }
 
     fn log_summary(&self) {
--- a/crates/control/src/leader/fleet/costs.rs
+++ b/crates/control/src/leader/fleet/costs.rs
@@ -1,4 +1,4 @@
-//! Accounting of what machines cost, by what their GPUs did, or their CPUs where they have no GPUs.
+//! Accounting of the cost of machines, by what their GPUs were used for, or their CPUs if they have no GPUs.
 
 use crate::effects::Now;
 use crate::leader::model::{Job, Machine};
@@ -8,11 +8,11 @@
 use wire::cloud::MachineType;
 use wire::workers::TaskPhase;
 
-/// Milliseconds of an hour, for which prices are given.
+/// Milliseconds in an hour, the unit of time of prices.
 const MS_PER_HOUR: f64 = 3_600_000.0;
 
-/// CPUs of a machine type at least, so that a type that names none can be divided by.
-const LEAST_CPUS: f64 = 1e-9;
+/// Lower bound of a machine type's CPUs, which prevents a division by zero for a type without CPUs.
+const MIN_CPUS: f64 = 1e-9;
 
 /// Cost of all machines in this leader's term, in the currency of the cloud's prices.
 #[derive(Debug, Clone, Copy, Default)]
@@ -23,18 +23,18 @@
     idle: f64,
     /// Unassigned share of machines with tasks.
     unused: f64,
-    /// Tasks that do not run yet.
+    /// Tasks that are not running yet.
     starting: f64,
     /// Tasks that save a checkpoint or have ended.
     stopping: f64,
-    /// Tasks that run.
+    /// Tasks that are running.
     running: f64,
-    /// Up to when costs are counted, by the steady clock.
-    at: u64,
+    /// Time up to which costs are accounted for, in milliseconds of the monotonic clock.
+    accounted_until: u64,
 }
 
 impl CostAccount {
-    /// Adds what a machine cost.
+    /// Adds the cost of a machine to the categories that it was used for.
     fn add(
         &mut self,
         machine: &Machine,
@@ -57,14 +57,14 @@
             };
             let share = task_share(job, machine_type);
             let phase = job.assignment(*task).and_then(|a| a.phase);
-            *self.part(phase) += cost * share;
+            *self.category_mut(phase) += cost * share;
             unassigned -= share;
         }
         self.unused += cost * unassigned.max(0.0);
     }
 
-    /// The part that tasks in this phase count towards.
-    fn part(&mut self, phase: Option<TaskPhase>) -> &mut f64 {
+    /// The category of tasks in this phase.
+    fn category_mut(&mut self, phase: Option<TaskPhase>) -> &mut f64 {
         match phase {
             Some(TaskPhase::Running) => &mut self.running,
             Some(TaskPhase::Saving | TaskPhase::Ended) => &mut self.stopping,
@@ -78,21 +78,24 @@
     if machine_type.gpus > 0.0 {
         job.spec.gpus / machine_type.gpus
     } else {
-        job.spec.cpus / machine_type.cpus.max(LEAST_CPUS)
+        job.spec.cpus / machine_type.cpus.max(MIN_CPUS)
     }
 }
 
 impl Leader {
-    /// Accounts for the time since the last call that did.
+    /// Adds the costs of the time since they were last accounted for, once that is due.
     pub(super) fn account_costs(&mut self, now: Now) {
         if now.mono < self.next_account {
             return;
         }
         self.next_account = now.mono + ACCOUNT_MS;
-        // After a standstill only a bounded time counts.
-        let elapsed_ms = now.mono.saturating_sub(self.costs.at).min(2 * ACCOUNT_MS);
+        // After a stall of the process only a bounded time is accounted for.
+        let elapsed_ms = now
+            .mono
+            .saturating_sub(self.costs.accounted_until)
+            .min(2 * ACCOUNT_MS);
         let hours = elapsed_ms as f64 / MS_PER_HOUR;
-        self.costs.at = now.mono;
+        self.costs.accounted_until = now.mono;
         let types = self.types.desired.iter().flatten();
         let types: HashMap<&str, &MachineType> = types.map(|t| (t.name.as_str(), t)).collect();
         for machine in self.machines.values() {
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Logs what machines have cost in this term.
+    /// Logs the cost of machines in this term.
     pub(super) fn log_costs(&self) {
         let costs = &self.costs;
         log::info!(
--- a/crates/control/src/leader/fleet/listing.rs
+++ b/crates/control/src/leader/fleet/listing.rs
@@ -7,10 +7,10 @@
 use constants::{CLOUD_LIST_S, CLOUD_LIST_SHARE, LIST_MAX};
 use wire::cloud::{ListedMachine, MachineList, MachinePhase};
 
-/// Milliseconds, for each second that the cloud's list may lag, after which a machine must be listed: two lags.
-const LISTED_MS_PER_LAG_S: f64 = 2_000.0;
-/// Milliseconds added to that, for the request and its reply.
-const LISTED_EXTRA_MS: u64 = 1_000;
+/// Milliseconds, per second of the list's maximum lag, after which a machine must be listed: twice the lag.
+const LISTING_DUE_MS_PER_LAG_S: f64 = 2_000.0;
+/// Milliseconds added to that time for the request and its reply.
+const LISTING_DUE_EXTRA_MS: u64 = 1_000;
 
 impl Leader {
     /// Requests the first page of the list when it is due and no listing is in progress.
@@ -28,16 +28,21 @@
         self.send_cloud_request(op, CloudRequest::List { asked: now }, effects);
     }
 
-    /// Seconds between two listings. Pages are estimated by the machines known, so that the lists of a large fleet
-    /// leave room for other calls.
+    /// Seconds between two listings. The number of pages is estimated from the number of known machines, so that
+    /// listing a large fleet leaves part of the call rate for other requests.
     fn listing_interval_s(&self) -> f64 {
         let pages = 1.0 + (self.machines.len() / LIST_MAX) as f64;
         let calls_per_s = self.settings.deployment.cloud.rps;
         CLOUD_LIST_S.max(pages / calls_per_s / CLOUD_LIST_SHARE)
     }
 
-    /// Takes in a page of the list that was begun at `asked`, and requests the next page if there is one.
-    pub(super) fn on_list_page(&mut self, asked: u64, page: MachineList, effects: &mut Effects) {
+    /// Handles a page of the listing that began at `requested_at`, and requests the next page if there is one.
+    pub(super) fn on_list_page(
+        &mut self,
+        requested_at: u64,
+        page: MachineList,
+        effects: &mut Effects,
+    ) {
         let last = page.machines.last().map(|machine| machine.id.clone());
         for machine in page.machines {
             self.on_listed(machine, effects.now);
@@ -45,9 +50,15 @@
         match (page.more, last) {
             (true, Some(from)) => {
                 let op = CloudOp::List { from };
-                self.send_cloud_request(op, CloudRequest::List { asked }, effects);
+                self.send_cloud_request(
+                    op,
+                    CloudRequest::List {
+                        asked: requested_at,
+                    },
+                    effects,
+                );
             }
-            _ => self.list_complete(asked),
+            _ => self.on_listing_complete(requested_at),
         }
     }
 
@@ -75,19 +86,20 @@
         }
     }
 
-    /// Counts a missed listing of each machine that must be listed by now and is not: the cloud has taken it away.
-    fn list_complete(&mut self, asked: u64) {
+    /// Ends a listing. Counts a missed listing for each machine that must be listed by now and is not, which means that
+    /// the cloud has removed the machine.
+    fn on_listing_complete(&mut self, requested_at: u64) {
         self.listing_since = None;
         self.listed_once = true;
-        if asked < self.last_listing_at {
+        if requested_at < self.last_listing_at {
             return;
         }
-        self.last_listing_at = asked;
+        self.last_listing_at = requested_at;
         let list_lag_s = self.settings.deployment.cloud.list_lag_s;
-        let listed_ms = (list_lag_s * LISTED_MS_PER_LAG_S) as u64 + LISTED_EXTRA_MS;
+        let listing_due_ms = (list_lag_s * LISTING_DUE_MS_PER_LAG_S) as u64 + LISTING_DUE_EXTRA_MS;
         for (name, machine) in &mut self.machines {
-            let due = machine.listed || asked > machine.known_since + listed_ms;
-            if due && !self.listed_machines.contains(name) {
+            let is_due = machine.listed || requested_at > machine.known_since + listing_due_ms;
+            if is_due && !self.listed_machines.contains(name) {
                 machine.missed_listings += 1;
             }
         }
--- a/crates/control/src/leader/fleet/renting.rs
+++ b/crates/control/src/leader/fleet/renting.rs
@@ -1,4 +1,4 @@
-//! Scale out: rental requests for what the waiting work needs.
+//! Scale-out: rental requests for the machines that waiting tasks need.
 
 use crate::effects::{Effects, Now};
 use crate::leader::model::{Machine, RecordCell};
@@ -11,29 +11,31 @@
 use wire::cloud::{MachineType, Rent};
 use wire::records::RentalRecord;
 
-/// Milliseconds, for each second that the cloud's list may lag, after which rented machines are certainly listed: two
-/// and a half lags.
-const SHOWN_MS_PER_LAG_S: f64 = 2_500.0;
-/// Milliseconds added to that, for the request and its reply.
-const SHOWN_EXTRA_MS: u64 = 2_000;
+/// Milliseconds, per second of the list's maximum lag, after which rented machines are certainly listed: two and a half
+/// times the lag.
+const LISTING_VISIBLE_MS_PER_LAG_S: f64 = 2_500.0;
+/// Milliseconds added to that time for the request and its reply.
+const LISTING_VISIBLE_EXTRA_MS: u64 = 2_000;
 
-/// What the cloud offers.
+/// The offers of the cloud, as the planner sees them and by their keys.
 struct Offers {
     offers: Vec<Offer>,
-    /// Type, zone and kind of each offer.
+    /// Key of each offer, at the same index as in `offers`.
     keys: Vec<OfferKey>,
 }
 
 impl Offers {
-    fn number(&self, key: &OfferKey) -> Option<usize> {
+    /// The index of the offer with a key.
+    fn index_of(&self, key: &OfferKey) -> Option<usize> {
         self.keys.iter().position(|known| known == key)
     }
 }
 
-/// Machines that are on their way, by offer.
+/// Machines that are expected to be up soon, by the index of their offer.
 struct ExpectedMachines {
+    /// Number of such machines.
     counts: Vec<u32>,
-    /// Whether a rental request is under way.
+    /// Whether a rental request has not been answered yet.
     requested: Vec<bool>,
 }
 
@@ -42,21 +44,21 @@
 }
 
 impl Leader {
-    /// Requests a rental from the cloud once its record is saved, unless the request is under way or answered.
-    pub(in crate::leader) fn send_rental(&mut self, name: &str, effects: &mut Effects) {
+    /// Sends a rental request to the cloud once its record is saved, unless it is in flight, answered or backed off.
+    pub(in crate::leader) fn send_rental_request(&mut self, name: &str, effects: &mut Effects) {
         let Some(rental) = self.rentals.get_mut(name) else {
             return;
         };
         let Some(record) = rental.record.saved.clone() else {
             return;
         };
-        if rental.sent || rental.granted_at.is_some() {
+        if rental.request_in_flight || rental.answered_at.is_some() {
             return;
         }
         if rental.record.is_unsaved() || effects.now.mono < rental.retry_at {
             return;
         }
-        rental.sent = true;
+        rental.request_in_flight = true;
         let rent = Rent {
             request: name.to_string(),
             kind: record.kind,
@@ -68,24 +70,27 @@
         self.send_cloud_request(CloudOp::Rent(rent), request, effects);
     }
 
-    /// Deletes the records of rentals whose machines are listed, and sends what is to be sent again.
+    /// Deletes the records of rentals whose machines are listed, and sends the rental requests that are due.
     pub(super) fn maintain_rentals(&mut self, effects: &mut Effects) {
         self.delete_listed_rentals(effects.now);
         let names: Vec<String> = self.rentals.keys().cloned().collect();
         for name in names {
-            self.send_rental(&name, effects);
+            self.send_rental_request(&name, effects);
         }
     }
 
-    /// Deletes the record of a rental once the list certainly shows its machines. Until then a next leader requests it
-    /// again by its name.
+    /// Deletes the records of rentals whose machines the list certainly shows by now. As long as a record exists, the
+    /// next leader sends the request again under the same name.
     fn delete_listed_rentals(&mut self, now: Now) {
         let list_lag_s = self.settings.deployment.cloud.list_lag_s;
-        let shown_ms = (list_lag_s * SHOWN_MS_PER_LAG_S) as u64 + SHOWN_EXTRA_MS;
+        let visible_ms =
+            (list_lag_s * LISTING_VISIBLE_MS_PER_LAG_S) as u64 + LISTING_VISIBLE_EXTRA_MS;
         let mut listed = Vec::new();
         for (name, rental) in &mut self.rentals {
-            let is_shown = rental.granted_at.is_some_and(|at| now.mono > at + shown_ms);
-            if is_shown && rental.record.desired.is_some() {
+            let is_listed = rental
+                .answered_at
+                .is_some_and(|at| now.mono > at + visible_ms);
+            if is_listed && rental.record.desired.is_some() {
                 rental.record.desired = None;
                 listed.push(name.clone());
             }
@@ -95,13 +100,14 @@
         }
     }
 
-    /// Decides on new rentals, and queues their records.
+    /// Plans new rentals and queues the writes of their records.
     pub(super) fn rent_machines(&mut self, effects: &mut Effects) {
         let now = effects.now;
         let Some(types) = self.types.desired.clone() else {
             return;
         };
-        // A new leader first reads the list, which may still hide what was rented before it.
+        // A new leader reads the list before it rents. Machines rented before its term may still be missing from
+        // the list.
         if !self.listed_once || now.mono < self.next_rent {
             return;
         }
@@ -121,7 +127,7 @@
         self.create_rentals(requests, &offers.keys, now);
     }
 
-    /// Every type in every zone, spot or not.
+    /// The offers for every machine type in every zone, each as spot and on-demand.
     fn offers(&self, types: &[MachineType], snapshot: &mut SchedulingSnapshot, now: Now) -> Offers {
         let (mut offers, mut keys) = (Vec::new(), Vec::new());
         for machine_type in types {
@@ -138,7 +144,7 @@
                             true => machine_type.spot_price,
                             false => machine_type.price,
                         },
-                        open: backoff.is_none_or(|backoff| now.mono >= backoff.until),
+                        open: backoff.is_none_or(|backoff| now.mono >= backoff.retry_at),
                     });
                     keys.push(key);
                 }
@@ -147,16 +153,17 @@
         Offers { offers, keys }
     }
 
-    /// Machines that are booting, or away and expected back, and those of rentals that are not answered yet.
+    /// Counts machines that are booting, silent machines that are expected to report again, and the machines of rental
+    /// requests that are not answered yet.
     fn expected_machines(&self, offers: &Offers, now: Now) -> ExpectedMachines {
         let mut counts = vec![0; offers.keys.len()];
         let mut requested = vec![false; offers.keys.len()];
-        let silent_ms = self.silent_ms();
+        let heartbeat_timeout_ms = self.heartbeat_timeout_ms();
         for machine in self.machines.values() {
-            if is_expected(machine, silent_ms, now.mono) {
+            if is_expected(machine, heartbeat_timeout_ms, now.mono) {
                 let key = OfferKey::new(&machine.kind, &machine.zone, machine.spot);
-                if let Some(number) = offers.number(&key) {
-                    counts[number] += 1;
+                if let Some(index) = offers.index_of(&key) {
+                    counts[index] += 1;
                 }
             }
         }
@@ -165,32 +172,33 @@
             let Some(record) = record.desired.as_ref().or(record.saved.as_ref()) else {
                 continue;
             };
-            if let Some(number) = offers.number(&rental_offer(record)) {
-                counts[number] += record.count;
-                requested[number] = true;
+            if let Some(index) = offers.index_of(&rental_offer(record)) {
+                counts[index] += record.count;
+                requested[index] = true;
             }
         }
         ExpectedMachines { counts, requested }
     }
 
     fn unanswered_rentals(&self) -> impl Iterator<Item = &Rental> {
-        self.rentals.values().filter(|r| r.granted_at.is_none())
+        self.rentals.values().filter(|r| r.answered_at.is_none())
     }
 
-    /// Creates rentals, as many as may be under way at a time. Of a request beyond what one rental may ask for, one
-    /// rental goes out until the offer has been filled in full once.
+    /// Creates rentals up to the number that may be in flight at a time. A request for more machines than one rental
+    /// may have is split into several rentals only if the last rental of this offer was filled in full; otherwise only
+    /// one rental is created for it.
     fn create_rentals(
         &mut self,
         mut requests: VecDeque<RentRequest>,
         offers: &[OfferKey],
         now: Now,
     ) {
-        let mut under_way = self.unanswered_rentals().count();
+        let mut in_flight = self.unanswered_rentals().count();
         while let Some(mut request) = requests.pop_front() {
-            if under_way >= RENTALS_OPEN {
+            if in_flight >= RENTALS_OPEN {
                 break;
             }
-            under_way += 1;
+            in_flight += 1;
             let offer = &offers[request.offer];
             let count = request.count.min(RENT_MAX);
             request.count -= count;
@@ -208,7 +216,7 @@
             spot,
         } = offer.clone();
         self.next_request += 1;
-        // The term makes the name unique among all leaders there ever were.
+        // The term makes the name unique across all leaders.
         let name = format!("t{}-{}", self.term, self.next_request);
         log::info!("event=rent request={name} kind={kind} zone={zone} spot={spot} count={count}");
         let mut record = RecordCell::new(None, 0);
@@ -220,24 +228,24 @@
         });
         let rental = Rental {
             record,
-            sent: false,
+            request_in_flight: false,
             retry_at: 0,
-            since: now.mono,
-            granted_at: None,
+            known_since: now.mono,
+            answered_at: None,
         };
         self.rentals.insert(name.clone(), rental);
         self.queue_write(RecordId::Rental(name));
     }
 }
 
-/// Whether a machine without tasks is to be up soon. One that has fallen silent is most likely cut off or hangs: it is
-/// back before a new one would be up.
-fn is_expected(machine: &Machine, silent_ms: u64, now: u64) -> bool {
-    let booting = machine.expected && !machine.is_reconciled;
-    let away = machine.is_reconciled
+/// Whether a machine without tasks is expected to be up soon: it is booting, or was up and is silent. A silent machine
+/// is most likely cut off from the network or hangs, and recovers before a new machine would be up.
+fn is_expected(machine: &Machine, heartbeat_timeout_ms: u64, now: u64) -> bool {
+    let is_booting = machine.expected && !machine.is_reconciled;
+    let is_silent = machine.is_reconciled
         && machine.assignments.is_empty()
         && machine
             .last_heartbeat
-            .is_some_and(|at| now > at + silent_ms);
-    machine.known && (booting || away) && !machine.failed && !machine.returning
+            .is_some_and(|at| now > at + heartbeat_timeout_ms);
+    machine.known && (is_booting || is_silent) && !machine.failed && !machine.returning
 }
--- a/crates/control/src/leader/fleet/replies.rs
+++ b/crates/control/src/leader/fleet/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the cloud.
+//! Handling of replies from the cloud.
 
 use crate::effects::{Effects, NodeEvent, Now};
 use crate::leader::model::Machine;
@@ -7,20 +7,21 @@
 use constants::{NO_CAPACITY_MAX_MS, NO_CAPACITY_MS};
 use wire::cloud::{MachineType, Rent};
 
-/// Milliseconds until the machine types are requested again after a failure, while none are known.
+/// Milliseconds until the machine types are requested again after a failure, if none are known yet.
 const FIRST_TYPES_RETRY_MS: u64 = 1_000;
-/// Milliseconds until they are requested again while those of an earlier reply can serve.
+/// Milliseconds until the machine types are requested again after a failure, if those of an earlier reply can be used.
 const TYPES_RETRY_MS: u64 = 10_000;
-/// Milliseconds until a rental whose outcome is unknown is requested again, under the same name.
+/// Milliseconds until a rental that was refused for now, or whose outcome is unknown, is requested again under the same
+/// name.
 const RENTAL_RETRY_MS: u64 = 2_000;
 
-/// The offer that a rental asked for.
+/// The offer that a rental request names.
 fn requested_offer(rent: &Rent) -> OfferKey {
     OfferKey::new(&rent.kind, &rent.zone, rent.spot)
 }
 
 impl Leader {
-    /// Takes in the reply to a request of this leader.
+    /// Handles the reply to a request that this leader sent to the cloud.
     pub(in crate::leader) fn on_cloud_reply(
         &mut self,
         request: CloudRequest,
@@ -30,7 +31,9 @@
     ) {
         let now = effects.now;
         match (request, reply) {
-            (CloudRequest::Types, CloudReply::Types(types)) => self.on_types(types, effects),
+            (CloudRequest::Types, CloudReply::Types(types)) => {
+                self.on_machine_types(types, effects)
+            }
             (CloudRequest::Types, _) => {
                 let retry_ms = match self.types.desired.is_some() {
                     true => TYPES_RETRY_MS,
@@ -62,7 +65,7 @@
         }
     }
 
-    fn on_types(&mut self, types: Vec<MachineType>, effects: &mut Effects) {
+    fn on_machine_types(&mut self, types: Vec<MachineType>, effects: &mut Effects) {
         if self.types.desired.as_ref() != Some(&types) {
             effects.emit(NodeEvent::MachineTypesRead(types.clone()));
             self.types.desired = Some(types);
@@ -75,12 +78,12 @@
         let Some(rental) = self.rentals.get_mut(name) else {
             return;
         };
-        rental.sent = false;
+        rental.request_in_flight = false;
         match reply {
             CloudReply::Rented(machines) => self.on_rented(name, rent, machines, now),
             CloudReply::NoCapacity | CloudReply::Invalid => {
                 rental.record.desired = None;
-                self.no_capacity(requested_offer(&rent), now);
+                self.back_off_offer(requested_offer(&rent), now);
                 self.queue_write(RecordId::Rental(name.to_string()));
             }
             _ => rental.retry_at = now.mono + RENTAL_RETRY_MS,
@@ -95,24 +98,24 @@
             "event=rented request={name} got={} of={} took_ms={}",
             machines.len(),
             rent.count,
-            now.mono - rental.since
+            now.mono - rental.known_since
         );
-        rental.granted_at = Some(now.mono);
+        rental.answered_at = Some(now.mono);
         let offer = requested_offer(&rent);
         if machines.len() < rent.count as usize {
-            self.no_capacity(offer, now);
+            self.back_off_offer(offer, now);
         } else {
             self.offer_backoff.remove(&offer);
             self.filled_offers.insert(offer);
         }
         for machine in machines {
             if !self.departed.contains_key(&machine) {
-                self.add_rented(machine, &rent, now);
+                self.add_rented_machine(machine, &rent, now);
             }
         }
     }
 
-    fn add_rented(&mut self, name: String, rent: &Rent, now: Now) {
+    fn add_rented_machine(&mut self, name: String, rent: &Rent, now: Now) {
         let machine = self
             .machines
             .entry(name)
@@ -122,8 +125,8 @@
         machine.rented = machine.last_heartbeat.is_none() && !machine.listed;
     }
 
-    /// Leaves an offer alone for a while, with exponential backoff.
-    fn no_capacity(&mut self, offer: OfferKey, now: Now) {
+    /// Stops requesting an offer for a while, with exponential backoff.
+    fn back_off_offer(&mut self, offer: OfferKey, now: Now) {
         self.filled_offers.remove(&offer);
         let last_pause_ms = self
             .offer_backoff
@@ -139,7 +142,7 @@
         self.offer_backoff.insert(
             offer,
             OfferBackoff {
-                until: now.mono + pause_ms,
+                retry_at: now.mono + pause_ms,
                 pause_ms,
             },
         );
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -1,9 +1,9 @@
-//! Scale in: which machines are returned to the cloud, and why.
+//! Scale-in: which machines are returned to the cloud, and why.
 
 mod reason;
 
 use crate::effects::{Effects, Now};
-use crate::leader::consolidation::{WantedMachines, CONSOLIDATED};
+use crate::leader::consolidation::{MachineDemand, CONSOLIDATED};
 use crate::leader::machine_health::MachineHealth;
 use crate::leader::model::Machine;
 use crate::leader::Leader;
@@ -15,59 +15,59 @@
 };
 use reason::ReturnReason;
 
-/// Complete listings in a row without a machine after which it may count as taken away.
-const MISSED_LISTINGS: u32 = 2;
-/// Milliseconds without a report, for each second between reports, after which an unlisted machine is gone: one and a
-/// half reports.
+/// Consecutive complete listings without a machine after which the machine may count as removed by the cloud.
+const MISSED_LISTINGS_MIN: u32 = 2;
+/// Milliseconds without a heartbeat, per second of the heartbeat interval, after which an unlisted machine is gone: one
+/// and a half intervals.
 const UNLISTED_MS_PER_REPORT_S: f64 = 1_500.0;
-/// Milliseconds added to that, for reports on their way.
+/// Milliseconds added to that time for heartbeats in transit.
 const UNLISTED_EXTRA_MS: u64 = 500;
-/// Seconds that a machine of an unknown type is taken to boot for.
-const UNKNOWN_BOOT_S: f64 = 60.0;
-/// Milliseconds after which a return that is not answered is sent again.
+/// Assumed boot time of a machine of an unknown type, in seconds.
+const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
+/// Milliseconds after which an unanswered return request is sent again.
 const RETURN_RESEND_MS: u64 = 2 * CLOUD_TIMEOUT_MS;
-/// Milliseconds after which a return that has failed is sent again.
+/// Milliseconds after which a failed return request is sent again.
 const RETURN_RETRY_MS: u64 = 2_000;
 
-/// Times in milliseconds that decide on returns, the same for all machines of a decision.
-struct ReturnLimits {
-    /// After our last answer a worker's lease has certainly expired.
+/// Timeouts in milliseconds that decide on returns, computed once for all machines of a decision.
+struct ReturnTimeouts {
+    /// After the leader's last answer, when a worker's lease has certainly expired.
     lease_expiry_ms: u64,
-    silent_ms: u64,
+    heartbeat_timeout_ms: u64,
     unlisted_ms: u64,
     idle_spot_ms: u64,
     idle_ordinary_ms: u64,
 }
 
-impl ReturnLimits {
-    fn of(leader: &Leader) -> Self {
+impl ReturnTimeouts {
+    fn new(leader: &Leader) -> Self {
         let report_s = leader.settings.deployment.workers.report_s;
         let idle_ms = |factor: f64| (leader.operator.idle_return_s * 1000.0 * factor) as u64;
-        ReturnLimits {
+        ReturnTimeouts {
             lease_expiry_ms: leader.lease_expiry_ms(),
-            silent_ms: leader.silent_ms(),
+            heartbeat_timeout_ms: leader.heartbeat_timeout_ms(),
             unlisted_ms: (report_s * UNLISTED_MS_PER_REPORT_S) as u64 + UNLISTED_EXTRA_MS,
             idle_spot_ms: idle_ms(IDLE_SPOT),
             idle_ordinary_ms: idle_ms(IDLE_ORDINARY),
         }
     }
 
-    /// Silence after which a machine is returned. Machines that have stopped are soon listed as failed. What is silent
-    /// for longer is cut off or hangs, and mostly comes back with its images sooner than a new machine would be up:
-    /// where nothing runs on it, it has time.
-    fn silence_ms(&self, machine: &Machine) -> u64 {
-        match is_empty(machine) {
+    /// Silence after which a machine is returned. A machine that has stopped is soon listed as failed. One that stays
+    /// silent without being listed as failed is cut off from the network or hangs, and mostly recovers, with its cached
+    /// images, before a new machine would be up. There is no hurry to return one without tasks.
+    fn silence_timeout_ms(&self, machine: &Machine) -> u64 {
+        match has_no_tasks(machine) {
             true => (self.lease_expiry_ms as f64 * SILENT_LEASES) as u64,
-            false => self.unsure_ms(),
+            false => self.occupied_silence_timeout_ms(),
         }
     }
 
-    /// Silence after which a machine is returned on which tasks may still run.
-    fn unsure_ms(&self) -> u64 {
+    /// Silence after which a machine is returned if tasks may still run on it.
+    fn occupied_silence_timeout_ms(&self) -> u64 {
         self.lease_expiry_ms + SILENT_UNSURE_MS
     }
 
-    fn idle_ms(&self, machine: &Machine) -> u64 {
+    fn idle_timeout_ms(&self, machine: &Machine) -> u64 {
         match machine.spot {
             true => self.idle_spot_ms,
             false => self.idle_ordinary_ms,
@@ -75,31 +75,31 @@
     }
 }
 
-/// Idle machines that may be returned.
+/// Counts that limit how many idle machines are returned.
 struct IdleMachines {
-    /// Machines that waiting work could use.
-    wanted: Vec<WantedMachines>,
-    /// Idle machines beyond the part of the fleet that may idle for longer: that part serves the next work as well as
-    /// all of them would.
+    /// Machines that waiting tasks could use.
+    demand: Vec<MachineDemand>,
+    /// Number of idle machines beyond the part of the fleet that may be idle for longer. That part serves the next
+    /// tasks as well as all idle machines would.
     surplus: usize,
 }
 
-/// What is known of a machine's silence.
+/// The time since a machine's last heartbeat.
 #[derive(Clone, Copy)]
-struct Contact {
-    /// When it was last heard, or when this leader could first have heard it.
-    last_heartbeat_at: u64,
+struct Silence {
+    /// When the last heartbeat arrived, or when this leader could first have received one, if that is later.
+    since: u64,
     /// Milliseconds since then.
-    quiet_ms: u64,
+    duration_ms: u64,
 }
 
-/// Whether no task runs or may run on the machine.
-fn is_empty(machine: &Machine) -> bool {
+/// Whether the machine has neither assigned tasks nor orphans.
+fn has_no_tasks(machine: &Machine) -> bool {
     machine.assignments.is_empty() && machine.orphans.is_empty()
 }
 
 impl Leader {
-    /// Decides which machines are returned, and sends the returns, as many at a time as the cloud takes.
+    /// Decides which machines are returned, and sends a return request for as many as the cloud accepts at a time.
     pub(super) fn return_machines(&mut self, effects: &mut Effects) {
         for (name, reason) in self.choose_returns(effects.now) {
             self.mark_returning(&name, reason);
@@ -108,12 +108,12 @@
     }
 
     fn choose_returns(&self, now: Now) -> Vec<(String, ReturnReason)> {
-        let limits = ReturnLimits::of(self);
+        let timeouts = ReturnTimeouts::new(self);
         let mut idle = self.idle_machines(now);
         let staying = self.machines.iter().filter(|(_, m)| !m.returning);
         staying
             .filter_map(|(name, machine)| {
-                let reason = self.return_reason(name, machine, &limits, &mut idle, now.mono)?;
+                let reason = self.return_reason(name, machine, &timeouts, &mut idle, now.mono)?;
                 Some((name.clone(), reason))
             })
             .collect()
@@ -121,23 +121,23 @@
 
     fn idle_machines(&self, now: Now) -> IdleMachines {
         let is_idle = |m: &&Machine| m.is_reconciled && m.assignments.is_empty() && !m.returning;
-        let may_idle = IDLE_LEAST + self.machines.len() / IDLE_PART;
+        let allowed_idle = IDLE_LEAST + self.machines.len() / IDLE_PART;
         let idle = self.machines.values().filter(is_idle).count();
         IdleMachines {
-            wanted: self.wanted_machines(now),
-            surplus: idle.saturating_sub(may_idle),
+            demand: self.machine_demand(now),
+            surplus: idle.saturating_sub(allowed_idle),
         }
     }
 
-    /// How long a machine has been silent. A leader that was suspended during an outage, and still leads, would return
-    /// its whole fleet if the time before it resumed counted.
-    fn contact(&self, machine: &Machine, now: u64) -> Contact {
+    /// How long a machine has been silent. Time before the process last resumed from a stall doesn't count: a leader
+    /// that was suspended during an outage and still leads would otherwise return its whole fleet.
+    fn silence(&self, machine: &Machine, now: u64) -> Silence {
         let listening_since = self.ready_at.max(self.resumed_at);
         let last_heartbeat_at = self.last_heartbeat_at(machine, now).unwrap_or(0);
         let last_heartbeat_at = last_heartbeat_at.max(listening_since);
-        Contact {
-            last_heartbeat_at,
-            quiet_ms: now.saturating_sub(last_heartbeat_at),
+        Silence {
+            since: last_heartbeat_at,
+            duration_ms: now.saturating_sub(last_heartbeat_at),
         }
     }
 
@@ -145,47 +145,50 @@
         &self,
         name: &str,
         machine: &Machine,
-        limits: &ReturnLimits,
+        timeouts: &ReturnTimeouts,
         idle: &mut IdleMachines,
         now: u64,
     ) -> Option<ReturnReason> {
-        let contact = self.contact(machine, now);
+        let silence = self.silence(machine, now);
         if machine.failed {
             return Some(ReturnReason::Failed);
         }
-        if machine.missed_listings >= MISSED_LISTINGS && contact.quiet_ms > limits.unlisted_ms {
+        if machine.missed_listings >= MISSED_LISTINGS_MIN
+            && silence.duration_ms > timeouts.unlisted_ms
+        {
             return Some(ReturnReason::Unlisted);
         }
-        // Whether it is gone or not: the answer frees its tasks for sure, and nothing is left to wait for.
-        let notice_over =
-            |at: u64| now > at + NOTICE_OVER_MS && now > contact.last_heartbeat_at + NOTICE_OVER_MS;
-        if machine.notice_at.is_some_and(notice_over) {
-            return Some(ReturnReason::NoticeOver);
+        // It is returned whether or not it is already gone. Once the cloud confirms the return, its tasks are certainly
+        // over and can be released, and waiting longer gains nothing.
+        let is_notice_expired =
+            |at: u64| now > at + NOTICE_OVER_MS && now > silence.since + NOTICE_OVER_MS;
+        if machine.notice_at.is_some_and(is_notice_expired) {
+            return Some(ReturnReason::NoticeExpired);
         }
         if machine.last_heartbeat.is_none() {
-            let limit = self.never_up_ms(machine, limits);
-            let is_late = now > machine.known_since + limit && contact.quiet_ms > limit;
-            return is_late.then_some(ReturnReason::NeverUp);
+            let limit = self.registration_timeout_ms(machine, timeouts);
+            let is_late = now > machine.known_since + limit && silence.duration_ms > limit;
+            return is_late.then_some(ReturnReason::NeverRegistered);
         }
-        if contact.quiet_ms > limits.silence_ms(machine) {
+        if silence.duration_ms > timeouts.silence_timeout_ms(machine) {
             return Some(ReturnReason::Silent);
         }
-        if !is_empty(machine) {
+        if !has_no_tasks(machine) {
             return None;
         }
-        self.empty_return_reason(name, machine, limits, now)
+        self.empty_return_reason(name, machine, timeouts, now)
             .or_else(|| {
-                self.is_idle_too_long(machine, contact, limits, idle, now)
+                self.is_idle_too_long(machine, silence, timeouts, idle, now)
                     .then_some(ReturnReason::Idle)
             })
     }
 
-    /// Why a machine without tasks is returned, idleness apart.
+    /// Why a machine without tasks is returned, for reasons other than being idle.
     fn empty_return_reason(
         &self,
         name: &str,
         machine: &Machine,
-        limits: &ReturnLimits,
+        timeouts: &ReturnTimeouts,
         now: u64,
     ) -> Option<ReturnReason> {
         if machine.notice_at.is_some() {
@@ -194,47 +197,48 @@
         if machine.draining == Some(CONSOLIDATED) {
             return Some(ReturnReason::Consolidated);
         }
-        if self.health(name, machine, now) == MachineHealth::Faulty {
+        if self.machine_health(name, machine, now) == MachineHealth::Faulty {
             return Some(ReturnReason::Faulty);
         }
-        let unreachable_ms = UNREACHABLE_LEASES * limits.lease_expiry_ms;
+        let unreachable_ms = UNREACHABLE_LEASES * timeouts.lease_expiry_ms;
         let unreachable_since = machine.unreachable_since?;
         (now > unreachable_since + unreachable_ms).then_some(ReturnReason::Unreachable)
     }
 
-    /// Milliseconds after which a machine that has not reported yet is returned.
-    fn never_up_ms(&self, machine: &Machine, limits: &ReturnLimits) -> u64 {
+    /// Milliseconds after which a machine that has not sent a heartbeat yet is returned.
+    fn registration_timeout_ms(&self, machine: &Machine, timeouts: &ReturnTimeouts) -> u64 {
         if !machine.assignments.is_empty() {
-            return limits.unsure_ms();
+            return timeouts.occupied_silence_timeout_ms();
         }
         let mut types = self.types.desired.iter().flatten();
         let machine_type = types.find(|t| t.name == machine.kind);
-        let boot_s = machine_type.map_or(UNKNOWN_BOOT_S, |t| t.boot_s);
+        let boot_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |t| t.boot_s);
         ((boot_s * BOOT_PATIENCE + BOOT_PATIENCE_S) * 1000.0) as u64
     }
 
-    /// Whether an empty machine has been idle for too long and waiting work can't use it. Such a machine, or one that
-    /// the work can use, is counted off in `idle`.
+    /// Whether a machine without tasks has been idle for too long and waiting tasks can't use it. Such a machine is
+    /// subtracted from the surplus in `idle`; one that waiting tasks can use is subtracted from their demand.
     fn is_idle_too_long(
         &self,
         machine: &Machine,
-        contact: Contact,
-        limits: &ReturnLimits,
+        silence: Silence,
+        timeouts: &ReturnTimeouts,
         idle: &mut IdleMachines,
         now: u64,
     ) -> bool {
-        let reports = machine.is_reconciled && contact.quiet_ms <= limits.silent_ms;
-        if !self.settings.minimizes_cost() || !reports {
+        let is_reporting =
+            machine.is_reconciled && silence.duration_ms <= timeouts.heartbeat_timeout_ms;
+        if !self.settings.minimizes_cost() || !is_reporting {
             return false;
         }
         let limit = match idle.surplus > 0 {
             true => IDLE_SURPLUS_MS,
-            false => limits.idle_ms(machine),
+            false => timeouts.idle_timeout_ms(machine),
         };
         if now <= machine.idle_since + limit {
             return false;
         }
-        if idle.wanted.iter_mut().any(|wanted| wanted.take(machine)) {
+        if idle.demand.iter_mut().any(|demand| demand.claim(machine)) {
             return false;
         }
         idle.surplus = idle.surplus.saturating_sub(1);
@@ -260,11 +264,11 @@
         let now = effects.now.mono;
         let mut names = Vec::new();
         for (name, machine) in &mut self.machines {
-            let due = machine
+            let is_due = machine
                 .return_sent
                 .is_none_or(|at| now > at + RETURN_RESEND_MS);
-            let may_send = names.len() < RETURN_MAX && !self.departed.contains_key(name);
-            if machine.returning && due && may_send {
+            let is_allowed = names.len() < RETURN_MAX && !self.departed.contains_key(name);
+            if machine.returning && is_due && is_allowed {
                 machine.return_sent = Some(now);
                 names.push(name.clone());
             }
@@ -275,16 +279,16 @@
         }
     }
 
-    /// The cloud has confirmed that the machine is gone: nothing runs there any more.
+    /// Handles the cloud's confirmation that a machine is gone: nothing runs on it any more.
     pub(super) fn on_machine_removed(&mut self, name: &str, now: Now) {
-        self.release_machine(name, "its machine was given back", now);
+        self.release_machine(name, "its machine was returned", now);
         self.departed.insert(name.to_string(), now.mono);
         log::info!("event=machine_gone machine={name}");
         self.machines.remove(name);
         self.plan_due = true;
     }
 
-    /// Lets returns that have failed be sent again soon.
+    /// Schedules failed return requests to be sent again after [`RETURN_RETRY_MS`].
     pub(super) fn retry_returns(&mut self, names: &[String], now: Now) {
         for name in names {
             if let Some(machine) = self.machines.get_mut(name) {
--- a/crates/control/src/leader/fleet/returns/reason.rs
+++ b/crates/control/src/leader/fleet/returns/reason.rs
@@ -1,4 +1,4 @@
-//! Reasons for which machines are returned.
+//! Reasons for returning machines.
 
 use crate::leader::consolidation::CONSOLIDATED;
 
@@ -9,11 +9,11 @@
     Failed,
     /// The cloud no longer lists it.
     Unlisted,
-    /// Its termination notice has run out.
-    NoticeOver,
-    /// It has never reported.
-    NeverUp,
-    /// It has stopped reporting.
+    /// Its termination notice has expired.
+    NoticeExpired,
+    /// Its worker has never sent a heartbeat.
+    NeverRegistered,
+    /// Its worker no longer sends heartbeats.
     Silent,
     /// It has a termination notice and no tasks.
     EmptyUnderNotice,
@@ -21,20 +21,20 @@
     Consolidated,
     /// Tasks fail on it.
     Faulty,
-    /// Our answers do not reach it.
+    /// Answers to heartbeats do not reach its worker.
     Unreachable,
     /// It has been idle for too long.
     Idle,
 }
 
 impl ReturnReason {
-    /// The reason as the log has it.
+    /// The text of the reason in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             ReturnReason::Failed => "failed",
             ReturnReason::Unlisted => "taken",
-            ReturnReason::NoticeOver => "its notice is over",
-            ReturnReason::NeverUp => "never came up",
+            ReturnReason::NoticeExpired => "its notice is over",
+            ReturnReason::NeverRegistered => "never came up",
             ReturnReason::Silent => "silent",
             ReturnReason::EmptyUnderNotice => "under notice and empty",
             ReturnReason::Consolidated => CONSOLIDATED,
--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -166,7 +166,7 @@
                 }
             }),
             RENTALS => value.deserialized::<RentalRecord>().map(|record| {
-                let rental = Rental::recorded(record, version, now);
+                let rental = Rental::from_record(record, version, now);
                 self.rentals.insert(name.to_string(), rental);
             }),
             _ if key == TYPES => value.deserialized::<Vec<MachineType>>().map(|types| {
--- a/crates/control/src/leader/machine_health.rs
+++ b/crates/control/src/leader/machine_health.rs
@@ -1,28 +1,28 @@
-//! Whether failed tasks are the fault of the machine on which they failed, or of the job that was submitted.
+//! Whether task failures are attributed to the machine on which they occurred or to the job.
 
 use super::model::{Job, Machine};
 use super::Leader;
 use constants::FAULTY_JOBS;
 
-/// What the failed tasks of a machine say about it.
+/// Health of a machine, judged by the tasks that failed on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MachineHealth {
-    /// Nothing.
+    /// Failed tasks give no reason to avoid it.
     Trusted,
-    /// Jobs failed there that have not been tried elsewhere yet: other machines are preferred.
+    /// Jobs failed on it that have neither failed nor proved sound elsewhere yet. Other machines are preferred.
     Suspect,
-    /// It gets no more work and is given back.
+    /// It gets no more tasks and is returned to the cloud.
     Faulty,
 }
 
 impl Leader {
-    /// What failed tasks say about a machine. Jobs that have failed elsewhere as well and are not known to be sound
-    /// say nothing.
+    /// The health of a machine. Jobs that have also failed on other machines and are not known to be sound are no
+    /// evidence.
     ///
-    /// A machine is faulty only if a sound job failed there. Without that rule, a few jobs that fail everywhere,
-    /// submitted at the same time, made each machine count as faulty before any of them had been tried on a third one,
-    /// and the whole fleet was given back.
-    pub(super) fn health(&self, name: &str, machine: &Machine, now: u64) -> MachineHealth {
+    /// A machine is faulty only if a sound job failed on it. Without this rule, a few jobs that fail everywhere and
+    /// were submitted at the same time made every machine count as faulty before any of the jobs had been tried on a
+    /// third machine, and the whole fleet was returned.
+    pub(super) fn machine_health(&self, name: &str, machine: &Machine, now: u64) -> MachineHealth {
         if machine.failed_jobs.len() < FAULTY_JOBS {
             return MachineHealth::Trusted;
         }
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Whether a job is known not to fail everywhere: it is done, or has tasks that run on another machine. Cancelled
-    /// jobs prove nothing and are removed from the machines' lists.
+    /// Whether a job is known not to fail everywhere: it is done, or tasks of it run on another machine. Cancelled jobs
+    /// are no evidence and are removed from the machines' sets of failed jobs.
     fn is_sound_elsewhere(&self, id: &str, machine: &str, now: u64) -> bool {
         let job = self.jobs.get(id);
         job.is_none_or(|job| job.is_sound(now, |assignment| assignment.machine != machine))
@@ -50,8 +50,8 @@
         job.is_none_or(|job| job.failed_machines.iter().all(|other| other == machine))
     }
 
-    /// Forgets the failures of a cancelled job: they say nothing about the machines on which it failed.
-    pub(super) fn forget_failures(&mut self, id: &str, job: &Job) {
+    /// Removes a cancelled job from the failed jobs of all machines: its failures are no evidence against them.
+    pub(super) fn clear_job_failures(&mut self, id: &str, job: &Job) {
         for name in &job.failed_machines {
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.failed_jobs.remove(id);
--- a/crates/control/src/leader/planning/snapshot.rs
+++ b/crates/control/src/leader/planning/snapshot.rs
@@ -77,7 +77,7 @@
 
     /// Whether tasks may be sent to a machine.
     fn is_usable(&self, machine: &Machine, health: MachineHealth, now: u64) -> bool {
-        let silent_ms = self.silent_ms();
+        let silent_ms = self.heartbeat_timeout_ms();
         machine.known
             && machine.is_reconciled
             && machine.draining.is_none()
@@ -168,7 +168,7 @@
     ) -> MachineSnapshot {
         let (leader, now) = (self.leader, self.now.mono);
         let total = type_resources(machine_type);
-        let health = leader.health(name, machine, now);
+        let health = leader.machine_health(name, machine, now);
         let assigned = machine.assignments.len() as u32;
         let images = machine.images.keys();
         MachineSnapshot {
--- a/crates/control/src/leader/rental.rs
+++ b/crates/control/src/leader/rental.rs
@@ -1,21 +1,21 @@
-//! Rental requests: machines that were asked of the cloud.
+//! Rental requests: requests to the cloud for machines.
 
 use super::model::RecordCell;
 use wire::records::RentalRecord;
 
-/// What the cloud offers machines under.
+/// Identifies an offer of the cloud: machines of one type in one zone, either spot or on-demand.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct OfferKey {
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Whether the machines are spot ones.
+    /// Whether the machines are spot instances.
     pub spot: bool,
 }
 
 impl OfferKey {
-    /// The offer of a machine type in a zone.
+    /// The key of the offer of a machine type in a zone.
     pub fn new(machine_type: &str, zone: &str, spot: bool) -> Self {
         OfferKey {
             machine_type: machine_type.to_string(),
@@ -25,39 +25,40 @@
     }
 }
 
-/// Time for which an offer is left alone after the cloud had no such machines.
+/// Backoff of an offer for which the cloud had no capacity.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OfferBackoff {
-    /// When it may be asked for again.
-    pub until: u64,
-    /// Milliseconds of the pause, which doubles each time.
+    /// When machines of the offer may be requested again.
+    pub retry_at: u64,
+    /// Milliseconds of the present backoff, which doubles with each further refusal up to a maximum.
     pub pause_ms: u64,
 }
 
-/// A rental request. Times are of the steady clock, in milliseconds.
+/// A rental request. Times are in milliseconds of the monotonic clock.
 #[derive(Debug, Clone)]
 pub(super) struct Rental {
     /// Its record, which makes the request idempotent across leaders.
     pub record: RecordCell<RentalRecord>,
-    /// The cloud was asked.
-    pub sent: bool,
+    /// Whether the request was sent to the cloud and its reply has not arrived yet.
+    pub request_in_flight: bool,
     /// When the request may be sent again.
     pub retry_at: u64,
-    /// When this leader made it, or read its record.
-    pub since: u64,
-    /// When the cloud named its machines. The record is kept until the cloud's list certainly shows them.
-    pub granted_at: Option<u64>,
+    /// When this leader created the request or read its record.
+    pub known_since: u64,
+    /// When the cloud replied with the names of the rented machines. The record is kept until the cloud's list
+    /// certainly shows them.
+    pub answered_at: Option<u64>,
 }
 
 impl Rental {
-    /// A request that was read from the records: the cloud may have been asked by an earlier leader.
-    pub fn recorded(record: RentalRecord, version: u64, now: u64) -> Self {
+    /// A request that was read from its record. An earlier leader may have sent it to the cloud already.
+    pub fn from_record(record: RentalRecord, version: u64, now: u64) -> Self {
         Rental {
             record: RecordCell::new(Some(record), version),
-            sent: false,
+            request_in_flight: false,
             retry_at: 0,
-            since: now,
-            granted_at: None,
+            known_since: now,
+            answered_at: None,
         }
     }
 }
--- a/crates/control/src/leader/store/saved.rs
+++ b/crates/control/src/leader/store/saved.rs
@@ -47,7 +47,7 @@
         } else if cell.saved.is_none() {
             self.rentals.remove(&name);
         } else {
-            self.send_rental(&name, effects);
+            self.send_rental_request(&name, effects);
         }
     }
 
@@ -73,7 +73,7 @@
         self.remove_from_machines(id, &job);
         self.remove_from_pages(id, &job);
         if outcome == Final::Aborted {
-            self.forget_failures(id, &job);
+            self.clear_job_failures(id, &job);
         }
         self.plan_due = true;
         for dependency in &job.needs {
--- a/crates/control/src/leader/worker_heartbeats.rs
+++ b/crates/control/src/leader/worker_heartbeats.rs
@@ -1,8 +1,8 @@
-//! Heartbeats of workers, as the leader handles them.
+//! Handling of workers' heartbeats by the leader.
 //!
-//! [`Leader::on_worker_heartbeat`] runs through fixed steps: it refuses heartbeats that are stale, checks that its
-//! answers reach the worker, updates the machine, reconciles the reported tasks with the recorded assignments, and
-//! answers with orders, at once or later.
+//! [`Leader::on_worker_heartbeat`] runs these steps in order: it rejects stale heartbeats, checks whether its answers
+//! reach the worker, updates the machine, reconciles the reported tasks with the recorded assignments, and answers with
+//! orders, at once or later.
 
 mod deferral;
 mod image_cache;
@@ -23,13 +23,13 @@
 use wire::cloud::MachineType;
 use wire::workers::{HeartbeatResponse, Order, WorkerHeartbeat};
 
-/// What to do with a worker's heartbeat.
+/// Outcome of handling a worker's heartbeat.
 pub(crate) enum HeartbeatOutcome {
     /// Answer with these orders.
     Answer(HeartbeatResponse),
     /// Answer later, when [`Leader::answer_deferred`] returns the response.
     Defer(DeferredAnswer),
-    /// The worker has seen this newer term: this node is not the leader any more.
+    /// The worker has seen this newer term, so this node is no longer the leader.
     NewerTerm(u64),
 }
 
@@ -45,31 +45,32 @@
             return HeartbeatOutcome::NewerTerm(heartbeat.term);
         }
         if self.departed.contains_key(&heartbeat.machine) {
-            // Sent before the machine was given back: it changes nothing.
+            // The heartbeat was sent before the machine was returned and must not change anything.
             return self.answer_heartbeat(Vec::new());
         }
         let machine = self.reporting_machine(&heartbeat.machine, now.mono);
-        // A network cut can delay a heartbeat until its incarnation has ended. By its number alone such a heartbeat
-        // looks new. Taken as current, it turned tasks that had ended long ago into orphans, and marked a machine that
-        // was still cut off as reachable.
+        // A network partition can delay a heartbeat until its incarnation has ended. By its sequence number alone such
+        // a heartbeat looks new. When it was processed as current, tasks that had ended long ago became orphans, and a
+        // machine that was still cut off was marked as reachable.
         if machine.is_outdated(heartbeat.incarnation, heartbeat.seq) {
             return self.answer_heartbeat(Vec::new());
         }
-        let previous_answer = note_answer(machine, &heartbeat, now.mono);
+        let previous_answer = record_answer(machine, &heartbeat, now.mono);
         if heartbeat.term < self.term {
             // The worker may still execute an earlier leader's answer, and this heartbeat may be a late copy. Only the
-            // worker's next heartbeat, with our term, proves what is on the machine, or that the machine is there at
-            // all. But this answer renews the worker's lease, so cancelled jobs that it lists must not go on running.
+            // worker's next heartbeat, with this leader's term, proves which tasks are on the machine, or that the
+            // machine exists at all. But this answer renews the worker's lease, so tasks of cancelled jobs that the
+            // heartbeat lists must be stopped now.
             let orders = self.stop_cancelled_tasks(&heartbeat.tasks);
             return self.answer_heartbeat(orders);
         }
-        self.check_answers_arrive(&heartbeat, previous_answer, now.mono);
+        self.update_reachability(&heartbeat, previous_answer, now.mono);
         self.update_reporting_machine(&heartbeat, now.mono);
-        let has_freed_room = self.reconcile_tasks(&heartbeat, now);
-        self.answer_or_defer(heartbeat, has_freed_room, active, now)
+        let has_freed_capacity = self.reconcile_tasks(&heartbeat, now);
+        self.answer_or_defer(heartbeat, has_freed_capacity, active, now)
     }
 
-    /// The machine that sent a heartbeat; added if it is not known yet.
+    /// The machine that sent a heartbeat. A machine that is not known yet is added.
     fn reporting_machine(&mut self, name: &str, now: u64) -> &mut Machine {
         self.machines
             .entry(name.to_string())
@@ -82,9 +83,9 @@
         HeartbeatOutcome::Answer(HeartbeatResponse { term, orders })
     }
 
-    /// Updates a machine by what a heartbeat with our term says of the machine itself.
+    /// Updates the state of the machine itself from a heartbeat with this leader's term.
     fn update_reporting_machine(&mut self, heartbeat: &WorkerHeartbeat, now: u64) {
-        let silent_ms = self.silent_ms();
+        let heartbeat_timeout_ms = self.heartbeat_timeout_ms();
         let Some(machine) = self.machines.get(&heartbeat.machine) else {
             return;
         };
@@ -93,8 +94,10 @@
             return;
         };
         (machine.incarnation, machine.seq) = (heartbeat.incarnation, heartbeat.seq);
-        // A machine that is back from a network cut or a hang counts again in planning.
-        let was_silent = machine.last_heartbeat.is_none_or(|at| now > at + silent_ms);
+        // A machine that recovers from a network partition or a hang becomes available to planning again.
+        let was_silent = machine
+            .last_heartbeat
+            .is_none_or(|at| now > at + heartbeat_timeout_ms);
         if !is_watched && was_silent {
             self.plan_due = true;
         }
@@ -105,21 +108,21 @@
     }
 }
 
-/// Notes that a heartbeat is being answered, and returns when the one before was. Every answer counts, since it renews
-/// the worker's lease.
-fn note_answer(machine: &mut Machine, heartbeat: &WorkerHeartbeat, now: u64) -> Option<u64> {
+/// Records the time of the answer to a heartbeat, and returns the time of the previous answer. Every answer counts,
+/// since it renews the worker's lease.
+fn record_answer(machine: &mut Machine, heartbeat: &WorkerHeartbeat, now: u64) -> Option<u64> {
     let previous_answer = machine.last_answer.replace(now);
     machine.describe(&heartbeat.kind, &heartbeat.zone, heartbeat.spot);
     machine.addr = Some(heartbeat.addr.clone());
     previous_answer
 }
 
-/// Whole milliseconds in a number of seconds.
+/// Converts seconds to whole milliseconds.
 fn milliseconds(seconds: f64) -> u64 {
     (seconds * 1000.0) as u64
 }
 
-/// The machine type of a name, if the types are known and it is among them.
+/// Finds a machine type by name. Returns `None` if the types are not known yet or the name is not among them.
 fn find_machine_type<'a>(
     types: &'a Option<Vec<MachineType>>,
     name: &str,
--- a/crates/control/src/leader/worker_heartbeats/deferral.rs
+++ b/crates/control/src/leader/worker_heartbeats/deferral.rs
@@ -1,6 +1,6 @@
-//! Answers to heartbeats that are deferred until the leader has decided what comes next on the machine.
+//! Answers to heartbeats that are deferred until the leader has decided which tasks to start on the machine next.
 //!
-//! Without this, freed room would stay idle until the worker's next heartbeat.
+//! If answers were not deferred, freed capacity would stay idle until the worker's next heartbeat.
 
 use super::{find_machine_type, milliseconds, HeartbeatOutcome};
 use crate::effects::Now;
@@ -9,24 +9,24 @@
 use constants::{DECISION_WAIT_MS, WORK_WAIT_LEASE_SHARE, WORK_WAIT_MS};
 use wire::workers::{HeartbeatResponse, TaskStatus, WorkerHeartbeat};
 
-/// A heartbeat whose answer waits for a decision.
+/// A heartbeat whose answer waits for a planning decision.
 #[derive(Debug, Clone)]
 pub(crate) struct DeferredAnswer {
     machine: String,
     /// Tasks that the heartbeat lists.
     tasks: Vec<TaskStatus>,
     /// Incarnation and sequence number of the heartbeat.
-    numbers: (u64, u64),
-    /// Number of the last planning round, if the heartbeat freed room: the next round may use that room.
-    freed_in_round: Option<u64>,
-    /// Until when it may wait for a planning round and for records of assignments.
+    heartbeat_id: (u64, u64),
+    /// Number of the last planning round, if the heartbeat freed capacity that the next round may use.
+    capacity_freed_in_round: Option<u64>,
+    /// Until when the answer may wait for a planning round and for assignments to be recorded.
     decision_deadline: u64,
-    /// Until when it may wait for a task to be assigned to free room.
+    /// Until when the answer may wait for a task to be assigned to free capacity.
     work_deadline: u64,
 }
 
 impl DeferredAnswer {
-    /// Ends the wait for a task that may never be assigned.
+    /// Stops waiting for a task to be assigned, which may never happen.
     pub fn stop_waiting_for_work(&mut self) {
         self.work_deadline = 0;
     }
@@ -34,9 +34,9 @@
 
 /// Which starts are due on a machine.
 struct DueStarts {
-    /// An assignment has yet to be recorded before its start may be sent.
+    /// Some assignment must be recorded before its start may be sent.
     has_unrecorded: bool,
-    /// A start may be sent.
+    /// Some start may be sent.
     has_startable: bool,
 }
 
@@ -45,12 +45,12 @@
     pub(super) fn answer_or_defer(
         &mut self,
         heartbeat: WorkerHeartbeat,
-        has_freed_room: bool,
+        has_freed_capacity: bool,
         active: bool,
         now: Now,
     ) -> HeartbeatOutcome {
         let name = heartbeat.machine.clone();
-        let deferred = self.defer_answer(heartbeat, has_freed_room, active, now.mono);
+        let deferred = self.defer_answer(heartbeat, has_freed_capacity, active, now.mono);
         if let Some(response) = self.answer_deferred(&deferred, active, now) {
             return HeartbeatOutcome::Answer(response);
         }
@@ -63,7 +63,7 @@
     fn defer_answer(
         &self,
         heartbeat: WorkerHeartbeat,
-        has_freed_room: bool,
+        has_freed_capacity: bool,
         active: bool,
         now: u64,
     ) -> DeferredAnswer {
@@ -73,8 +73,8 @@
         };
         let decision_wait_ms = if active { DECISION_WAIT_MS } else { 0 };
         DeferredAnswer {
-            numbers: (heartbeat.incarnation, heartbeat.seq),
-            freed_in_round: has_freed_room.then_some(self.rounds),
+            heartbeat_id: (heartbeat.incarnation, heartbeat.seq),
+            capacity_freed_in_round: has_freed_capacity.then_some(self.rounds),
             machine: heartbeat.machine,
             tasks: heartbeat.tasks,
             decision_deadline: now + decision_wait_ms,
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Milliseconds for which an answer may wait for work. A deferred answer is a lease renewed later: where something
-    /// runs, only a small part of the lease may be used up.
+    /// Milliseconds for which an answer may wait for a task to be assigned. Deferring an answer delays the renewal of
+    /// the worker's lease, so where tasks run, it may use up only a small part of the lease.
     fn work_wait_ms(&self, is_idle: bool) -> u64 {
         let workers = &self.settings.deployment.workers;
         let limit_ms = match is_idle {
@@ -93,7 +93,8 @@
         WORK_WAIT_MS.min(limit_ms)
     }
 
-    /// Whether a machine has room for what its type is rented for: one GPU, or else one CPU.
+    /// Whether a machine has free capacity for the kind of task that its type is rented for: one CPU and, if the type has
+    /// GPUs, one GPU.
     pub(in crate::leader) fn has_room_for_work(&self, name: &str) -> bool {
         let machine = self.machines.get(name);
         let Some(machine) = machine.filter(|machine| machine.draining.is_none()) else {
@@ -114,7 +115,7 @@
         has_cpu && has_gpu
     }
 
-    /// The answer to a deferred heartbeat, once there is nothing left to wait for.
+    /// Returns the answer to a deferred heartbeat once there is nothing left to wait for.
     pub fn answer_deferred(
         &mut self,
         deferred: &DeferredAnswer,
@@ -124,9 +125,9 @@
         let term = self.term;
         let machine = self.machines.get(&deferred.machine);
         let is_current =
-            |machine: &&Machine| (machine.incarnation, machine.seq) == deferred.numbers;
+            |machine: &&Machine| (machine.incarnation, machine.seq) == deferred.heartbeat_id;
         let Some(machine) = machine.filter(is_current) else {
-            // The machine is gone, or its worker has given up on this heartbeat.
+            // The machine is gone, or its worker no longer waits for the answer to this heartbeat.
             let orders = Vec::new();
             return Some(HeartbeatResponse { term, orders });
         };
@@ -140,11 +141,11 @@
         Some(HeartbeatResponse { term, orders })
     }
 
-    /// Until when a deferred answer waits, as things are now; 0 if there is nothing to wait for.
+    /// Until when a deferred answer waits in the present state; 0 if there is nothing to wait for.
     fn answer_deadline(&self, deferred: &DeferredAnswer, machine: &Machine) -> u64 {
         let starts = self.due_starts(machine);
         let is_undecided = deferred
-            .freed_in_round
+            .capacity_freed_in_round
             .is_some_and(|round| round == self.rounds && self.plan_due);
         if starts.has_unrecorded || is_undecided {
             deferred.decision_deadline.max(deferred.work_deadline)
--- a/crates/control/src/leader/worker_heartbeats/image_cache.rs
+++ b/crates/control/src/leader/worker_heartbeats/image_cache.rs
@@ -1,15 +1,15 @@
-//! Which container images are in the caches of machines, as far as the leader can conclude it from tasks.
+//! Tracking of the container images in the caches of machines, as inferred from the tasks that they have executed.
 
 use super::find_machine_type;
 use crate::leader::Leader;
 use std::collections::BTreeMap;
 
-/// Images on a machine, each with when it was last used and its size in gigabytes.
+/// Images on a machine, each with the time of its last use and its size in gigabytes.
 type Images = BTreeMap<String, (u64, f64)>;
 
 impl Leader {
-    /// Notes that an image is on a machine, and forgets those that the worker will have evicted for it.
-    pub(super) fn note_cached_image(
+    /// Records that an image is on a machine, and removes those that the worker will have evicted to make space for it.
+    pub(super) fn record_cached_image(
         &mut self,
         machine: &str,
         image: String,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Removes the images used longest ago until the rest fits the cache. One image always stays.
+/// Removes the least recently used images until the rest fits the cache. One image always stays.
 fn evict_least_recently_used(images: &mut Images, capacity_gb: f64) {
     let mut total_gb: f64 = images.values().map(|(_, size_gb)| size_gb).sum();
     while total_gb > capacity_gb && images.len() > 1 {
--- a/crates/control/src/leader/worker_heartbeats/orders.rs
+++ b/crates/control/src/leader/worker_heartbeats/orders.rs
@@ -7,7 +7,7 @@
 use constants::ORDERS_PER_ANSWER;
 use wire::workers::{Order, TaskPhase, TaskStatus};
 
-/// Reason of a stop that frees room for another job which is entitled to it.
+/// Reason of a stop that frees capacity for another job that is entitled to it.
 pub(in crate::leader) const PREEMPTED: &str = "preempted";
 
 impl Leader {
@@ -44,7 +44,7 @@
                 assignment.machine == machine && assignment.attempt == status.attempt
             });
         match (status.phase, assignment) {
-            // A worker may forget the result of an ended task only once it is recorded.
+            // A worker may forget the result of an ended task only once the result is recorded.
             (TaskPhase::Ended, None) if job.is_none_or(|job| job.is_saved(task)) => {
                 Some(forget_order(status))
             }
@@ -52,14 +52,15 @@
             (_, None) => Some(stop_order(&status.task, status.attempt, 0.0)),
             (phase, Some(assignment)) => {
                 let stop = assignment.stop?;
-                // Saving goes on unless the job is of no use any more.
+                // A task that is saving a checkpoint is left to finish unless it is to stop without a grace period,
+                // which means that the job is no longer needed.
                 let may_save = phase == TaskPhase::Saving && stop.grace_s > 0.0;
                 (!may_save).then(|| stop_order(&status.task, status.attempt, stop.grace_s))
             }
         }
     }
 
-    /// Adds the starts that may be sent to a machine, as far as the answer has room for them.
+    /// Adds the starts that may be sent to a machine, up to the maximum number of orders in an answer.
     fn add_start_orders(&mut self, machine: &str, orders: &mut Vec<Order>, now: u64) {
         for (id, task) in self.assigned_tasks_on_machine(machine) {
             if orders.len() >= ORDERS_PER_ANSWER {
@@ -91,8 +92,8 @@
         })
     }
 
-    /// Orders to stop the listed tasks whose jobs are cancelled or over. These are right whatever else is true of the
-    /// heartbeat that lists them.
+    /// Orders to stop the listed tasks whose jobs are cancelled or over. These orders are correct even if the heartbeat
+    /// that lists the tasks is a late copy or has an earlier term.
     pub(super) fn stop_cancelled_tasks(&self, listed: &[TaskStatus]) -> Vec<Order> {
         listed
             .iter()
@@ -102,13 +103,13 @@
             .collect()
     }
 
-    /// Whether the job of a task is cancelled, or not open any more.
+    /// Whether the job of a task is cancelled or no longer open.
     fn is_job_over(&self, task: &str) -> bool {
         let job = parse_task_name(task).and_then(|(id, _)| self.jobs.get(id));
         job.is_none_or(|job| job.aborted)
     }
 
-    /// Stops a task. One whose start has not been sent is released at once.
+    /// Stops a task. If its start has not been sent, its assignment is released at once.
     pub(in crate::leader) fn stop_task(
         &mut self,
         id: &str,
@@ -151,7 +152,7 @@
     }
 }
 
-/// An order to leave an ended task out of further heartbeats.
+/// An order to omit an ended task from further heartbeats.
 fn forget_order(status: &TaskStatus) -> Order {
     Order::Forget {
         task: status.task.clone(),
--- a/crates/control/src/leader/worker_heartbeats/orphans.rs
+++ b/crates/control/src/leader/worker_heartbeats/orphans.rs
@@ -1,4 +1,4 @@
-//! Orphans: tasks on a machine that no recorded assignment places there.
+//! Orphans: tasks that a machine runs although no assignment of that attempt to the machine is recorded.
 
 use super::reconciliation::ListedTasks;
 use crate::leader::Leader;
@@ -9,7 +9,7 @@
 type Orphans = BTreeSet<(String, u32, u64)>;
 
 impl Leader {
-    /// Replaces the orphans of a machine by those that its heartbeat lists.
+    /// Replaces the orphans of a machine by those in its latest heartbeat.
     pub(super) fn update_orphans(&mut self, machine: &str, listed: &ListedTasks) {
         let current = self.find_orphans(machine, listed);
         let Some(entry) = self.machines.get_mut(machine) else {
--- a/crates/control/src/leader/worker_heartbeats/reachability.rs
+++ b/crates/control/src/leader/worker_heartbeats/reachability.rs
@@ -1,5 +1,5 @@
 //! Whether the leader's answers reach a worker whose heartbeats reach the leader, and when a worker's lease has
-//! expired.
+//! certainly expired.
 
 use super::milliseconds;
 use crate::leader::model::Machine;
@@ -8,15 +8,15 @@
 use wire::workers::WorkerHeartbeat;
 
 impl Leader {
-    /// Milliseconds after our last answer at which a worker's lease has certainly expired.
+    /// Milliseconds after the leader's last answer at which a worker's lease has certainly expired.
     pub(in crate::leader) fn lease_expiry_ms(&self) -> u64 {
         let lease_s = self.settings.deployment.workers.lease_s;
         milliseconds_with_drift(lease_s) + LEASE_MARGIN_MS
     }
 
-    /// Concludes from a heartbeat's incarnation whether our answers reach its worker. `previous_answer` is when the
-    /// heartbeat before was answered.
-    pub(super) fn check_answers_arrive(
+    /// Concludes from a heartbeat's incarnation whether the leader's answers reach its worker. `previous_answer` is the
+    /// time of the answer to the previous heartbeat.
+    pub(super) fn update_reachability(
         &mut self,
         heartbeat: &WorkerHeartbeat,
         previous_answer: Option<u64>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counts a start that a worker did not take. Returns whether the machine is unreachable.
+    /// Counts a start that a worker did not execute. Returns whether the machine is unreachable.
     pub(super) fn count_undelivered_start(&mut self, machine: &str, now: u64) -> bool {
         let Some(machine) = self.machines.get_mut(machine) else {
             return false;
@@ -53,9 +53,9 @@
     }
 }
 
-/// Handles a new incarnation: the worker's lease has expired. If this was sooner than a lease after our last answer
-/// (`is_early`), that answer did not reach the worker. This may happen once to any machine, when heartbeats delayed by
-/// a network cut are answered late.
+/// Handles a new incarnation, which means that the worker's lease has expired. If it expired sooner than a lease after
+/// the leader's last answer (`is_early`), that answer did not reach the worker. This may happen once to any machine,
+/// when heartbeats that were delayed by a network partition are answered late.
 fn on_new_incarnation(machine: &mut Machine, is_early: bool, now: u64) {
     if machine.fencing_token_seen {
         machine.early_expiries = if is_early {
@@ -70,14 +70,15 @@
     machine.incarnation_since = now;
 }
 
-/// Whether an unreachable machine is reachable again: its incarnation outlives a lease only if answers arrive.
+/// Whether an unreachable machine is reachable again: an incarnation outlives a lease only if answers reach the worker.
 fn is_reachable_again(machine: &Machine, expiry_ms: u64, now: u64) -> bool {
     machine
         .unreachable_since
         .is_some_and(|at| now > at.max(machine.incarnation_since) + expiry_ms)
 }
 
-/// Milliseconds on our clock within which a number of seconds has passed on another machine's clock.
+/// Milliseconds on the local clock within which a number of seconds has certainly passed on another machine's clock,
+/// given the maximum clock drift.
 fn milliseconds_with_drift(seconds: f64) -> u64 {
     (seconds * 1000.0 * DRIFT) as u64
 }
--- a/crates/control/src/leader/worker_heartbeats/reconciliation.rs
+++ b/crates/control/src/leader/worker_heartbeats/reconciliation.rs
@@ -8,11 +8,12 @@
 use std::collections::BTreeMap;
 use wire::workers::{EndCause, TaskPhase, TaskStatus, WorkerHeartbeat};
 
-/// Tasks that a heartbeat lists, by job and number.
+/// Tasks that a heartbeat lists, by job and task number.
 pub(super) type ListedTasks<'a> = BTreeMap<(String, u32), &'a TaskStatus>;
 
 impl Leader {
-    /// Applies what a heartbeat with our term proves. Returns whether the machine has fewer assignments afterwards.
+    /// Reconciles the machine's assignments and orphans with a heartbeat that has this leader's term. Returns whether
+    /// the machine has fewer assignments afterwards.
     pub(super) fn reconcile_tasks(&mut self, heartbeat: &WorkerHeartbeat, now: Now) -> bool {
         let assignments_before = self.assignment_count_on_machine(&heartbeat.machine);
         self.register_worker(heartbeat, now.mono);
@@ -30,7 +31,7 @@
         machine.map_or(0, |machine| machine.assignments.len())
     }
 
-    /// Job and number of each task that is assigned to a machine.
+    /// The tasks that are assigned to a machine, by job and task number.
     pub(super) fn assigned_tasks_on_machine(&self, machine: &str) -> Vec<(String, u32)> {
         let machine = self.machines.get(machine);
         machine.map_or_else(Vec::new, |machine| {
@@ -38,7 +39,7 @@
         })
     }
 
-    /// Registers a machine with its first heartbeat that has our term.
+    /// Registers a machine at its first heartbeat that has this leader's term.
     fn register_worker(&mut self, heartbeat: &WorkerHeartbeat, now: u64) {
         let name = &heartbeat.machine;
         let Some(machine) = self.machines.get_mut(name) else {
@@ -51,7 +52,7 @@
         self.plan_due = true;
         let boot_s = now.saturating_sub(machine.known_since) as f64 / 1000.0;
         let machine_type = find_machine_type(&self.types.desired, &machine.kind);
-        // Boots that take several times as long teach nothing about the usual ones.
+        // A boot that takes several times as long as usual says nothing about usual boot times and is not counted.
         let is_usual =
             machine_type.is_some_and(|machine_type| boot_s < machine_type.boot_s * BOOT_OVERDUE);
         if machine.rented && is_usual {
@@ -67,7 +68,7 @@
         );
     }
 
-    /// Drains a machine from the first heartbeat on that gives notice of its preemption.
+    /// Begins to drain a machine at the first heartbeat that announces its preemption.
     fn begin_drain_under_notice(&mut self, name: &str, now: u64) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -114,7 +115,7 @@
     }
 }
 
-/// Tasks by job and number. Tasks whose names can't be parsed are left out.
+/// Indexes tasks by job and task number. Tasks whose names can't be parsed are left out.
 fn index_tasks(tasks: &[TaskStatus]) -> ListedTasks<'_> {
     let mut listed = ListedTasks::new();
     for status in tasks {
--- a/crates/control/src/leader/worker_heartbeats/task_state.rs
+++ b/crates/control/src/leader/worker_heartbeats/task_state.rs
@@ -1,4 +1,4 @@
-//! Changes in the state of assigned tasks, as heartbeats show them: present, absent or ended.
+//! State changes of assigned tasks that heartbeats report: present, absent or ended.
 
 use crate::effects::Now;
 use crate::leader::model::{Assignment, AssignmentStage, Job};
@@ -6,20 +6,20 @@
 use constants::ERROR_PAUSE_MS;
 use wire::workers::{EndCause, TaskPhase, WorkerHeartbeat};
 
-/// Milliseconds for which a job pauses after a worker refused one of its starts. Nothing failed, so the pause is
+/// Milliseconds of backoff of a job after a worker refused to start one of its tasks. No task failed, so the backoff is
 /// shorter than after an error.
 const REFUSED_START_PAUSE_MS: u64 = ERROR_PAUSE_MS / 2;
 
-/// What a heartbeat changed in an assignment.
+/// Changes that a heartbeat made to an assignment.
 struct AssignmentUpdate {
     machine: String,
-    /// When the assignment was decided on.
+    /// When the assignment was decided.
     assigned_at: u64,
-    /// The start that was sent has arrived.
+    /// The worker has executed the start that was sent to it.
     is_start_delivered: bool,
     is_new_phase: bool,
     is_running: bool,
-    /// It was first seen running at this moment.
+    /// This heartbeat is the first to report the task as running.
     is_first_run: bool,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl EndedTask<'_> {
-    /// Seconds for which it ran, if it was seen to start.
+    /// Seconds for which the task ran, if its start was observed.
     fn ran_s(&self, now: u64) -> Option<f64> {
         let since = self.running_since?;
         Some(now.saturating_sub(since) as f64 / 1000.0)
@@ -56,16 +56,16 @@
             self.plan_due = true;
         }
         if update.is_running {
-            note_job_running(job, id, update.assigned_at, now);
+            record_job_running(job, id, update.assigned_at, now);
         }
-        self.measure_start(&update, now.mono);
+        self.record_start_latency(&update, now.mono);
         if phase != TaskPhase::Fetching {
-            self.note_cached_image(&update.machine, image, image_gb, now.mono);
+            self.record_cached_image(&update.machine, image, image_gb, now.mono);
         }
     }
 
-    /// Adds the start of a task to the measured latencies.
-    fn measure_start(&mut self, update: &AssignmentUpdate, now: u64) {
+    /// Adds the delivery and the first run of a task to the start latencies.
+    fn record_start_latency(&mut self, update: &AssignmentUpdate, now: u64) {
         let latency_ms = now.saturating_sub(update.assigned_at);
         if update.is_start_delivered {
             if let Some(machine) = self.machines.get_mut(&update.machine) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Handles an assigned task that a heartbeat with our term does not list.
+    /// Handles an assigned task that a heartbeat with this leader's term does not list.
     pub(super) fn on_task_absent(
         &mut self,
         id: &str,
@@ -93,10 +93,10 @@
         match stage {
             AssignmentStage::Ready => {}
             AssignmentStage::Sent { incarnation, seq } => {
-                // One heartbeat is in flight at a time, so a later one was written after the answer with the start was
-                // executed or dropped.
+                // A worker has one heartbeat in flight at a time, so it wrote a later heartbeat after it had executed
+                // or dropped the answer with the start.
                 if (heartbeat.incarnation, heartbeat.seq) > (incarnation, seq) {
-                    self.on_start_not_taken(id, task, incarnation, heartbeat, now);
+                    self.on_start_not_executed(id, task, incarnation, heartbeat, now);
                 }
             }
             AssignmentStage::Recorded => {
@@ -108,9 +108,9 @@
         }
     }
 
-    /// Handles a start that was sent to an `incarnation` of a worker and not executed. It is sent again if that
-    /// incarnation goes on and answers reach it.
-    fn on_start_not_taken(
+    /// Handles a start that was sent to an `incarnation` of a worker and not executed. The start is sent again if that
+    /// incarnation continues, answers reach it and the task is not to be stopped. Otherwise the assignment is released.
+    fn on_start_not_executed(
         &mut self,
         id: &str,
         task: u32,
@@ -197,7 +197,7 @@
         job.failures += 1;
         job.pause_until = now + job.error_pause_ms();
         job.failed_machines.insert(ended.machine.to_string());
-        // A job that fails on one machine after the other is no sign that a machine is faulty.
+        // A job that fails on one machine after another is no evidence that any of the machines is faulty.
         if job.seems_to_fail_everywhere() {
             return;
         }
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Marks a gang as broken if it can't go on without a task that ended and is not done.
+    /// Marks a gang as broken if it can't continue after one of its tasks ended without being done.
     fn break_gang(&mut self, ended: &EndedTask) {
         let Some(job) = self.jobs.get_mut(ended.job).filter(|job| job.is_gang()) else {
             return;
@@ -222,9 +222,10 @@
     }
 }
 
-/// Updates an assignment by the phase that a heartbeat reports.
+/// Updates an assignment with the phase that a heartbeat reports.
 fn update_assignment(assignment: &mut Assignment, phase: TaskPhase, now: u64) -> AssignmentUpdate {
-    // A start can be timed only if it was observed from its beginning.
+    // The run time is measured only if this leader observed the start of the task, which it did not if the assignment
+    // was read from its record.
     let is_timed = assignment.stage != AssignmentStage::Recorded;
     let is_start_delivered = matches!(assignment.stage, AssignmentStage::Sent { .. });
     let is_new_phase = assignment.phase != Some(phase);
@@ -255,8 +256,8 @@
     );
 }
 
-/// Notes that a task of a job is running, and logs the first one.
-fn note_job_running(job: &mut Job, id: &str, assigned_at: u64, now: Now) {
+/// Records that a task of a job is running, and logs the job's first run.
+fn record_job_running(job: &mut Job, id: &str, assigned_at: u64, now: Now) {
     job.started = true;
     if job.first_run.is_some() {
         return;
@@ -271,7 +272,7 @@
     );
 }
 
-/// Records a task as done. A gang completes together: one done task proves that all of them are.
+/// Marks a task as done. All tasks of a gang complete together, so one done task proves that all are done.
 fn complete_task(job: &mut Job, task: u32, ran_s: Option<f64>) {
     if !job.is_gang() {
         job.complete(task, ran_s);
--- a/crates/control/src/leadership_watch.rs
+++ b/crates/control/src/leadership_watch.rs
@@ -113,8 +113,8 @@
         peers: &Peers,
         now: u64,
     ) -> Option<ResignReason> {
-        let none_reports = has_lease && leader.no_worker_reports(now);
-        let none_receives = has_lease && leader.no_worker_receives(now);
+        let none_reports = has_lease && leader.all_workers_silent(now);
+        let none_receives = has_lease && leader.no_worker_receives_answers(now);
         let workers_reach_peer = peers.are_reached_by_workers(now);
         let is_without_workers = none_reports && workers_reach_peer;
         if self
@@ -127,8 +127,9 @@
         // Workers that move from one node to the next reach a peer only now and then.
         let may_peer_lead = workers_reach_peer && cut_off_ms > WITHOUT_WORKERS_MS;
         // The peer that workers reach may be the one that can't tell this node.
-        let is_no_peer_known =
-            none_reports && leader.knows_machines() && cut_off_ms > RESIGN_WITHOUT_PEER_NOTICE_MS;
+        let is_no_peer_known = none_reports
+            && leader.expects_worker_heartbeats()
+            && cut_off_ms > RESIGN_WITHOUT_PEER_NOTICE_MS;
         self.may_resign_unsure(may_peer_lead || is_no_peer_known, now)
             .then_some(ResignReason::NoWorkerFollows)
     }
