--- a/crates/control/src/leader/consolidation.rs
+++ b/crates/control/src/leader/consolidation.rs
@@ -52,7 +52,7 @@
         self.next_consolidation = now.mono + (CONSOLIDATE_S * 1000.0) as u64;
         let snapshot = self.scheduling_snapshot(now);
         let view = &snapshot.view;
-        let is_waiting = view.jobs.iter().any(|job| !job.waiting.is_empty());
+        let is_waiting = view.jobs.iter().any(|job| !job.waiting_tasks.is_empty());
         let machines = self.machines.values();
         let draining = machines
             .filter(|m| m.draining == Some(CONSOLIDATED) && !m.returning)
@@ -83,7 +83,7 @@
 impl<'a> Consolidation<'a> {
     fn new(view: &'a ClusterSnapshot) -> Self {
         let mut tasks_by_machine: Vec<Vec<&RunningTask>> = vec![Vec::new(); view.machines.len()];
-        for task in &view.running {
+        for task in &view.running_tasks {
             tasks_by_machine[task.machine].push(task);
         }
         let mut consolidation = Consolidation {
@@ -209,5 +209,5 @@
 
 /// Whether tasks of a job may go to any machine with room.
 fn is_unconstrained(job: &JobSnapshot) -> bool {
-    job.spot && job.zone.is_none() && !job.one_zone && job.max_per_zone.is_none()
+    job.spot_allowed && job.required_zone.is_none() && !job.one_zone && job.max_per_zone.is_none()
 }
--- a/crates/control/src/leader/fleet/renting.rs
+++ b/crates/control/src/leader/fleet/renting.rs
@@ -112,7 +112,7 @@
         let shortest_boot_s = types.iter().map(|t| t.boot_s).fold(f64::MAX, f64::min);
         let fleet = FleetSnapshot {
             offers: offers.offers,
-            expected: expected.counts,
+            expected_by_offer: expected.counts,
             minimizes_cost: self.settings.minimizes_cost(),
             horizon_s: shortest_boot_s * RENT_HORIZON,
         };
@@ -130,15 +130,15 @@
                     let key = OfferKey::new(&machine_type.name, zone, spot);
                     let backoff = self.offer_backoff.get(&key);
                     offers.push(Offer {
-                        kind: snapshot.kinds.number(&machine_type.name),
+                        machine_type: snapshot.kinds.number(&machine_type.name),
                         zone: snapshot.zones.number(zone),
                         spot,
                         total: type_resources(machine_type),
-                        price: match spot {
+                        price_per_hour: match spot {
                             true => machine_type.spot_price,
                             false => machine_type.price,
                         },
-                        open: backoff.is_none_or(|backoff| now.mono >= backoff.until),
+                        available: backoff.is_none_or(|backoff| now.mono >= backoff.until),
                     });
                     keys.push(key);
                 }
--- a/crates/control/src/leader/planning.rs
+++ b/crates/control/src/leader/planning.rs
@@ -23,7 +23,7 @@
 use crate::effects::Effects;
 use constants::{ROUND_BUDGET_MS, ROUND_EVERY_MS, ROUND_LEAST_MS, ROUND_REST};
 use decisions::{JobQueue, RoundSubjects};
-use sched::{ClusterSnapshot, Outcome, Round};
+use sched::{ClusterSnapshot, Round, RoundOutcome};
 use std::collections::BTreeSet;
 
 /// Moments of a round, in microseconds of the stopwatch.
@@ -44,12 +44,12 @@
 
 impl SnapshotSizes {
     fn of(view: &ClusterSnapshot) -> Self {
-        let waiting = view.jobs.iter().filter(|job| !job.waiting.is_empty());
+        let waiting = view.jobs.iter().filter(|job| !job.waiting_tasks.is_empty());
         SnapshotSizes {
             jobs: view.jobs.len(),
             waiting_jobs: waiting.count(),
             machines: view.machines.len(),
-            running_tasks: view.running.len(),
+            running_tasks: view.running_tasks.len(),
         }
     }
 }
@@ -93,7 +93,7 @@
         jobs: &[String],
         skipped_jobs: &BTreeSet<String>,
         started: u64,
-    ) -> (Outcome, RoundTimes) {
+    ) -> (RoundOutcome, RoundTimes) {
         let policy = self.operator.policy();
         let stopwatch = self.stopwatch;
         let mut round = Round::new(&policy, view);
@@ -112,7 +112,7 @@
     }
 }
 
-fn log_round(outcome: &Outcome, times: &RoundTimes, sizes: &SnapshotSizes) {
+fn log_round(outcome: &RoundOutcome, times: &RoundTimes, sizes: &SnapshotSizes) {
     let took_us = times.decided - times.started;
     let is_long = !outcome.finished || took_us > ROUND_LEAST_MS * 1000;
     let level = match is_long {
--- a/crates/control/src/leader/planning/decisions.rs
+++ b/crates/control/src/leader/planning/decisions.rs
@@ -72,7 +72,7 @@
                     log_placement(&placement, subjects.queues[job], entitled, subjects);
                     self.assign(&placement, subjects, now);
                 }
-                Decision::Stop { job, task, by } => {
+                Decision::Preempt { job, task, by } => {
                     self.preempt(&subjects.jobs[job], task, &subjects.jobs[by], now);
                 }
             }
--- a/crates/control/src/leader/planning/estimates.rs
+++ b/crates/control/src/leader/planning/estimates.rs
@@ -5,7 +5,7 @@
 use crate::leader::Leader;
 use crate::settings::Objective;
 use constants::{LONGEST_TASK, MISSED_OBJECTIVE_DELAY_S, START_LAG_S};
-use sched::pilots_of;
+use sched::pilot_count;
 
 /// Seconds that a job is expected to take at most, so that a service's time can be added to a time of day.
 const MOST_EXPECTED_S: f64 = 1e9;
@@ -36,7 +36,7 @@
         }
         let pilots = match job.is_gang() {
             true => 0,
-            false => pilots_of(&self.operator.policy(), job.tasks()),
+            false => pilot_count(&self.operator.policy(), job.tasks()),
         };
         if sample.timed_tasks > 0 && sample.timed_tasks >= pilots {
             return TaskEstimate {
--- a/crates/control/src/leader/planning/job_snapshots.rs
+++ b/crates/control/src/leader/planning/job_snapshots.rs
@@ -5,7 +5,9 @@
 use super::waiting_tasks::unassigned_tasks;
 use crate::leader::model::{Assignment, AssignmentStage, Job};
 use constants::{AGED_S, QUOTA_RESERVATION_PAUSE_S, QUOTA_RESERVATION_S, URGENT_S};
-use sched::{pilots_of, queue_of, JobSnapshot, Resources, RunningTask, TeamSnapshot, UNKNOWN_ZONE};
+use sched::{
+    pilot_count, queue_for_size, JobSnapshot, Resources, RunningTask, TeamSnapshot, UNKNOWN_ZONE,
+};
 
 /// Share of its estimate that a task is expected to go on for at least: one that has outrun it may run on for a while.
 const LEAST_REMAINING_SHARE: f64 = 0.25;
@@ -141,16 +143,16 @@
         let estimate_s = entry.estimate.seconds;
         let remaining_s = (estimate_s - elapsed_s).max(estimate_s * LEAST_REMAINING_SHARE);
         host.busy_s = host.busy_s.max(remaining_s);
-        self.view.running.push(RunningTask {
+        self.view.running_tasks.push(RunningTask {
             job: entry.number,
-            task,
+            number: task,
             machine,
             team: entry.team,
             priority: entry.job.priority() as u8,
             resources: entry.task,
             remaining_s,
             preemptible: is_preemptible(entry.job, assignment, remaining_s),
-            cost_s: preemption_cost_s(entry.job, elapsed_s),
+            preemption_cost_s: preemption_cost_s(entry.job, elapsed_s),
         });
     }
 
@@ -163,28 +165,28 @@
             team: entry.team,
             gang: job.is_gang(),
             priority: job.priority() as u8,
-            task: entry.task,
-            kinds: kinds.map(|t| t.iter().map(|name| self.kinds.number(name)).collect()),
-            zone: spec.zone.as_ref().map(|zone| self.zones.number(zone)),
+            task_resources: entry.task,
+            machine_types: kinds.map(|t| t.iter().map(|name| self.kinds.number(name)).collect()),
+            required_zone: spec.zone.as_ref().map(|zone| self.zones.number(zone)),
             one_zone: spec.one_zone,
             max_per_zone: spec.spread.then(|| job.tasks().div_ceil(2)),
             tasks_by_zone: usage.by_zone,
-            spot: spec.spot,
+            spot_allowed: spec.spot,
             uncheckpointed: spec.checkpoint_s <= 0.0 && spec.gpus <= 0.0,
             image: self.images.number(&spec.image),
             pilots_due,
-            waiting: self.waiting_tasks(job),
+            waiting_tasks: self.waiting_tasks(job),
             sampling: entry.estimate.sampling,
             queue,
             service: job.is_service(),
             order: latest_start.unwrap_or(job.ready_at),
             has_objective: latest_start.is_some(),
-            running: job.assigned,
+            assigned_tasks: job.assigned,
             reserved_machines: self.numbers_of(job.reserved_machines.iter()),
             backed_off: job.is_backed_off(self.now.unix),
             may_claim_limit: may_claim_limit(self.now.unix),
             urgent: self.is_urgent(job, latest_start),
-            avoid: self.avoided_machines(job),
+            avoided_machines: self.avoided_machines(job),
         }
     }
 
@@ -206,7 +208,7 @@
             return 0;
         }
         let timed_tasks = entry.job.run_time_sample().timed_tasks;
-        let wanted = pilots_of(&self.policy, entry.job.tasks());
+        let wanted = pilot_count(&self.policy, entry.job.tasks());
         wanted.saturating_sub(usage.pilots + timed_tasks)
     }
 
@@ -218,7 +220,7 @@
         }
         let tasks_left = job.spec.tasks.saturating_sub(job.done) as f64;
         let size = entry.estimate.seconds * tasks_left - usage.elapsed_s;
-        queue_of(&self.policy, size.max(0.0))
+        queue_for_size(&self.policy, size.max(0.0))
     }
 
     /// Tasks of a job that may be placed now, as many as one round can use.
--- a/crates/control/src/leader/planning/snapshot.rs
+++ b/crates/control/src/leader/planning/snapshot.rs
@@ -172,7 +172,7 @@
         let assigned = machine.assignments.len() as u32;
         let images = machine.images.keys();
         MachineSnapshot {
-            kind: self.kinds.number(&machine.kind),
+            machine_type: self.kinds.number(&machine.kind),
             zone: self.zones.number(&machine.zone),
             spot: machine.spot,
             free: total,
--- a/crates/control/src/settings/operator.rs
+++ b/crates/control/src/settings/operator.rs
@@ -57,8 +57,8 @@
         sched::Policy {
             thin_tasks: self.thin_tasks,
             pilot_share: self.pilot_share,
-            first_bound: self.first_bound_s,
-            growth: self.queue_growth,
+            first_bound_s: self.first_bound_s,
+            queue_growth: self.queue_growth,
             queues: self.queues,
         }
     }
--- a/crates/sched/src/fleet.rs
+++ b/crates/sched/src/fleet.rs
@@ -1,9 +1,9 @@
-//! Scaling out: how many machines of which type and zone, spot or not, are to be rented.
+//! Scale-out: determines how many machines of each offer (a type in a zone, spot or on-demand) to rent.
 //!
 //! | module | subject |
 //! | --- | --- |
-//! | `bins` | free capacity, with machines that are alike counted together |
-//! | `packing` | waiting tasks packed into free capacity and new machines |
+//! | `bins` | free capacity, with identical machines grouped |
+//! | `packing` | bin packing of waiting tasks into free capacity and new machines |
 
 mod bins;
 mod packing;
@@ -14,58 +14,59 @@
 use constants::RENT_MAX;
 use packing::Packing;
 
-/// A type of machine in a zone, spot or not.
+/// A machine type in a zone, as spot or on-demand machines, that the cloud rents out.
 #[derive(Debug, Clone)]
 pub struct Offer {
-    /// Type, as the caller numbers them.
-    pub kind: usize,
-    /// Zone, as the caller numbers them.
+    /// Machine type, as numbered by the caller.
+    pub machine_type: usize,
+    /// Zone, as numbered by the caller.
     pub zone: usize,
-    /// Whether its machines are spot instances.
+    /// Whether its machines are spot machines.
     pub spot: bool,
     /// Resources of one machine.
     pub total: Resources,
-    /// Price of a machine an hour.
-    pub price: f64,
-    /// Whether it may be asked for now (the cloud did not just refuse it).
-    pub open: bool,
+    /// Price of one machine per hour.
+    pub price_per_hour: f64,
+    /// Whether it may be requested now. It may not for some time after the cloud has refused a request.
+    pub available: bool,
 }
 
-/// What fleet planning sees besides the round's snapshot.
+/// Input of fleet planning, in addition to the cluster snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct FleetSnapshot {
-    /// What the cloud offers.
+    /// The cloud's offers.
     pub offers: Vec<Offer>,
-    /// Machines of each offer that are requested, booting, or expected back soon.
-    pub expected: Vec<u32>,
-    /// Whether the objectives ask for low cost.
+    /// Number of machines that are requested, booting, or silent and expected to report again soon, by offer.
+    pub expected_by_offer: Vec<u32>,
+    /// Whether the objectives include low cost.
     pub minimizes_cost: bool,
-    /// Seconds until a machine rented now could run a task.
+    /// Seconds until a machine rented now could run a task. Resources that running tasks free by then count as
+    /// available.
     pub horizon_s: f64,
 }
 
-/// Machines of one offer to rent.
+/// A number of machines of one offer to rent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RentRequest {
-    /// Number of the offer.
+    /// Index of the offer in [`FleetSnapshot::offers`].
     pub offer: usize,
     /// Number of machines.
     pub count: u32,
 }
 
-/// Machines that the waiting work needs beyond what is available and expected.
+/// Determines the machines that the waiting tasks need beyond available and expected ones.
 ///
-/// Waiting tasks are packed into free and expected capacity. The rest is packed into new machines, each task on the
-/// offer with the lowest price for the task. Where cost does not count, every open offer is requested as much as one
-/// request may: only the cloud's refusals show its capacity.
+/// Waiting tasks are packed into free and expected capacity. The remaining tasks are packed into new machines, each of
+/// the offer with the lowest price per task. If low cost is not an objective, the maximum of one request is requested
+/// of every available offer instead, since only the cloud's refusals show how much capacity it has.
 pub fn plan_fleet(snapshot: &ClusterSnapshot, fleet: &FleetSnapshot) -> Vec<RentRequest> {
     if !fleet.minimizes_cost {
-        let all = |offer: &Offer| if offer.open { RENT_MAX } else { 0 };
+        let all = |offer: &Offer| if offer.available { RENT_MAX } else { 0 };
         return rent_requests(fleet.offers.iter().map(all).collect());
     }
-    let is_waiting = |job: &&JobSnapshot| !job.waiting.is_empty() && !job.backed_off;
+    let is_waiting = |job: &&JobSnapshot| !job.waiting_tasks.is_empty() && !job.backed_off;
     let mut waiting: Vec<&JobSnapshot> = snapshot.jobs.iter().filter(is_waiting).collect();
-    let tasks = waiting.iter().map(|job| job.task);
+    let tasks = waiting.iter().map(|job| job.task_resources);
     let Some(smallest_task) = tasks.reduce(|a, b| a.min(&b)) else {
         return Vec::new();
     };
@@ -77,7 +78,7 @@
     rent_requests(packing.into_machines_by_offer())
 }
 
-/// Requests for the offers of which any machine is needed.
+/// Requests for the offers of which at least one machine is needed.
 fn rent_requests(machines_by_offer: Vec<u32>) -> Vec<RentRequest> {
     machines_by_offer
         .into_iter()
--- a/crates/sched/src/fleet/bins.rs
+++ b/crates/sched/src/fleet/bins.rs
@@ -1,12 +1,12 @@
-//! Free capacity of machines. Machines that are alike count together, so that a large fleet comes down to a few groups.
+//! Free capacity of machines. Identical machines are grouped, so that a large fleet is represented by a few groups.
 
 use super::{FleetSnapshot, Offer};
 use crate::{ClusterSnapshot, Resources, RunningTask};
 
-/// Machines that are alike, with the same resources free on each.
+/// Machines of the same type, zone and kind (spot or on-demand) with the same free resources.
 #[derive(Clone, Copy)]
 pub(super) struct BinGroup {
-    pub kind: usize,
+    pub machine_type: usize,
     pub zone: usize,
     pub spot: bool,
     pub free: Resources,
@@ -14,10 +14,10 @@
 }
 
 impl BinGroup {
-    /// New machines of an offer.
-    pub fn of_offer(offer: &Offer, count: u32) -> Self {
+    /// A group of new machines of an offer.
+    pub fn from_offer(offer: &Offer, count: u32) -> Self {
         BinGroup {
-            kind: offer.kind,
+            machine_type: offer.machine_type,
             zone: offer.zone,
             spot: offer.spot,
             free: offer.total,
@@ -25,21 +25,22 @@
         }
     }
 
-    fn is_like(&self, other: &BinGroup) -> bool {
-        (self.kind, self.zone, self.spot) == (other.kind, other.zone, other.spot)
+    /// Whether machines of both groups belong in the same group.
+    fn is_same_kind(&self, other: &BinGroup) -> bool {
+        (self.machine_type, self.zone, self.spot) == (other.machine_type, other.zone, other.spot)
             && self.free == other.free
     }
 }
 
-/// Adds machines, to the group of those that are alike where there is one.
+/// Adds machines to the group of identical machines, or as a new group if there is none.
 pub(super) fn add_bins(groups: &mut Vec<BinGroup>, added: BinGroup) {
-    match groups.iter_mut().find(|group| group.is_like(&added)) {
+    match groups.iter_mut().find(|group| group.is_same_kind(&added)) {
         Some(group) => group.count += added.count,
         None => groups.push(added),
     }
 }
 
-/// Capacity of machines that are available or expected. Full machines are left out.
+/// Free capacity of machines that are available or expected. Omits machines without capacity for any waiting task.
 pub(super) fn available_bins(
     snapshot: &ClusterSnapshot,
     fleet: &FleetSnapshot,
@@ -49,7 +50,7 @@
     for (machine, free) in snapshot.machines.iter().zip(free_soon(snapshot, fleet)) {
         if machine.usable && free.can_fit(smallest_task) {
             let bin = BinGroup {
-                kind: machine.kind,
+                machine_type: machine.machine_type,
                 zone: machine.zone,
                 spot: machine.spot,
                 free,
@@ -58,20 +59,20 @@
             add_bins(&mut groups, bin);
         }
     }
-    for (offer, &count) in fleet.offers.iter().zip(&fleet.expected) {
+    for (offer, &count) in fleet.offers.iter().zip(&fleet.expected_by_offer) {
         if count > 0 {
-            add_bins(&mut groups, BinGroup::of_offer(offer, count));
+            add_bins(&mut groups, BinGroup::from_offer(offer, count));
         }
     }
     groups
 }
 
-/// What is free on each machine before a new one could be up: what running tasks leave by then is as good as a new
-/// machine.
+/// Resources that are free on each machine before a newly rented one could be up. Resources that running tasks free by
+/// then serve as well as a new machine.
 fn free_soon(snapshot: &ClusterSnapshot, fleet: &FleetSnapshot) -> Vec<Resources> {
     let mut free: Vec<Resources> = snapshot.machines.iter().map(|m| m.free).collect();
     let ends_soon = |task: &&RunningTask| task.remaining_s < fleet.horizon_s;
-    for task in snapshot.running.iter().filter(ends_soon) {
+    for task in snapshot.running_tasks.iter().filter(ends_soon) {
         free[task.machine].add(&task.resources);
     }
     free
--- a/crates/sched/src/fleet/packing.rs
+++ b/crates/sched/src/fleet/packing.rs
@@ -1,51 +1,55 @@
-//! Bin packing: waiting tasks into free capacity, and what is left over into new machines.
+//! Bin packing of waiting tasks into free capacity, and of the remaining tasks into new machines.
 
 use super::bins::{add_bins, available_bins, BinGroup};
 use super::{FleetSnapshot, Offer};
 use crate::{ClusterSnapshot, JobSnapshot, Resources, TeamSnapshot};
 use std::cmp::Ordering;
 
-/// Tasks by which an offer's price is divided, at most. Bounds the share of a task that takes next to nothing.
-const PRICED_TASKS: u32 = 1000;
+/// Largest number of tasks by which the price of an offer is divided. Bounds the price per task from below for tasks
+/// that use almost no resources.
+const MAX_PRICED_TASKS: u32 = 1000;
 
-/// Waiting tasks being packed into free capacity and new machines.
+/// State of the packing of waiting tasks into free capacity and new machines.
 pub(super) struct Packing<'a> {
     fleet: &'a FleetSnapshot,
-    /// The least that any waiting task takes, resource by resource.
+    /// The minimum of each resource over all waiting tasks.
     smallest_task: Resources,
+    /// Free capacity that has not been used for packed tasks.
     bins: Vec<BinGroup>,
-    /// With what has been packed counted as used.
+    /// The teams, with the resources of packed tasks counted as used.
     teams: Vec<TeamSnapshot>,
-    /// Machines to rent, by offer.
+    /// Number of machines to rent, by offer.
     machines_by_offer: Vec<u32>,
 }
 
-/// Where tasks of one job may be packed.
+/// Constraints on the machines into which the tasks of a job may be packed.
 struct Constraints<'a> {
     job: &'a JobSnapshot,
-    /// The zone of a job that must stay in one.
+    /// The only allowed zone for a job that must stay in one zone.
     only_zone: Option<usize>,
-    /// Tasks by zone, those on machines included: machines in a zone the job can't use are of no help to it.
+    /// Number of tasks by zone, both on machines and packed. They rule out machines in zones that the job can't use
+    /// any more.
     tasks_by_zone: Vec<(usize, u32)>,
 }
 
 impl Constraints<'_> {
-    /// How many more tasks a zone may take.
+    /// How many more tasks of the job may be placed in a zone.
     fn zone_capacity(&self, zone: usize) -> u32 {
         let used = tasks_in_zone(&self.tasks_by_zone, zone);
-        let most = self.job.max_per_zone;
-        most.map_or(u32::MAX, |most| most.saturating_sub(used))
+        let max_per_zone = self.job.max_per_zone;
+        max_per_zone.map_or(u32::MAX, |max_tasks| max_tasks.saturating_sub(used))
     }
 
-    fn allow(&self, kind: usize, zone: usize, spot: bool) -> bool {
-        may_use(self.job, kind, zone, spot)
+    /// Whether a task of the job may be packed into a machine of a type and zone, spot or on-demand.
+    fn allows(&self, machine_type: usize, zone: usize, spot: bool) -> bool {
+        meets_constraints(self.job, machine_type, zone, spot)
             && self.only_zone.is_none_or(|only| only == zone)
             && self.zone_capacity(zone) > 0
     }
 }
 
 impl<'a> Packing<'a> {
-    /// Nothing is packed yet.
+    /// Starts with all tasks unpacked.
     pub fn new(
         snapshot: &ClusterSnapshot,
         fleet: &'a FleetSnapshot,
@@ -60,12 +64,12 @@
         }
     }
 
-    /// Machines to rent, by offer.
+    /// Number of machines to rent, by offer.
     pub fn into_machines_by_offer(self) -> Vec<u32> {
         self.machines_by_offer
     }
 
-    /// Packs all waiting tasks of a job, as far as its team's limit and the offers go.
+    /// Packs the waiting tasks of a job, as many as its team's limit, free capacity and offers allow.
     pub fn pack(&mut self, job: &JobSnapshot) {
         let zone = || preferred_zone(job, &self.bins, self.fleet);
         let mut constraints = Constraints {
@@ -73,49 +77,49 @@
             only_zone: job.one_zone.then(zone).flatten(),
             tasks_by_zone: job.tasks_by_zone.clone(),
         };
-        let mut left = job.waiting.len() as u32;
-        while left > 0 && self.teams[job.team].allows(&job.task) {
+        let mut left = job.waiting_tasks.len() as u32;
+        while left > 0 && self.teams[job.team].is_within_limit(&job.task_resources) {
             let bin = self.take_bin(&constraints);
             let Some(bin) = bin.or_else(|| self.rent_bin(&constraints)) else {
                 break;
             };
-            let most = left.min(constraints.zone_capacity(bin.zone));
-            let packed = self.fill(job, bin, most);
+            let max_tasks = left.min(constraints.zone_capacity(bin.zone));
+            let packed = self.fill_bin(job, bin, max_tasks);
             constraints.tasks_by_zone.push((bin.zone, packed));
             left -= packed;
         }
     }
 
-    /// Takes the tightest bin that is available, spot instances first.
+    /// Takes the suitable bin with the fewest free GPUs. Prefers spot machines among bins with equally many.
     fn take_bin(&mut self, constraints: &Constraints) -> Option<BinGroup> {
         let suits = |bin: &BinGroup| {
             bin.count > 0
-                && bin.free.can_fit(&constraints.job.task)
-                && constraints.allow(bin.kind, bin.zone, bin.spot)
+                && bin.free.can_fit(&constraints.job.task_resources)
+                && constraints.allows(bin.machine_type, bin.zone, bin.spot)
         };
-        let tightness = |bin: &BinGroup| (bin.free.gpus, !bin.spot);
+        let fit_order = |bin: &BinGroup| (bin.free.gpus, !bin.spot);
         let group = self
             .bins
             .iter_mut()
             .filter(|bin| suits(bin))
             .min_by(|a, b| {
-                let order = tightness(a).partial_cmp(&tightness(b));
+                let order = fit_order(a).partial_cmp(&fit_order(b));
                 order.unwrap_or(Ordering::Equal)
             })?;
         group.count -= 1;
         Some(BinGroup { count: 1, ..*group })
     }
 
-    /// Adds a machine of the offer that is cheapest for a task.
+    /// Adds a new machine of the offer with the lowest price per task.
     fn rent_bin(&mut self, constraints: &Constraints) -> Option<BinGroup> {
-        let task = &constraints.job.task;
+        let task = &constraints.job.task_resources;
         let price = |offer: &Offer| {
-            let tasks = offer.total.capacity_for(task, PRICED_TASKS).max(1);
-            offer.price / f64::from(tasks)
+            let tasks = offer.total.capacity_for(task, MAX_PRICED_TASKS).max(1);
+            offer.price_per_hour / f64::from(tasks)
         };
         let suits = |offer: &Offer| {
-            offer.open
-                && constraints.allow(offer.kind, offer.zone, offer.spot)
+            offer.available
+                && constraints.allows(offer.machine_type, offer.zone, offer.spot)
                 && offer.total.can_fit(task)
         };
         let offers = self.fleet.offers.iter().enumerate();
@@ -123,18 +127,19 @@
             .filter(|(_, offer)| suits(offer))
             .min_by(|(_, a), (_, b)| price(a).total_cmp(&price(b)))?;
         self.machines_by_offer[number] += 1;
-        Some(BinGroup::of_offer(cheapest, 1))
+        Some(BinGroup::from_offer(cheapest, 1))
     }
 
-    /// Packs tasks into a bin, the first one in any case; returns how many. What is left of the bin stays available.
-    fn fill(&mut self, job: &JobSnapshot, mut bin: BinGroup, most: u32) -> u32 {
+    /// Packs at most `max_tasks` tasks into a bin and returns how many. The caller has checked the team's limit for the
+    /// first task. Remaining capacity of the bin stays available.
+    fn fill_bin(&mut self, job: &JobSnapshot, mut bin: BinGroup, max_tasks: u32) -> u32 {
         let mut packed = 0;
-        while packed < most && bin.free.can_fit(&job.task) {
-            if packed > 0 && !self.teams[job.team].allows(&job.task) {
+        while packed < max_tasks && bin.free.can_fit(&job.task_resources) {
+            if packed > 0 && !self.teams[job.team].is_within_limit(&job.task_resources) {
                 break;
             }
-            bin.free.sub(&job.task);
-            self.teams[job.team].used.add(&job.task);
+            bin.free.sub(&job.task_resources);
+            self.teams[job.team].used.add(&job.task_resources);
             packed += 1;
         }
         if bin.free.can_fit(&self.smallest_task) {
@@ -144,19 +149,23 @@
     }
 }
 
+/// Number of tasks in a zone.
 fn tasks_in_zone(tasks_by_zone: &[(usize, u32)], zone: usize) -> u32 {
     let here = tasks_by_zone.iter().filter(|(known, _)| *known == zone);
     here.map(|(_, tasks)| tasks).sum()
 }
 
-/// Whether tasks of a job may go to machines of a type and zone, spot or not.
-fn may_use(job: &JobSnapshot, kind: usize, zone: usize, spot: bool) -> bool {
-    (job.spot || !spot)
-        && job.zone.is_none_or(|only| only == zone)
-        && job.kinds.as_ref().is_none_or(|kinds| kinds.contains(&kind))
+/// Whether machines of a type and zone, spot or on-demand, meet a job's constraints.
+fn meets_constraints(job: &JobSnapshot, machine_type: usize, zone: usize, spot: bool) -> bool {
+    (job.spot_allowed || !spot)
+        && job.required_zone.is_none_or(|only| only == zone)
+        && job
+            .machine_types
+            .as_ref()
+            .is_none_or(|machine_types| machine_types.contains(&machine_type))
 }
 
-/// What a zone has for a job.
+/// Capacity of a zone for a job.
 struct ZoneCapacity {
     zone: usize,
     /// Tasks of the job that fit there now.
@@ -165,13 +174,15 @@
     offered: bool,
 }
 
-/// The zone for a job that must stay in one: where it is, else where most fits, else where most is offered.
+/// The zone for a job that must stay in one zone: the zone of its tasks on machines if it has any, else the zone with
+/// the best capacity for it.
 fn preferred_zone(job: &JobSnapshot, bins: &[BinGroup], fleet: &FleetSnapshot) -> Option<usize> {
     if let Some((zone, _)) = job.tasks_by_zone.iter().find(|(_, tasks)| *tasks > 0) {
         return Some(*zone);
     }
-    let needed = job.waiting.len() as u32;
-    // Enough capacity is best, else where more can be rented, else where most is.
+    let needed = job.waiting_tasks.len() as u32;
+    // A zone with capacity for all waiting tasks comes first, then zones where machines can be rented, then those with
+    // the most capacity.
     let zones = zone_capacities(job, bins, fleet, needed);
     let best = zones.iter().max_by_key(|candidate| {
         let ZoneCapacity {
@@ -184,7 +195,7 @@
     best.map(|candidate| candidate.zone)
 }
 
-/// What each zone that a job may use has for it.
+/// Capacity for a job of each zone that it may use.
 fn zone_capacities(
     job: &JobSnapshot,
     bins: &[BinGroup],
@@ -193,16 +204,16 @@
 ) -> Vec<ZoneCapacity> {
     let mut zones: Vec<ZoneCapacity> = Vec::new();
     for bin in bins {
-        let per_bin = bin.free.capacity_for(&job.task, needed);
+        let per_bin = bin.free.capacity_for(&job.task_resources, needed);
         let tasks = per_bin.saturating_mul(bin.count);
-        if tasks > 0 && may_use(job, bin.kind, bin.zone, bin.spot) {
+        if tasks > 0 && meets_constraints(job, bin.machine_type, bin.zone, bin.spot) {
             let here = zone_entry(&mut zones, bin.zone);
             here.tasks = here.tasks.saturating_add(tasks);
         }
     }
-    for offer in fleet.offers.iter().filter(|offer| offer.open) {
-        let fits = offer.total.can_fit(&job.task);
-        if fits && may_use(job, offer.kind, offer.zone, offer.spot) {
+    for offer in fleet.offers.iter().filter(|offer| offer.available) {
+        let fits = offer.total.can_fit(&job.task_resources);
+        if fits && meets_constraints(job, offer.machine_type, offer.zone, offer.spot) {
             zone_entry(&mut zones, offer.zone).offered = true;
         }
     }
--- a/crates/sched/src/fleet/tests.rs
+++ b/crates/sched/src/fleet/tests.rs
@@ -1,19 +1,19 @@
-//! Plans for small fleets.
+//! Fleet plans for small snapshots.
 
 use super::{plan_fleet, FleetSnapshot, Offer, RentRequest};
 use crate::{ClusterSnapshot, JobSnapshot, MachineSnapshot, Resources, TeamSnapshot};
 
-/// Found by a scenario: room in two zones counted as enough for a gang that must stay in one, and machines were
-/// rented in a zone that its other tasks ruled out.
+/// Guards against two faults in the plan for a gang that must stay in one zone: capacity spread over two zones counted
+/// as sufficient, and machines were rented in a zone that its tasks on machines ruled out.
 #[test]
-fn a_gang_of_one_zone_is_given_machines_in_its_zone() {
+fn machines_for_a_single_zone_gang_are_rented_in_its_zone() {
     let total = Resources {
         cpus: 32.0,
         gpus: 4.0,
         memory_gb: 256.0,
     };
     let machine = |zone| MachineSnapshot {
-        kind: 0,
+        machine_type: 0,
         zone,
         spot: false,
         free: total,
@@ -33,22 +33,22 @@
         gang: true,
         service: false,
         priority: 1,
-        task: total,
-        kinds: None,
-        zone: None,
+        task_resources: total,
+        machine_types: None,
+        required_zone: None,
         one_zone: true,
         max_per_zone: None,
         tasks_by_zone: vec![],
-        spot: false,
+        spot_allowed: false,
         uncheckpointed: false,
         image: 0,
-        waiting: vec![0, 1],
+        waiting_tasks: vec![0, 1],
         pilots_due: 0,
         sampling: false,
         queue: 0,
         order: 0,
-        running: 0,
-        avoid: vec![],
+        assigned_tasks: 0,
+        avoided_machines: vec![],
         reserved_machines: vec![],
         urgent: false,
         backed_off: false,
@@ -56,16 +56,16 @@
         has_objective: true,
     };
     let offer = |zone| Offer {
-        kind: 0,
+        machine_type: 0,
         zone,
         spot: false,
         total,
-        price: 1.0,
-        open: true,
+        price_per_hour: 1.0,
+        available: true,
     };
     let fleet = FleetSnapshot {
         offers: vec![offer(0), offer(1)],
-        expected: vec![0, 0],
+        expected_by_offer: vec![0, 0],
         minimizes_cost: true,
         horizon_s: 0.0,
     };
@@ -73,12 +73,12 @@
         machines,
         teams: vec![TeamSnapshot::default()],
         jobs: vec![job.clone()],
-        running: vec![],
+        running_tasks: vec![],
     };
-    let one_each = plan_fleet(&snapshot(&job, vec![machine(0), machine(1)]), &fleet);
-    assert_eq!(one_each, vec![RentRequest { offer: 0, count: 1 }]);
+    let plan_for_two_tasks = plan_fleet(&snapshot(&job, vec![machine(0), machine(1)]), &fleet);
+    assert_eq!(plan_for_two_tasks, vec![RentRequest { offer: 0, count: 1 }]);
     job.tasks_by_zone = vec![(1, 1)];
-    job.waiting = vec![1];
-    let rest = plan_fleet(&snapshot(&job, vec![machine(0)]), &fleet);
-    assert_eq!(rest, vec![RentRequest { offer: 1, count: 1 }]);
+    job.waiting_tasks = vec![1];
+    let plan_for_one_task = plan_fleet(&snapshot(&job, vec![machine(0)]), &fleet);
+    assert_eq!(plan_for_one_task, vec![RentRequest { offer: 1, count: 1 }]);
 }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,15 +1,16 @@
 //! Scheduling decisions of vetchmount, as pure functions of a snapshot of the cluster.
 //!
-//! Job arrays are scheduled as in Philae: pilot tasks sample a job's size, jobs queue by estimated size, queues share
-//! capacity by weight, and thin arrays skip sampling. Guarantees, limits, priorities and preemption come on top.
-//! Nothing here does I/O or reads a clock.
+//! Job arrays are scheduled as in the Philae paper: pilot tasks are sampled to estimate the size of an array, jobs are
+//! assigned to multi-level feedback queues by estimated size, queues share capacity by weight, and thin arrays (those
+//! with few tasks) skip sampling. In addition, the scheduler supports guarantees and limits of teams, priorities and
+//! preemption. This crate does no I/O and reads no clock.
 //!
 //! | module | subject |
 //! | --- | --- |
-//! | `snapshot` | the cluster as the decisions see it |
-//! | `round` | one round of placement, reservation and preemption |
-//! | `fleet` | machines to rent |
-//! | `sampling` | pilots, queues and their weights |
+//! | `snapshot` | the input of the scheduler: state of the cluster at one moment |
+//! | `round` | one scheduling round: placement, reservation and preemption |
+//! | `fleet` | scale-out: number of machines to rent |
+//! | `sampling` | number of pilots, choice of the queue, weights of queues |
 //! | `resources` | amounts of CPUs, GPUs and memory |
 //! | `ranges` | compact sets of task numbers |
 
@@ -23,8 +24,8 @@
 pub use fleet::{plan_fleet, FleetSnapshot, Offer, RentRequest};
 pub use ranges::RangeSet;
 pub use resources::{ResourceBounds, Resources};
-pub use round::{Decision, Outcome, Round};
-pub use sampling::{pilots_of, queue_of, weight_of, Policy};
+pub use round::{Decision, Round, RoundOutcome};
+pub use sampling::{pilot_count, queue_for_size, queue_weight, Policy};
 pub use snapshot::{
     ClusterSnapshot, JobSnapshot, MachineSnapshot, RunningTask, TeamSnapshot, UNKNOWN_ZONE,
 };
--- a/crates/sched/src/ranges.rs
+++ b/crates/sched/src/ranges.rs
@@ -1,12 +1,12 @@
-//! Compact sets of task numbers.
+//! Compact sets of task numbers, with a text form.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A set of task numbers kept as ranges.
+/// A set of task numbers, stored as ranges.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RangeSet {
-    /// Last member of each range, by its first. Ranges neither overlap nor touch.
+    /// Last member of each range, keyed by its first member. Ranges neither overlap nor touch.
     ranges: BTreeMap<u32, u32>,
     /// Number of members.
     len: u64,
@@ -18,7 +18,7 @@
         self.len
     }
 
-    /// Whether it has no members.
+    /// Whether the set has no members.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -31,7 +31,7 @@
             .is_some_and(|(_, end)| *end >= number)
     }
 
-    /// Adds `number`; true if it is new.
+    /// Adds `number`; true if it was not a member.
     pub fn insert(&mut self, number: u32) -> bool {
         if self.contains(number) {
             return false;
@@ -71,7 +71,7 @@
         true
     }
 
-    /// The smallest number, from `from` on, that is not a member.
+    /// The smallest number not below `from` that is not a member.
     pub fn next_missing(&self, from: u32) -> u32 {
         match self.ranges.range(..=from).next_back() {
             Some((_, &end)) if end >= from => end.saturating_add(1),
@@ -79,10 +79,10 @@
         }
     }
 
-    /// Reads the text form, `0-3,7`. Malformed text yields `None`.
+    /// Parses the text form, such as `0-3,7`. Returns `None` for malformed text.
     pub fn parse(text: &str) -> Option<RangeSet> {
         let mut set = RangeSet::default();
-        for part in text.split(',').filter(|p| !p.is_empty()) {
+        for part in text.split(',').filter(|part| !part.is_empty()) {
             let (start, end) = part.split_once('-').unwrap_or((part, part));
             let start = start.parse::<u32>().ok()?;
             let end = end.parse::<u32>().ok()?;
@@ -95,7 +95,7 @@
         Some(set)
     }
 
-    /// All members in order.
+    /// All members in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.ranges.iter().flat_map(|(&start, &end)| start..=end)
     }
--- a/crates/sched/src/ranges/tests.rs
+++ b/crates/sched/src/ranges/tests.rs
@@ -1,10 +1,10 @@
-//! Range sets against plain sets.
+//! Compares range sets with `BTreeSet`.
 
 use super::RangeSet;
 use std::collections::BTreeSet;
 
 #[test]
-fn it_agrees_with_a_plain_set_and_survives_its_text_form() {
+fn a_range_set_matches_a_btree_set_and_round_trips_through_its_text_form() {
     let (mut ranges, mut plain) = (RangeSet::default(), BTreeSet::new());
     let mut x: u32 = 7;
     for _ in 0..2000 {
--- a/crates/sched/src/round.rs
+++ b/crates/sched/src/round.rs
@@ -1,22 +1,25 @@
-//! One round of decisions: who gets free room, and who has to make room.
+//! One scheduling round: places waiting tasks on free capacity, preempts running tasks and reserves machines for gangs.
 //!
-//! Order of jobs: work that fits its team's guarantee, then priority, then pilots, then queued jobs by weighted sharing
-//! between queues, then deferred tasks of arrays still being sampled, those without an objective last.
+//! Jobs are ordered by these criteria: work within the guarantee of its team goes first, then work of higher priority,
+//! then pilots and services, then queued jobs by weighted sharing between the queues, then deferred tasks of arrays
+//! that are still being sampled, of which those without an objective go last.
 //!
-//! The time budget can cut a round short. What it has decided stands; the next round works from a fresh snapshot and
-//! starts with the job after the one reached.
+//! A round that exceeds its time budget ends early. Its decisions remain valid. The next round works from a new
+//! snapshot and continues with the jobs that rank after those for which this round found no capacity.
+//!
+//! Jobs, machines and teams are referred to by their index in the snapshot.
 //!
 //! | module | subject |
 //! | --- | --- |
 //! | `decision` | the result of a round |
-//! | `initial` | what a round derives from its snapshot before it starts |
+//! | `initial` | state that a round derives from its snapshot before it starts |
 //! | `rank` | the order of jobs |
-//! | `placement` | which machines a task may go to, and which suits it best |
-//! | `gangs` | machines for a whole gang at once |
-//! | `limits` | the part of a team's limit that is left to a gang waiting for it |
-//! | `room` | room made for a job that is entitled to it |
-//! | `reservations` | machines reserved for gangs while they empty |
-//! | `preemption` | tasks stopped to make room |
+//! | `placement` | machines that a task may be placed on, and their placement costs |
+//! | `gangs` | machines for all tasks of a gang at once |
+//! | `limits` | the part of a team's limit that is set aside for a waiting gang |
+//! | `room` | capacity freed or reserved for a job that could not be placed |
+//! | `reservations` | machines reserved for gangs while they drain |
+//! | `preemption` | tasks stopped to make room for other jobs |
 
 mod decision;
 mod gangs;
@@ -34,35 +37,36 @@
 use initial::{earlier_reservations, long_running, queue_usage, smallest_task};
 use limits::LimitClaim;
 
-pub use decision::{Decision, Outcome};
+pub use decision::{Decision, RoundOutcome};
 
-/// A round in progress.
+/// A scheduling round in progress.
 pub struct Round<'a> {
     policy: &'a Policy,
     snapshot: ClusterSnapshot,
-    /// Weight of what runs, by queue.
+    /// Total resource weight of the tasks on machines, by queue.
     queue_usage: Vec<f64>,
-    /// How many of each job's waiting tasks have been placed.
-    placed: Vec<usize>,
-    /// Jobs for which there is no room.
+    /// Number of waiting tasks that this round has placed, by job.
+    placed_tasks: Vec<usize>,
+    /// Whether a job is left out of the rest of the round, by job.
     blocked: Vec<bool>,
-    /// The gang for which each machine is reserved.
+    /// The gang for which a machine is reserved, by machine.
     reserved_for: Vec<Option<usize>>,
-    /// The gang of each team, if any, for which part of the team's limit is set aside.
+    /// The claim of a gang on part of its team's limit, by team.
     limit_claims: Vec<Option<LimitClaim>>,
-    /// Resources of each team's tasks that will run for long.
+    /// Resources of the tasks that are expected to run for long, by team.
     long_running: Vec<Resources>,
     decisions: Vec<Decision>,
-    /// The least that any waiting task takes, resource by resource.
+    /// The minimum of each resource over all waiting tasks.
     smallest_task: Resources,
-    /// Machines that may still take a task: most of a busy fleet is full, and a round looks at these for each task.
+    /// Machines with capacity for a further task. Most machines of a busy fleet are full, and a round examines every
+    /// machine of this list for each task.
     open_machines: Vec<usize>,
-    /// Tasks that may be stopped, by machine; filled when they are first looked for.
-    victims: Option<Vec<Vec<usize>>>,
+    /// Indexes of the running tasks that may be preempted, by machine. Computed when first needed.
+    preemptible_tasks: Option<Vec<Vec<usize>>>,
 }
 
 impl<'a> Round<'a> {
-    /// A round over a snapshot.
+    /// Starts a round over a snapshot.
     pub fn new(policy: &'a Policy, snapshot: ClusterSnapshot) -> Self {
         let (jobs, machines, teams) = (
             snapshot.jobs.len(),
@@ -72,7 +76,7 @@
         let mut round = Round {
             policy,
             queue_usage: queue_usage(policy, &snapshot),
-            placed: vec![0; jobs],
+            placed_tasks: vec![0; jobs],
             blocked: vec![false; jobs],
             reserved_for: earlier_reservations(&snapshot),
             limit_claims: vec![None; teams],
@@ -80,7 +84,7 @@
             decisions: Vec::new(),
             smallest_task: smallest_task(&snapshot),
             open_machines: Vec::new(),
-            victims: None,
+            preemptible_tasks: None,
             snapshot,
         };
         round.open_machines = (0..machines)
@@ -90,26 +94,28 @@
         round
     }
 
-    /// Leaves out jobs for which the last round found no room before it was cut short: this one goes on behind them.
+    /// Excludes jobs for which the previous round found no capacity before its time budget ran out, so that this round
+    /// continues with the jobs that rank after them.
     pub fn exclude(&mut self, jobs: impl Iterator<Item = usize>) {
         for job in jobs {
             self.blocked[job] = true;
         }
     }
 
-    /// Decides until nothing is left to decide or `within_budget` says that the time is up.
-    pub fn run(mut self, within_budget: impl FnMut() -> bool) -> Outcome {
-        let finished = self.decide(within_budget);
+    /// Makes decisions until none are left to make or `within_budget` returns false.
+    pub fn run(mut self, within_budget: impl FnMut() -> bool) -> RoundOutcome {
+        let finished = self.place_jobs(within_budget);
         self.decide_reservations();
         let is_blocked = |&job: &usize| self.blocked[job] && self.tasks_left(job) > 0;
-        Outcome {
+        RoundOutcome {
             blocked: (0..self.blocked.len()).filter(is_blocked).collect(),
             decisions: self.decisions,
             finished,
         }
     }
 
-    fn decide(&mut self, mut within_budget: impl FnMut() -> bool) -> bool {
+    /// Places tasks in the order of their jobs; false if the time budget ran out first.
+    fn place_jobs(&mut self, mut within_budget: impl FnMut() -> bool) -> bool {
         let mut waiting: Vec<usize> = (0..self.snapshot.jobs.len()).collect();
         loop {
             if !within_budget() {
@@ -120,10 +126,11 @@
             let Some((_, job)) = first else {
                 return true;
             };
-            // A placement improves no other job's rank, so this job stays first until it ranks behind the second.
+            // A placement does not improve the rank of any other job, so this job stays first until it ranks behind
+            // the second.
             loop {
                 if !self.place_next(job) {
-                    self.skip(job);
+                    self.block(job);
                     break;
                 }
                 let overtaken = second.is_some_and(|second| second < (self.rank(job), job));
@@ -137,8 +144,9 @@
         }
     }
 
-    /// Leaves a job out of the rest of the round, after making room for it if it is entitled to that.
-    fn skip(&mut self, job: usize) {
+    /// Leaves a job out of the rest of the round. Unless it is blocked already, first tries to free or reserve capacity
+    /// for it.
+    fn block(&mut self, job: usize) {
         if !self.blocked[job] {
             self.make_room(job);
             if self.reserved_for.contains(&Some(job)) {
@@ -150,33 +158,38 @@
 
     /// Number of waiting tasks that have not been placed yet.
     fn tasks_left(&self, job: usize) -> usize {
-        self.snapshot.jobs[job].waiting.len() - self.placed[job]
+        self.snapshot.jobs[job].waiting_tasks.len() - self.placed_tasks[job]
     }
 
-    /// What the job would ask for next: one task, or the whole gang.
-    fn demand(&self, job: usize) -> Resources {
-        let spec = &self.snapshot.jobs[job];
-        let tasks = if spec.gang { self.tasks_left(job) } else { 1 };
-        spec.task.times(tasks as f64)
+    /// Resources of the job's next placement: those of one task, or of the rest of a gang.
+    fn next_demand(&self, job: usize) -> Resources {
+        let job_snapshot = &self.snapshot.jobs[job];
+        let tasks = if job_snapshot.gang {
+            self.tasks_left(job)
+        } else {
+            1
+        };
+        job_snapshot.task_resources.times(tasks as f64)
     }
 
     /// Whether the next task of a job is a pilot.
     fn next_is_pilot(&self, job: usize) -> bool {
-        (self.placed[job] as u32) < self.snapshot.jobs[job].pilots_due
+        (self.placed_tasks[job] as u32) < self.snapshot.jobs[job].pilots_due
     }
 
-    /// Places the next task or the gang; false if there is no room.
+    /// Places the next task of a job, or the rest of a gang; false if its team's limit or the lack of capacity prevents
+    /// it.
     fn place_next(&mut self, job: usize) -> bool {
-        let demand = self.demand(job);
+        let demand = self.next_demand(job);
         let team = &self.snapshot.teams[self.snapshot.jobs[job].team];
         let mut with_claim = demand;
         with_claim.add(&self.claimed_ahead_of(job));
-        if !team.allows(&with_claim) {
+        if !team.is_within_limit(&with_claim) {
             self.blocked[job] = true;
             self.claim_limit(job);
             return false;
         }
-        let entitled = team.entitles(&demand);
+        let entitled = team.is_within_guarantee(&demand);
         if self.snapshot.jobs[job].gang {
             self.place_gang(job, entitled)
         } else {
@@ -184,18 +197,19 @@
         }
     }
 
+    /// Places all waiting tasks of a gang; false if there is no capacity for all of them.
     fn place_gang(&mut self, job: usize, entitled: bool) -> bool {
         let Some(chosen) = self.gang_machines(job, |machine| machine.free, false) else {
             return false;
         };
-        let waiting = &self.snapshot.jobs[job].waiting[self.placed[job]..];
+        let waiting = &self.snapshot.jobs[job].waiting_tasks[self.placed_tasks[job]..];
         let tasks: Vec<(u32, usize)> = waiting.iter().copied().zip(chosen).collect();
         for &(_, machine) in &tasks {
-            self.occupy(job, machine, false);
+            self.count_placement(job, machine, false);
             self.reserved_for[machine] = None;
         }
         self.release_reservations(job);
-        self.placed[job] += tasks.len();
+        self.placed_tasks[job] += tasks.len();
         self.decisions.push(Decision::Place {
             job,
             tasks,
@@ -205,14 +219,15 @@
         true
     }
 
+    /// Places the next task of a job; false if no machine has capacity for it.
     fn place_task(&mut self, job: usize, entitled: bool) -> bool {
         let pilot = self.next_is_pilot(job);
         let Some(machine) = self.best_machine(job, pilot) else {
             return false;
         };
-        let task = self.snapshot.jobs[job].waiting[self.placed[job]];
-        self.occupy(job, machine, pilot);
-        self.placed[job] += 1;
+        let task = self.snapshot.jobs[job].waiting_tasks[self.placed_tasks[job]];
+        self.count_placement(job, machine, pilot);
+        self.placed_tasks[job] += 1;
         self.decisions.push(Decision::Place {
             job,
             tasks: vec![(task, machine)],
@@ -222,21 +237,21 @@
         true
     }
 
-    /// Counts a task of the job as running on the machine.
-    fn occupy(&mut self, job: usize, machine: usize, pilot: bool) {
-        let task = self.snapshot.jobs[job].task;
+    /// Updates the snapshot and the usage of queue and team for a task that has been placed on a machine.
+    fn count_placement(&mut self, job: usize, machine: usize, pilot: bool) {
+        let task = self.snapshot.jobs[job].task_resources;
         let target = &mut self.snapshot.machines[machine];
         target.free.sub(&task);
         target.free_after_stops.sub(&task);
         target.pilots += u32::from(pilot);
         target.free_slots = target.free_slots.saturating_sub(1);
         let zone = target.zone;
-        let spec = &mut self.snapshot.jobs[job];
-        add_to_zone(&mut spec.tasks_by_zone, zone, 1);
-        if let Some(usage) = self.queue_usage.get_mut(spec.queue) {
+        let job_snapshot = &mut self.snapshot.jobs[job];
+        add_to_zone(&mut job_snapshot.tasks_by_zone, zone, 1);
+        if let Some(usage) = self.queue_usage.get_mut(job_snapshot.queue) {
             *usage += task.weight();
         }
-        self.snapshot.teams[spec.team].used.add(&task);
+        self.snapshot.teams[job_snapshot.team].used.add(&task);
         if !self.can_take_task(machine) {
             if let Some(at) = self.open_machines.iter().position(|&open| open == machine) {
                 self.open_machines.swap_remove(at);
@@ -245,7 +260,7 @@
     }
 }
 
-/// Adds to the number of tasks in a zone.
+/// Adds `tasks` to the number of tasks in a zone.
 fn add_to_zone(zones: &mut Vec<(usize, u32)>, zone: usize, tasks: u32) {
     match zones.iter_mut().find(|(known, _)| *known == zone) {
         Some((_, count)) => *count += tasks,
--- a/crates/sched/src/round/decision.rs
+++ b/crates/sched/src/round/decision.rs
@@ -1,44 +1,44 @@
 //! The result of a round.
 
-/// One decision of a round. Jobs and machines are numbers of the snapshot.
+/// One decision of a round. Jobs and machines are given by their index in the snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Place tasks of a job; of a gang all its waiting tasks at once.
+    /// Place tasks of a job. All waiting tasks of a gang are placed in one decision.
     Place {
-        /// Job.
+        /// The job.
         job: usize,
-        /// Pairs of task and machine.
+        /// Pairs of task number and machine.
         tasks: Vec<(u32, usize)>,
-        /// Whether they are pilots.
+        /// Whether the tasks are pilots.
         pilots: bool,
-        /// Whether they fit the team's guarantee when placed.
+        /// Whether the tasks were within the team's guarantee when they were placed.
         entitled: bool,
     },
-    /// Stop a task to make room.
-    Stop {
-        /// Job of the task.
+    /// Stop a running task to make room for another job.
+    Preempt {
+        /// The job of the task.
         job: usize,
-        /// Task.
+        /// Number of the task.
         task: u32,
-        /// Job that needs the room.
+        /// The job for which the task is preempted.
         by: usize,
     },
-    /// Reserve machines for a gang, so that they do not fill up before it finds room on them.
+    /// Reserve machines for a gang, so that other tasks do not fill them before the gang can be placed.
     Reserve {
-        /// Gang.
+        /// The gang.
         job: usize,
-        /// Machines.
+        /// The machines.
         machines: Vec<usize>,
     },
 }
 
 /// The result of a round.
 #[derive(Debug, Default)]
-pub struct Outcome {
+pub struct RoundOutcome {
     /// The decisions, in order.
     pub decisions: Vec<Decision>,
-    /// Whether it ended within its time budget.
+    /// Whether the round ended within its time budget.
     pub finished: bool,
-    /// Jobs for which there was no room.
+    /// Jobs with waiting tasks that could not be placed.
     pub blocked: Vec<usize>,
 }
--- a/crates/sched/src/round/gangs.rs
+++ b/crates/sched/src/round/gangs.rs
@@ -1,30 +1,34 @@
-//! Machines for a whole gang at once.
+//! Choice of machines for all tasks of a gang at once.
+//!
+//! The costs below are added to the placement cost of a machine. They order the machines: those that are up before
+//! those that are booting, and within each group those reserved for the gang, then those not reserved, then those
+//! reserved for gangs of lower rank.
 
 use super::{add_to_zone, Round};
 use crate::{MachineSnapshot, Resources};
 
-/// Cost of a machine that is reserved for a gang behind this one.
-const TAKE_OVER_COST: f64 = 1_000.0;
-/// Cost saved by a machine that is reserved for this gang.
-const RESERVED_GAIN: f64 = 2_000.0;
+/// Cost of a machine that is reserved for a gang of lower rank.
+const TAKEOVER_COST: f64 = 1_000.0;
+/// Reduction of the cost of a machine that is reserved for this gang.
+const RESERVED_DISCOUNT: f64 = 2_000.0;
 /// Cost of a booting machine that is reserved for this gang.
 const BOOTING_RESERVED_COST: f64 = 2_000.0;
 /// Cost of a booting machine that is not reserved.
 const BOOTING_COST: f64 = 4_000.0;
-/// Cost of a booting machine that is reserved for a gang behind this one.
-const BOOTING_TAKE_OVER_COST: f64 = 6_000.0;
+/// Cost of a booting machine that is reserved for a gang of lower rank.
+const BOOTING_TAKEOVER_COST: f64 = 6_000.0;
 
-/// A machine on which tasks of a gang could start.
+/// A machine with capacity for tasks of a gang.
 struct Candidate {
     cost: f64,
     machine: usize,
-    /// How many tasks it has room for.
+    /// How many tasks of the gang it has room for.
     tasks: u32,
 }
 
 impl Round<'_> {
-    /// Machines for all waiting tasks of a gang, in the capacity that `room` gives for each machine. `include_booting`
-    /// also counts machines that are expected to be up within moments.
+    /// A machine for each waiting task of a gang, or `None` if there is too little capacity. `room` returns the
+    /// capacity of a machine that may be used. `include_booting` also admits machines that are expected to be up soon.
     pub(super) fn gang_machines(
         &self,
         job: usize,
@@ -33,7 +37,7 @@
     ) -> Option<Vec<usize>> {
         let candidates = self.gang_candidates(job, room, include_booting);
         if !self.snapshot.jobs[job].one_zone {
-            return self.fill(job, &candidates, None);
+            return self.assign_machines(job, &candidates, None);
         }
         let mut zones: Vec<usize> = Vec::new();
         for candidate in &candidates {
@@ -48,24 +52,24 @@
         };
         zones
             .into_iter()
-            .filter_map(|zone| self.fill(job, &candidates, Some(zone)))
+            .filter_map(|zone| self.assign_machines(job, &candidates, Some(zone)))
             .map(|machines| (cost(&machines), machines))
             .min_by(|a, b| a.0.total_cmp(&b.0))
             .map(|(_, machines)| machines)
     }
 
-    /// Machines with room for a task of the gang at least, the best first.
+    /// Machines with room for at least one task of the gang, in the order of their cost.
     fn gang_candidates(
         &self,
         job: usize,
         room: impl Fn(&MachineSnapshot) -> Resources,
         include_booting: bool,
     ) -> Vec<Candidate> {
-        let task = &self.snapshot.jobs[job].task;
+        let task = &self.snapshot.jobs[job].task_resources;
         let needed = self.tasks_left(job) as u32;
-        let behind = self.holders_behind(job);
+        let lower_ranked = self.lower_ranked_holders(job);
         let available = |machine: usize| {
-            self.reserved_for[machine].is_none_or(|holder| holder == job || behind[holder])
+            self.reserved_for[machine].is_none_or(|holder| holder == job || lower_ranked[holder])
         };
         let mut candidates: Vec<Candidate> = (0..self.snapshot.machines.len())
             .filter(|&m| room(&self.snapshot.machines[m]).can_fit(task))
@@ -86,22 +90,22 @@
         candidates
     }
 
-    /// Machines that are up go before booting ones; among each, those reserved for the gang go first.
+    /// Cost of a machine by its reservation and by whether it is still booting.
     fn reservation_cost(&self, job: usize, machine: usize) -> f64 {
         let ready_in_s = self.snapshot.machines[machine].ready_in_s;
         match (ready_in_s, self.reserved_for[machine]) {
-            (None, Some(holder)) if holder == job => -RESERVED_GAIN,
+            (None, Some(holder)) if holder == job => -RESERVED_DISCOUNT,
             (None, None) => 0.0,
-            (None, Some(_)) => TAKE_OVER_COST,
+            (None, Some(_)) => TAKEOVER_COST,
             (Some(s), Some(holder)) if holder == job => BOOTING_RESERVED_COST + s,
             (Some(s), None) => BOOTING_COST + s,
-            (Some(s), Some(_)) => BOOTING_TAKE_OVER_COST + s,
+            (Some(s), Some(_)) => BOOTING_TAKEOVER_COST + s,
         }
     }
 
-    /// A machine for each waiting task of the gang, in the order of the candidates, in the only zone allowed if there
-    /// is one.
-    fn fill(
+    /// Assigns the waiting tasks of the gang to the candidates in their order, in `only_zone` if it is given. Returns
+    /// the machine of each task, or `None` if there is too little capacity.
+    fn assign_machines(
         &self,
         job: usize,
         candidates: &[Candidate],
@@ -127,18 +131,18 @@
         (chosen.len() as u32 == needed).then_some(chosen)
     }
 
-    /// Gangs that rank behind this one, by job: it may take over their reserved machines. Otherwise each large gang
-    /// reserves most of what it needs and waits for its last machine, while all of them together have enough for some
-    /// to start.
-    fn holders_behind(&self, job: usize) -> Vec<bool> {
-        let mut behind = vec![false; self.snapshot.jobs.len()];
+    /// Whether a job holds reservations and ranks behind this gang, by job. The gang may take over the machines
+    /// reserved for such a job. Otherwise each of several large gangs could reserve most of the machines that it needs
+    /// and wait for its last one, although all of them together hold enough machines for some of them to start.
+    fn lower_ranked_holders(&self, job: usize) -> Vec<bool> {
+        let mut lower_ranked = vec![false; self.snapshot.jobs.len()];
         let own = (self.rank(job), job);
         let mut holders: Vec<usize> = self.reserved_for.iter().flatten().copied().collect();
         holders.sort_unstable();
         holders.dedup();
         for holder in holders {
-            behind[holder] = own < (self.rank(holder), holder);
+            lower_ranked[holder] = own < (self.rank(holder), holder);
         }
-        behind
+        lower_ranked
     }
 }
--- a/crates/sched/src/round/placement.rs
+++ b/crates/sched/src/round/placement.rs
@@ -1,65 +1,69 @@
-//! Which machines a task may go to, and which suits it best.
+//! Machines that a task may be placed on, and the choice of the one with the lowest placement cost.
 
 use super::Round;
 use crate::{MachineSnapshot, UNKNOWN_ZONE};
 use constants::{DISPATCH_DELAY_COST, READY_SOON_S, UNCHECKPOINTED_COST};
 
-/// Cost of each pilot that already runs on a machine, for another one.
-const PILOT_COST: f64 = 1000.0;
-/// Cost of a machine that is slower than others of its type.
-const SLOW_COST: f64 = 400.0;
-/// Cost of a machine that lacks the image.
-const FETCH_COST: f64 = 100.0;
-/// Cost of an on-demand machine for work that may run on spot instances: capacity for gangs and other work that needs
-/// on-demand machines is used last.
-const ORDINARY_COST: f64 = 40.0;
+/// Placement cost of a pilot for each pilot that already runs on the machine.
+const RUNNING_PILOT_COST: f64 = 1000.0;
+/// Placement cost of a machine that is slower than others of its type.
+const SLOW_MACHINE_COST: f64 = 400.0;
+/// Placement cost of a machine that has not fetched the job's image.
+const IMAGE_FETCH_COST: f64 = 100.0;
+/// Placement cost of an on-demand machine for work that may run on spot machines. Such work uses on-demand machines
+/// last, since gangs and other work need them.
+const ON_DEMAND_COST: f64 = 40.0;
 
 impl Round<'_> {
-    /// Whether a machine has room for the smallest of the waiting tasks.
+    /// Whether a machine may have capacity for some waiting task, judged by the minimum of each resource.
     pub(super) fn can_take_task(&self, machine: usize) -> bool {
         let host = &self.snapshot.machines[machine];
         host.usable && host.free_slots > 0 && host.free.can_fit(&self.smallest_task)
     }
 
-    /// Whether tasks of the job may go to the machine, if there is room.
+    /// Whether tasks of the job may be placed on the machine, its free resources and reservations aside.
     pub(super) fn is_allowed(&self, job: usize, machine: usize) -> bool {
         self.snapshot.machines[machine].usable && self.meets_constraints(job, machine)
     }
 
-    /// Whether tasks of the job may go to the machine now or within moments.
+    /// Like [`Self::is_allowed`], but also accepts machines that are expected to have booted within [`READY_SOON_S`]
+    /// seconds.
     pub(super) fn is_allowed_soon(&self, job: usize, machine: usize) -> bool {
         let host = &self.snapshot.machines[machine];
         let usable_soon = host.usable || host.ready_in_s.is_some_and(|s| s <= READY_SOON_S);
         usable_soon && self.meets_constraints(job, machine)
     }
 
+    /// Whether a machine meets the job's constraints and has a free task slot.
     fn meets_constraints(&self, job: usize, machine: usize) -> bool {
-        let spec = &self.snapshot.jobs[job];
+        let job_snapshot = &self.snapshot.jobs[job];
         let host = &self.snapshot.machines[machine];
         host.free_slots > 0
-            && (spec.spot || !host.spot)
-            && spec.zone.is_none_or(|zone| zone == host.zone)
-            && spec
-                .kinds
+            && (job_snapshot.spot_allowed || !host.spot)
+            && job_snapshot
+                .required_zone
+                .is_none_or(|zone| zone == host.zone)
+            && job_snapshot
+                .machine_types
                 .as_ref()
-                .is_none_or(|kinds| kinds.contains(&host.kind))
-            && !spec.avoid.contains(&machine)
-            && host.total.can_fit(&spec.task)
+                .is_none_or(|machine_types| machine_types.contains(&host.machine_type))
+            && !job_snapshot.avoided_machines.contains(&machine)
+            && host.total.can_fit(&job_snapshot.task_resources)
     }
 
-    /// How many more tasks of the job the zone may take.
+    /// How many more tasks of the job may be placed in the zone.
     pub(super) fn zone_capacity(&self, job: usize, zone: usize) -> u32 {
-        let spec = &self.snapshot.jobs[job];
+        let job_snapshot = &self.snapshot.jobs[job];
         let is_elsewhere = |(used, tasks): &(usize, u32)| *used != zone && *tasks > 0;
-        if spec.one_zone && spec.tasks_by_zone.iter().any(is_elsewhere) {
+        if job_snapshot.one_zone && job_snapshot.tasks_by_zone.iter().any(is_elsewhere) {
             return 0;
         }
-        let Some(cap) = spec.max_per_zone else {
+        let Some(cap) = job_snapshot.max_per_zone else {
             return u32::MAX;
         };
-        // Tasks in an unknown zone may be in this one.
+        // Tasks in an unknown zone may be in this zone.
         let may_be_here = |used: usize| used == zone || used == UNKNOWN_ZONE;
-        let here = spec
+        let here = job_snapshot
             .tasks_by_zone
             .iter()
             .filter(|(used, _)| may_be_here(*used));
@@ -71,34 +75,35 @@
         self.reserved_for[machine].is_none_or(|holder| holder == job)
     }
 
-    /// What it costs to place a task of the job on the machine.
+    /// Cost of placing a task of the job on the machine; lower is better. Includes the weight of the resources that
+    /// remain free, so that of otherwise equal machines the fullest is preferred.
     pub(super) fn placement_cost(&self, job: usize, machine: usize, pilot: bool) -> f64 {
-        let spec = &self.snapshot.jobs[job];
+        let job_snapshot = &self.snapshot.jobs[job];
         let host = &self.snapshot.machines[machine];
         let mut cost = 0.0;
         if pilot {
-            cost += PILOT_COST * f64::from(host.pilots);
+            cost += RUNNING_PILOT_COST * f64::from(host.pilots);
         }
         if host.slow {
-            cost += SLOW_COST;
+            cost += SLOW_MACHINE_COST;
         }
-        if !host.images.contains(&spec.image) {
-            cost += FETCH_COST;
+        if !host.images.contains(&job_snapshot.image) {
+            cost += IMAGE_FETCH_COST;
         }
-        if spec.uncheckpointed {
+        if job_snapshot.uncheckpointed {
             cost += uncheckpointed_cost(host);
-        } else if spec.spot && !host.spot {
-            cost += ORDINARY_COST;
+        } else if job_snapshot.spot_allowed && !host.spot {
+            cost += ON_DEMAND_COST;
         }
         cost += DISPATCH_DELAY_COST * host.dispatch_delay_s;
         let mut rest = host.free;
-        rest.sub(&spec.task);
+        rest.sub(&job_snapshot.task_resources);
         cost + rest.weight().max(0.0)
     }
 
-    /// The machine that suits the next task of the job best, of those with room.
+    /// The machine with the lowest placement cost for the next task of the job, of those with capacity for it.
     pub(super) fn best_machine(&self, job: usize, pilot: bool) -> Option<usize> {
-        let task = &self.snapshot.jobs[job].task;
+        let task = &self.snapshot.jobs[job].task_resources;
         let has_room = |&machine: &usize| {
             let host = &self.snapshot.machines[machine];
             host.free.can_fit(task)
@@ -114,8 +119,8 @@
     }
 }
 
-/// Cost of a machine for a task without checkpoints. All its work is lost with a spot instance, and a task alone on an
-/// on-demand machine keeps that machine from being returned.
+/// Placement cost of a machine for a task without checkpoints. All work of such a task is lost with a spot machine, and
+/// a task that runs alone on an on-demand machine keeps that machine from being returned.
 fn uncheckpointed_cost(machine: &MachineSnapshot) -> f64 {
     let idle = machine.total.gpus > 0.0 && machine.free.gpus >= machine.total.gpus;
     match (machine.spot, idle) {
--- a/crates/sched/src/round/preemption.rs
+++ b/crates/sched/src/round/preemption.rs
@@ -1,12 +1,13 @@
-//! Preemption: stops tasks of lower priority, or, for a guarantee, those of a team that exceeds its own.
+//! Preemption: stops tasks of lower priority, or, for a job within its team's guarantee, tasks of teams that use more
+//! than their own guarantee.
 
 use super::{Decision, Round};
 use crate::{Resources, RunningTask, TeamSnapshot};
 use constants::FETCH_COST_S;
 
-/// Cost of stopping a task besides the work that is lost, in seconds.
+/// Cost in seconds of stopping a task, besides the cost of its preemption in lost work.
 const STOP_COST_S: f64 = 5.0;
-/// Cost of a slow machine, in seconds.
+/// Cost in seconds of making room on a slow machine.
 const SLOW_MACHINE_COST_S: f64 = 2.0 * FETCH_COST_S;
 
 /// The job for which tasks are preempted.
@@ -17,29 +18,29 @@
     priority: u8,
     gang: bool,
     /// Resources of each of its tasks.
-    task: Resources,
+    task_resources: Resources,
     image: usize,
-    /// Whether what it needs fits its team's guarantee.
+    /// Whether its next placement fits its team's guarantee.
     entitled: bool,
     /// Number of tasks to make room for.
     needed: u32,
 }
 
-/// Room that could be made on a machine.
+/// Room that preemption could make on a machine.
 struct PreemptionOption {
     cost_s: f64,
     machine: usize,
-    /// Running tasks to stop, by number.
+    /// Running tasks to stop, by their index in the snapshot.
     victims: Vec<usize>,
-    /// How many tasks the machine has room for then.
+    /// How many tasks of the job the machine has room for then.
     tasks: u32,
 }
 
 impl Round<'_> {
-    /// Preempts tasks for the job; false if that does not make enough room.
+    /// Preempts tasks for the job; false, without stopping any, if that would not make enough room.
     pub(super) fn preempt(&mut self, job: usize, entitled: bool) -> bool {
-        if self.victims.is_none() {
-            self.victims = Some(self.preemptible_by_machine());
+        if self.preemptible_tasks.is_none() {
+            self.preemptible_tasks = Some(self.group_preemptible_tasks());
         }
         let preemptor = self.preemptor(job, entitled);
         if !self.may_find_victims(&preemptor) {
@@ -58,48 +59,52 @@
         true
     }
 
+    /// The job's needs, as far as preemption considers them.
     fn preemptor(&self, job: usize, entitled: bool) -> Preemptor {
-        let spec = &self.snapshot.jobs[job];
-        let needed = if spec.gang {
+        let job_snapshot = &self.snapshot.jobs[job];
+        let needed = if job_snapshot.gang {
             self.tasks_left(job) as u32
         } else {
             1
         };
         Preemptor {
             job,
-            team: spec.team,
-            priority: spec.priority,
-            gang: spec.gang,
-            task: spec.task,
-            image: spec.image,
+            team: job_snapshot.team,
+            priority: job_snapshot.priority,
+            gang: job_snapshot.gang,
+            task_resources: job_snapshot.task_resources,
+            image: job_snapshot.image,
             entitled,
             needed,
         }
     }
 
-    fn preemptible_by_machine(&self) -> Vec<Vec<usize>> {
+    /// Indexes of the running tasks that may be preempted, by machine.
+    fn group_preemptible_tasks(&self) -> Vec<Vec<usize>> {
         let mut by_machine = vec![Vec::new(); self.snapshot.machines.len()];
-        for (number, task) in self.snapshot.running.iter().enumerate() {
+        for (index, task) in self.snapshot.running_tasks.iter().enumerate() {
             if task.preemptible {
-                by_machine[task.machine].push(number);
+                by_machine[task.machine].push(index);
             }
         }
         by_machine
     }
 
-    /// Whether any task could be preempted. Most waiting jobs can preempt none, and need no look at every machine.
+    /// Whether any task could be preempted. Most waiting jobs can preempt none, and this check spares them the
+    /// examination of every machine.
     fn may_find_victims(&self, preemptor: &Preemptor) -> bool {
         let lower = |task: &RunningTask| task.preemptible && task.priority < preemptor.priority;
-        let lends = |team: &TeamSnapshot| team.borrows(&Resources::default());
-        self.snapshot.running.iter().any(lower)
-            || preemptor.entitled && self.snapshot.teams.iter().any(lends)
+        let uses_full_guarantee =
+            |team: &TeamSnapshot| team.keeps_guarantee_without(&Resources::default());
+        self.snapshot.running_tasks.iter().any(lower)
+            || preemptor.entitled && self.snapshot.teams.iter().any(uses_full_guarantee)
     }
 
-    /// Machines on which preemption makes room for at least one task.
+    /// Machines on which preemption can make room for at least one task of the job.
     fn preemption_options(&self, preemptor: &Preemptor) -> Vec<PreemptionOption> {
         let job = preemptor.job;
         let mut options = Vec::new();
-        for (machine, preemptible) in self.victims.iter().flatten().enumerate() {
+        for (machine, preemptible) in self.preemptible_tasks.iter().flatten().enumerate() {
             if !self.is_allowed(job, machine)
                 || !self.is_available(job, machine)
                 || self.zone_capacity(job, self.snapshot.machines[machine].zone) == 0
@@ -110,11 +115,11 @@
             if preemptible.is_empty()
                 && !self.snapshot.machines[machine]
                     .free_after_stops
-                    .can_fit(&preemptor.task)
+                    .can_fit(&preemptor.task_resources)
             {
                 continue;
             }
-            let option = self.room_on(machine, preemptor, preemptible);
+            let option = self.preemption_option_on(machine, preemptor, preemptible);
             if option.tasks > 0 {
                 options.push(option);
             }
@@ -122,21 +127,22 @@
         options
     }
 
-    /// Tasks of other jobs that may still be stopped: lowest priority first, then by the work that is lost.
+    /// Tasks of other jobs that may still be preempted: lowest priority first, then lowest preemption cost.
     fn cheapest_first(&self, job: usize, preemptible: &[usize]) -> Vec<usize> {
-        let running = &self.snapshot.running;
+        let running = &self.snapshot.running_tasks;
         let may_stop = |&task: &usize| running[task].preemptible && running[task].job != job;
         let mut tasks: Vec<usize> = preemptible.iter().copied().filter(may_stop).collect();
         tasks.sort_by(|&a, &b| {
             let (a, b) = (&running[a], &running[b]);
             let by_priority = a.priority.cmp(&b.priority);
-            by_priority.then(a.cost_s.total_cmp(&b.cost_s))
+            by_priority.then(a.preemption_cost_s.total_cmp(&b.preemption_cost_s))
         });
         tasks
     }
 
-    /// The room that stopping tasks makes on a machine, until one task of the job fits.
-    fn room_on(
+    /// The room on a machine after as many preemptions as are needed for one task of the job to fit, as far as the
+    /// machine's tasks may be preempted for the job.
+    fn preemption_option_on(
         &self,
         machine: usize,
         preemptor: &Preemptor,
@@ -145,7 +151,8 @@
         let host = &self.snapshot.machines[machine];
         let (mut victims, mut cost_s) = (Vec::new(), 0.0);
         if !host.images.contains(&preemptor.image) {
-            // The room is needed soon, and a fetch may take longer than the checkpoints of the stopped tasks.
+            // The room is needed soon, and fetching the image may take longer than the stopped tasks need to save their
+            // checkpoints.
             cost_s += FETCH_COST_S;
         }
         if host.slow {
@@ -153,30 +160,30 @@
         }
         let mut room = host.free_after_stops;
         let mut teams = self.snapshot.teams.clone();
-        for number in preemptible {
-            if room.can_fit(&preemptor.task) {
+        for index in preemptible {
+            if room.can_fit(&preemptor.task_resources) {
                 break;
             }
-            let task = &self.snapshot.running[number];
-            let by_guarantee = preemptor.entitled
+            let task = &self.snapshot.running_tasks[index];
+            let is_beyond_guarantee = preemptor.entitled
                 && task.team != preemptor.team
-                && teams[task.team].borrows(&task.resources);
-            if task.priority < preemptor.priority || by_guarantee {
+                && teams[task.team].keeps_guarantee_without(&task.resources);
+            if task.priority < preemptor.priority || is_beyond_guarantee {
                 room.add(&task.resources);
                 teams[task.team].stopping.add(&task.resources);
-                cost_s += task.cost_s + STOP_COST_S;
-                victims.push(number);
+                cost_s += task.preemption_cost_s + STOP_COST_S;
+                victims.push(index);
             }
         }
         PreemptionOption {
             cost_s,
             machine,
             victims,
-            tasks: room.capacity_for(&preemptor.task, preemptor.needed),
+            tasks: room.capacity_for(&preemptor.task_resources, preemptor.needed),
         }
     }
 
-    /// Keeps the options of the first zone with room for all tasks; false if there is none.
+    /// Retains the options of the first zone that has room for all tasks; false if no zone has.
     fn retain_one_zone(&self, options: &mut Vec<PreemptionOption>, needed: u32) -> bool {
         let zone_of = |option: &PreemptionOption| self.snapshot.machines[option.machine].zone;
         let room_in = |zone: usize| -> u32 {
@@ -191,7 +198,7 @@
         true
     }
 
-    /// Preempts tasks of the cheapest options, until there is room for all tasks needed.
+    /// Preempts the tasks of options in the given order until there is room for all tasks of the job that need it.
     fn stop_victims(&mut self, preemptor: &Preemptor, options: Vec<PreemptionOption>) {
         let mut needed = preemptor.needed;
         for option in options {
@@ -206,28 +213,29 @@
             } else {
                 self.snapshot.machines[option.machine]
                     .free_after_stops
-                    .sub(&preemptor.task);
+                    .sub(&preemptor.task_resources);
             }
             needed = needed.saturating_sub(option.tasks);
         }
     }
 
-    /// Preempts a task, unless tasks preempted for the same job have used up what its team had beyond its guarantee.
+    /// Preempts a task. Skips it if it may be preempted only because its team exceeds its guarantee, and earlier
+    /// preemptions for the same job have used up that excess.
     fn stop_victim(&mut self, preemptor: &Preemptor, victim: usize) {
-        let task = self.snapshot.running[victim].clone();
-        let by_guarantee =
-            preemptor.entitled && self.snapshot.teams[task.team].borrows(&task.resources);
-        if task.priority >= preemptor.priority && !by_guarantee {
+        let task = self.snapshot.running_tasks[victim].clone();
+        let is_beyond_guarantee = preemptor.entitled
+            && self.snapshot.teams[task.team].keeps_guarantee_without(&task.resources);
+        if task.priority >= preemptor.priority && !is_beyond_guarantee {
             return;
         }
-        self.snapshot.running[victim].preemptible = false;
+        self.snapshot.running_tasks[victim].preemptible = false;
         self.snapshot.machines[task.machine]
             .free_after_stops
             .add(&task.resources);
         self.snapshot.teams[task.team].stopping.add(&task.resources);
-        self.decisions.push(Decision::Stop {
+        self.decisions.push(Decision::Preempt {
             job: task.job,
-            task: task.task,
+            task: task.number,
             by: preemptor.job,
         });
     }
--- a/crates/sched/src/round/rank.rs
+++ b/crates/sched/src/round/rank.rs
@@ -1,73 +1,81 @@
 //! The order in which jobs are placed.
 
 use super::Round;
-use crate::weight_of;
+use crate::queue_weight;
 use std::cmp::Ordering;
 
 /// Class of a job's next task, in the order in which classes are placed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Class {
+enum PlacementClass {
     /// A pilot, or a service.
     PilotOrService,
-    /// Work whose size is known.
+    /// A task of a job that is not being sampled: its size has been estimated, or it skips sampling.
     Queued,
-    /// Deferred while the job is sampled; the job has an objective.
+    /// A task that is deferred while its job is being sampled. The job has an objective.
     DeferredWithObjective,
-    /// Deferred while the job is sampled; the job has no objective. In order of arrival it would go before jobs that
-    /// have one, for as long as its pilots run.
+    /// A task that is deferred while its job is being sampled. The job has no objective. Ordered by arrival, it would
+    /// go before jobs with an objective for as long as its pilots run.
     DeferredWithoutObjective,
 }
 
-/// Where a job stands: the smallest rank goes first.
+/// Rank of a job, compared field by field. The job with the smallest rank goes first.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 pub(super) struct Rank {
+    /// Whether the job's next placement exceeds its team's guarantee.
     beyond_guarantee: bool,
-    /// Larger is less important.
-    unimportance: u8,
-    class: Class,
-    /// Usage of the job's queue divided by the queue's weight.
+    /// `u8::MAX` minus the priority, so that a higher priority ranks first.
+    inverse_priority: u8,
+    class: PlacementClass,
+    /// Usage of the job's queue divided by the queue's weight; 0 for jobs that are not subject to weighted sharing.
     queue_share: f64,
+    /// Order within a queue, smallest first.
     order: u64,
 }
 
-/// A job with its rank. Jobs of the same rank go by number.
+/// A job with its rank. Jobs of equal rank are ordered by their index.
 pub(super) type RankedJob = (Rank, usize);
 
 impl Round<'_> {
-    /// The job's present rank. It changes with each placement.
+    /// The job's current rank. It may change with each placement.
     pub(super) fn rank(&self, job: usize) -> Rank {
-        let spec = &self.snapshot.jobs[job];
-        let entitled = self.snapshot.teams[spec.team].entitles(&self.demand(job));
+        let job_snapshot = &self.snapshot.jobs[job];
+        let entitled =
+            self.snapshot.teams[job_snapshot.team].is_within_guarantee(&self.next_demand(job));
         let class = self.class(job);
-        let queue_share = if class == Class::Queued && !spec.urgent {
-            let usage = self.queue_usage.get(spec.queue).copied().unwrap_or(0.0);
-            usage / weight_of(self.policy, spec.queue)
+        let queue_share = if class == PlacementClass::Queued && !job_snapshot.urgent {
+            let usage = self
+                .queue_usage
+                .get(job_snapshot.queue)
+                .copied()
+                .unwrap_or(0.0);
+            usage / queue_weight(self.policy, job_snapshot.queue)
         } else {
             0.0
         };
         Rank {
             beyond_guarantee: !entitled,
-            unimportance: u8::MAX - spec.priority,
+            inverse_priority: u8::MAX - job_snapshot.priority,
             class,
             queue_share,
-            order: spec.order,
+            order: job_snapshot.order,
         }
     }
 
-    fn class(&self, job: usize) -> Class {
-        let spec = &self.snapshot.jobs[job];
-        if self.next_is_pilot(job) || spec.service {
-            Class::PilotOrService
-        } else if !spec.sampling {
-            Class::Queued
-        } else if spec.has_objective {
-            Class::DeferredWithObjective
+    /// The class of the job's next task.
+    fn class(&self, job: usize) -> PlacementClass {
+        let job_snapshot = &self.snapshot.jobs[job];
+        if self.next_is_pilot(job) || job_snapshot.service {
+            PlacementClass::PilotOrService
+        } else if !job_snapshot.sampling {
+            PlacementClass::Queued
+        } else if job_snapshot.has_objective {
+            PlacementClass::DeferredWithObjective
         } else {
-            Class::DeferredWithoutObjective
+            PlacementClass::DeferredWithoutObjective
         }
     }
 
-    /// The two jobs that come first, of those given.
+    /// The two jobs with the smallest ranks among those given.
     pub(super) fn first_two(&self, jobs: &[usize]) -> (Option<RankedJob>, Option<RankedJob>) {
         let mut first: Option<RankedJob> = None;
         let mut second: Option<RankedJob> = None;
@@ -82,7 +90,7 @@
         (first, second)
     }
 
-    /// Order of two jobs of the same team, for which the guarantee makes no difference.
+    /// Compares two jobs of the same team by rank without regard to the team's guarantee.
     pub(super) fn compare_in_team(&self, a: usize, b: usize) -> Ordering {
         let rank = |job: usize| Rank {
             beyond_guarantee: false,
--- a/crates/sched/src/round/reservations.rs
+++ b/crates/sched/src/round/reservations.rs
@@ -1,20 +1,20 @@
-//! Machines reserved for gangs, so that they do not fill up with small tasks while they drain.
+//! Reservation of machines for gangs, so that draining machines do not fill up with small tasks before the gang fits.
 
 use super::{Decision, Round};
 use constants::RESERVED_PART;
 
-/// Machines that a gang could have reserved together: those of a zone, or all.
-struct Group {
-    /// The zone; 0 for a gang that may be spread.
+/// Machines that may be reserved together for a gang: those of one zone, or all.
+struct ReservableGroup {
+    /// The zone; 0 for a gang that need not stay in one zone.
     zone: usize,
-    /// Machines that are not reserved.
+    /// Machines that are not reserved yet.
     unreserved: Vec<usize>,
-    /// How many are reserved for the gang already.
+    /// Number of machines that are already reserved for the gang.
     reserved: usize,
 }
 
 impl Round<'_> {
-    /// Gives up all reservations of a job.
+    /// Releases all machines that are reserved for a job.
     pub(super) fn release_reservations(&mut self, job: usize) {
         for holder in &mut self.reserved_for {
             if *holder == Some(job) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Turns reservations of gangs that still wait into decisions.
+    /// Adds decisions for the reservations of gangs that still have waiting tasks.
     pub(super) fn decide_reservations(&mut self) {
         let mut by_job: Vec<Vec<usize>> = vec![Vec::new(); self.snapshot.jobs.len()];
         for (machine, holder) in self.reserved_for.iter().enumerate() {
@@ -38,16 +38,17 @@
         }
     }
 
-    /// Reserves the machines that drain soonest, all in one zone for a gang that needs one. A gang that can't get all
-    /// that it lacks reserves nothing: two gangs that each reserve half of what both need would deadlock.
+    /// Reserves the machines that drain soonest, all in one zone for a gang that must stay in one zone. A gang that
+    /// can't reserve all machines that it needs reserves none: two gangs that each reserved half of what both need
+    /// would deadlock.
     pub(super) fn reserve_draining(&mut self, job: usize) {
         let chosen = self.choose_reservations(job);
         let zone_of = |machine: usize| self.snapshot.machines[machine].zone;
-        let home = chosen.as_ref().and_then(|machines| machines.first());
-        let home = home.map(|&machine| zone_of(machine));
+        let first = chosen.as_ref().and_then(|machines| machines.first());
+        let chosen_zone = first.map(|&machine| zone_of(machine));
         let one_zone = self.snapshot.jobs[job].one_zone;
         for machine in 0..self.reserved_for.len() {
-            let elsewhere = one_zone && home.is_some_and(|zone| zone != zone_of(machine));
+            let elsewhere = one_zone && chosen_zone.is_some_and(|zone| zone != zone_of(machine));
             if self.reserved_for[machine] == Some(job) && (chosen.is_none() || elsewhere) {
                 self.reserved_for[machine] = None;
             }
@@ -57,25 +58,25 @@
         }
     }
 
-    /// The machines to reserve besides those that are, of the group that drains soonest.
+    /// Machines to reserve in addition to those already reserved for the job, from the group that drains soonest.
     fn choose_reservations(&self, job: usize) -> Option<Vec<usize>> {
         let taken = self.reserved_for.iter().flatten().count();
         let own = self.reserved_for.iter().flatten();
         let own = own.filter(|&&holder| holder == job).count();
-        // Only a part of the fleet may be reserved, unless a single gang needs more.
+        // Only a part of the fleet may be reserved, unless no other gang has reservations.
         let allowed = (self.snapshot.machines.len() / RESERVED_PART).saturating_sub(taken - own);
-        let alone = taken == own;
+        let is_only_holder = taken == own;
         let busy_s = |machine: usize| self.snapshot.machines[machine].busy_s;
         let mut best: Option<(f64, Vec<usize>)> = None;
         for group in self.reservable_groups(job) {
             let reserved = group.reserved;
-            let Some(chosen) = self.complete(job, group) else {
+            let Some(chosen) = self.soonest_drained(job, group) else {
                 continue;
             };
-            if reserved + chosen.len() > allowed && !alone {
+            if reserved + chosen.len() > allowed && !is_only_holder {
                 continue;
             }
-            // Machines reserved already make a zone cheaper.
+            // Machines that are already reserved for the gang reduce the cost of their group.
             let cost = chosen.last().map_or(0.0, |&last| busy_s(last)) - reserved as f64;
             if best.as_ref().is_none_or(|(least, _)| cost < *least) {
                 best = Some((cost, chosen));
@@ -84,9 +85,10 @@
         best.map(|(_, chosen)| chosen)
     }
 
-    fn reservable_groups(&self, job: usize) -> Vec<Group> {
+    /// Groups of machines that are reserved for the gang already or may be.
+    fn reservable_groups(&self, job: usize) -> Vec<ReservableGroup> {
         let one_zone = self.snapshot.jobs[job].one_zone;
-        let mut groups: Vec<Group> = Vec::new();
+        let mut groups: Vec<ReservableGroup> = Vec::new();
         for machine in 0..self.snapshot.machines.len() {
             let own = self.reserved_for[machine] == Some(job);
             let zone = self.snapshot.machines[machine].zone;
@@ -98,7 +100,7 @@
             let zone = if one_zone { zone } else { 0 };
             let known = groups.iter().position(|group| group.zone == zone);
             let at = known.unwrap_or_else(|| {
-                groups.push(Group {
+                groups.push(ReservableGroup {
                     zone,
                     unreserved: Vec::new(),
                     reserved: 0,
@@ -114,10 +116,11 @@
         groups
     }
 
-    /// The machines of a group that drain soonest, as many as the gang lacks; none if there are too few.
-    fn complete(&self, job: usize, group: Group) -> Option<Vec<usize>> {
+    /// The machines of a group that drain soonest, as many as the gang needs besides those reserved; `None` if there
+    /// are too few.
+    fn soonest_drained(&self, job: usize, group: ReservableGroup) -> Option<Vec<usize>> {
         let tasks = self.tasks_left(job);
-        let task = &self.snapshot.jobs[job].task;
+        let task = &self.snapshot.jobs[job].task_resources;
         let capacity = |machine: usize| {
             let total = &self.snapshot.machines[machine].total;
             total.capacity_for(task, tasks as u32) as usize
--- a/crates/sched/src/round/room.rs
+++ b/crates/sched/src/round/room.rs
@@ -1,19 +1,21 @@
-//! Room for a job that is entitled to it: on machines that are draining anyway, by preemption, or reserved for a gang.
+//! Capacity for a job that could not be placed: resources of tasks that are already being stopped, preemption of
+//! running tasks, or, for a gang, reserved machines.
 
 use super::Round;
 
 impl Round<'_> {
-    /// Makes room for a job that found none. The room is free in a later round.
+    /// Finds capacity for a job that could not be placed. The capacity becomes free in a later round.
     pub(super) fn make_room(&mut self, job: usize) {
-        let spec = &self.snapshot.jobs[job];
-        if !spec.gang && (self.next_is_pilot(job) || spec.sampling) {
+        let job_snapshot = &self.snapshot.jobs[job];
+        if !job_snapshot.gang && (self.next_is_pilot(job) || job_snapshot.sampling) {
             return;
         }
-        if spec.backed_off {
+        if job_snapshot.backed_off {
             return self.release_reservations(job);
         }
-        let is_gang = spec.gang;
-        let entitled = self.snapshot.teams[spec.team].entitles(&self.demand(job));
+        let is_gang = job_snapshot.gang;
+        let entitled =
+            self.snapshot.teams[job_snapshot.team].is_within_guarantee(&self.next_demand(job));
         let has_expected_room = if is_gang {
             self.reserve_expected_room(job)
         } else {
@@ -27,7 +29,8 @@
         }
     }
 
-    /// Reserves machines that are draining or booting, if they have room for the whole gang.
+    /// Reserves machines for a whole gang, counting resources of tasks that are being stopped and machines that are
+    /// booting; false if these have too little capacity.
     fn reserve_expected_room(&mut self, job: usize) -> bool {
         let Some(chosen) = self.gang_machines(job, |machine| machine.free_after_stops, true) else {
             return false;
@@ -39,9 +42,9 @@
         true
     }
 
-    /// Uses room that tasks being stopped are about to leave, if some machine has enough for a task.
+    /// Uses resources that tasks being stopped are about to free; false if no machine will have capacity for a task.
     fn use_expected_room(&mut self, job: usize) -> bool {
-        let task = self.snapshot.jobs[job].task;
+        let task = self.snapshot.jobs[job].task_resources;
         let machine = (0..self.snapshot.machines.len()).find(|&machine| {
             self.snapshot.machines[machine]
                 .free_after_stops
@@ -52,7 +55,7 @@
         let Some(machine) = machine else {
             return false;
         };
-        // Only `free_after_stops` is used up; the room that is free now stays open to all.
+        // Only `free_after_stops` is reduced. The resources that are free now stay available to all jobs.
         self.snapshot.machines[machine].free_after_stops.sub(&task);
         true
     }
--- a/crates/sched/src/round/tests.rs
+++ b/crates/sched/src/round/tests.rs
@@ -1,4 +1,4 @@
-//! Small snapshots, and the decisions of a round over them.
+//! Decisions of a round over small snapshots.
 
 use super::{Decision, Round};
 use crate::{
@@ -17,7 +17,7 @@
         memory_gb: 256.0,
     };
     MachineSnapshot {
-        kind: 0,
+        machine_type: 0,
         zone,
         spot: false,
         free: total,
@@ -40,26 +40,26 @@
         gang,
         service: false,
         priority: 1,
-        task: Resources {
+        task_resources: Resources {
             cpus: 1.0,
             gpus,
             memory_gb: 1.0,
         },
-        kinds: None,
-        zone: None,
+        machine_types: None,
+        required_zone: None,
         one_zone: false,
         max_per_zone: None,
         tasks_by_zone: vec![],
-        spot: true,
+        spot_allowed: true,
         uncheckpointed: false,
         image: 0,
-        waiting: (0..tasks).collect(),
+        waiting_tasks: (0..tasks).collect(),
         pilots_due: 0,
         sampling: false,
         queue: 0,
         order,
-        running: 0,
-        avoid: vec![],
+        assigned_tasks: 0,
+        avoided_machines: vec![],
         reserved_machines: vec![],
         urgent: false,
         backed_off: false,
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn pilots_go_first_where_fewest_pilots_run_and_deferred_tasks_get_idle_room_last() {
+fn pilots_go_first_to_machines_with_fewest_pilots_and_deferred_tasks_get_idle_capacity_last() {
     let mut sampled = job(5, false, 8, 1.0);
     sampled.pilots_due = 1;
     sampled.sampling = true;
@@ -97,13 +97,13 @@
         machines: vec![busy, machine(0, 4.0)],
         teams: vec![TeamSnapshot::default()],
         jobs: vec![sampled, estimated],
-        running: vec![],
+        running_tasks: vec![],
     };
     let d = decide(snapshot);
     assert_eq!(
         placements_of(&d, 0)[0],
         (0, 1),
-        "the pilot, on the machine without one"
+        "the pilot goes first, to the machine without a pilot"
     );
     assert!(matches!(d[0], Decision::Place { pilots: true, .. }));
     assert_eq!(
@@ -114,12 +114,12 @@
     assert_eq!(
         placements_of(&d, 0).len(),
         2,
-        "one deferred task takes what is left"
+        "one deferred task uses the remaining capacity"
     );
 }
 
 #[test]
-fn queues_share_by_weight_and_are_fifo_inside() {
+fn queues_share_capacity_by_weight_and_are_fifo_within() {
     let small_late = job(9, false, 20, 1.0);
     let small_early = job(2, false, 20, 1.0);
     let mut large = job(1, false, 20, 1.0);
@@ -128,19 +128,23 @@
         machines: vec![machine(0, 22.0)],
         teams: vec![TeamSnapshot::default()],
         jobs: vec![small_late, small_early, large],
-        running: vec![],
+        running_tasks: vec![],
     };
     let d = decide(snapshot);
     let counts = [0, 1, 2].map(|j| placements_of(&d, j).len());
-    assert_eq!(counts, [0, 20, 2], "ten to one, the earlier job first");
+    assert_eq!(
+        counts,
+        [0, 20, 2],
+        "the queues share ten to one, the earlier job first"
+    );
 }
 
 #[test]
-fn gangs_start_whole_in_one_zone_and_spread_ones_stay_under_half() {
-    let mut together = job(1, true, 2, 4.0);
-    together.one_zone = true;
-    let mut apart = job(2, true, 3, 4.0);
-    apart.max_per_zone = Some(2);
+fn a_single_zone_gang_is_placed_whole_and_a_gang_limited_per_zone_is_not_placed_in_part() {
+    let mut single_zone = job(1, true, 2, 4.0);
+    single_zone.one_zone = true;
+    let mut spread = job(2, true, 3, 4.0);
+    spread.max_per_zone = Some(2);
     let snapshot = ClusterSnapshot {
         machines: vec![
             machine(0, 4.0),
@@ -149,19 +153,19 @@
             machine(2, 4.0),
         ],
         teams: vec![TeamSnapshot::default()],
-        jobs: vec![together, apart],
-        running: vec![],
+        jobs: vec![single_zone, spread],
+        running_tasks: vec![],
     };
     let d = decide(snapshot);
     assert_eq!(placements_of(&d, 0), vec![(0, 1), (1, 2)]);
     assert!(
         placements_of(&d, 1).is_empty(),
-        "two machines hold no gang of 3"
+        "the remaining two machines cannot hold a gang of 3"
     );
 }
 
 #[test]
-fn old_attempts_still_on_machines_bind_the_zone() {
+fn tasks_of_earlier_attempts_still_on_machines_determine_the_zone_of_a_gang() {
     let mut gang = job(1, true, 1, 4.0);
     gang.one_zone = true;
     gang.tasks_by_zone = vec![(1, 1)];
@@ -169,13 +173,13 @@
         machines: vec![machine(0, 4.0)],
         teams: vec![TeamSnapshot::default()],
         jobs: vec![gang],
-        running: vec![],
+        running_tasks: vec![],
     };
     assert!(decide(snapshot).is_empty());
 }
 
 #[test]
-fn a_limit_holds_and_a_guarantee_takes_back_what_was_lent() {
+fn limits_are_enforced_and_a_guarantee_reclaims_borrowed_capacity() {
     let lender = TeamSnapshot {
         guarantee: bounds(0.0, 4.0),
         limit: bounds(0.0, 4.0),
@@ -200,13 +204,13 @@
     let running = (0..4)
         .map(|task| RunningTask {
             job: 1,
-            task,
+            number: task,
             machine: 0,
             team: 1,
             priority: 1,
-            resources: theirs.task,
+            resources: theirs.task_resources,
             preemptible: true,
-            cost_s: f64::from(task),
+            preemption_cost_s: f64::from(task),
             remaining_s: 60.0,
         })
         .collect();
@@ -214,24 +218,24 @@
         machines: vec![full],
         teams: vec![lender, borrower],
         jobs: vec![job(3, false, 6, 1.0), theirs],
-        running,
+        running_tasks: running,
     };
     let mut stops = Vec::new();
-    // Each round makes room for one task; the borrower keeps its own guarantee of 2.
+    // Each round makes room for one task. The borrowing team keeps its own guarantee of 2 GPUs.
     let mut snapshot = snapshot;
     for _ in 0..4 {
         let d = decide(snapshot.clone());
-        for x in d {
-            if let Decision::Stop { job, task, by } = x {
+        for decision in d {
+            if let Decision::Preempt { job, task, by } = decision {
                 assert_eq!((job, by), (1, 0));
                 stops.push(task);
-                let v = snapshot.running.iter_mut().find(|r| r.task == task);
-                let v = v.expect("running");
-                v.preemptible = false;
-                let res = v.resources;
-                snapshot.teams[1].used.sub(&res);
-                snapshot.teams[0].used.add(&res);
-                snapshot.jobs[0].waiting.remove(0);
+                let victim = snapshot.running_tasks.iter_mut().find(|r| r.number == task);
+                let victim = victim.expect("running");
+                victim.preemptible = false;
+                let resources = victim.resources;
+                snapshot.teams[1].used.sub(&resources);
+                snapshot.teams[0].used.add(&resources);
+                snapshot.jobs[0].waiting_tasks.remove(0);
             }
         }
     }
@@ -245,16 +249,17 @@
             stopping: Resources::default(),
         }],
         jobs: vec![job(1, false, 9, 1.0)],
-        running: vec![],
+        running_tasks: vec![],
     };
     assert_eq!(placements_of(&decide(limited.clone()), 0).len(), 3);
     limited.teams[0].used.gpus = 3.0;
     assert!(decide(limited).is_empty());
 }
 
-/// Found on a simulated day: a team over its limit for the seconds that a preempted task took to save.
+/// Guards against a team exceeding its limit while a preempted task saves its checkpoint: the resources of a task being
+/// stopped are still in use. Seen in a simulated day.
 #[test]
-fn room_that_is_being_vacated_still_counts_against_the_limit() {
+fn tasks_being_stopped_still_count_against_the_limit() {
     let res = |gpus: f64| Resources {
         cpus: gpus,
         gpus,
@@ -274,44 +279,48 @@
     full.free = Resources::default();
     full.free_after_stops = Resources::default();
     let mut elsewhere = machine(1, 4.0);
-    elsewhere.kind = 1;
+    elsewhere.machine_type = 1;
     let mut wants_room = job(1, false, 1, 1.0);
-    wants_room.kinds = Some(vec![0]);
+    wants_room.machine_types = Some(vec![0]);
     let mut wants_more = job(2, false, 1, 1.0);
     wants_more.team = 1;
     let running = vec![RunningTask {
         job: 1,
-        task: 9,
+        number: 9,
         machine: 0,
         team: 1,
         priority: 1,
         resources: res(1.0),
         preemptible: true,
-        cost_s: 0.0,
+        preemption_cost_s: 0.0,
         remaining_s: 60.0,
     }];
     let d = decide(ClusterSnapshot {
         machines: vec![full, elsewhere],
         teams: vec![owner, at_limit],
         jobs: vec![wants_room, wants_more],
-        running,
+        running_tasks: running,
     });
-    let stop = Decision::Stop {
+    let stop = Decision::Preempt {
         job: 1,
         task: 9,
         by: 0,
     };
-    assert_eq!(d, vec![stop], "and nothing new for the team that gives way");
+    assert_eq!(
+        d,
+        vec![stop],
+        "the team of the preempted task gets nothing new"
+    );
 }
 
-/// Found on a simulated day: gangs waited for minutes while small tasks refilled every machine that had
-/// begun to empty for them.
+/// Guards against gangs that wait for minutes because small tasks fill every machine that drains for them. Seen in a
+/// simulated day.
 #[test]
-fn a_gang_reserves_the_machine_that_empties_for_it() {
-    let mut emptying = machine(0, 4.0);
-    emptying.free.gpus = 2.0;
-    emptying.free_after_stops.gpus = 2.0;
-    emptying.busy_s = 9.0;
+fn a_gang_keeps_its_reservation_of_a_draining_machine() {
+    let mut draining = machine(0, 4.0);
+    draining.free.gpus = 2.0;
+    draining.free_after_stops.gpus = 2.0;
+    draining.busy_s = 9.0;
     let mut full = machine(0, 4.0);
     full.free.gpus = 0.0;
     full.free_after_stops.gpus = 0.0;
@@ -319,10 +328,10 @@
     let mut waiting = job(1, true, 1, 4.0);
     waiting.reserved_machines = vec![0];
     let snapshot = ClusterSnapshot {
-        machines: vec![emptying, full],
+        machines: vec![draining, full],
         teams: vec![TeamSnapshot::default()],
         jobs: vec![waiting, job(2, false, 8, 1.0)],
-        running: vec![],
+        running_tasks: vec![],
     };
     let reserve = Decision::Reserve {
         job: 0,
@@ -332,13 +341,13 @@
 }
 
 #[test]
-fn a_round_cut_short_keeps_what_it_decided() {
+fn a_round_that_runs_out_of_time_keeps_its_decisions() {
     let policy = Policy::default();
     let snapshot = ClusterSnapshot {
         machines: vec![machine(0, 32.0)],
         teams: vec![TeamSnapshot::default()],
         jobs: vec![job(1, false, 9, 1.0)],
-        running: vec![],
+        running_tasks: vec![],
     };
     let mut steps = 0;
     let cut = Round::new(&policy, snapshot).run(|| {
@@ -351,32 +360,37 @@
     );
 }
 
-/// Each of many large gangs sat on most of what it needed, a quarter of a fleet idle between them.
+/// Guards against idle reservations: each of many large gangs held most of the machines that it needed, and a quarter
+/// of the fleet stayed idle.
 #[test]
-fn a_gang_takes_over_machines_reserved_by_gangs_that_rank_behind_it() {
+fn a_gang_takes_over_machines_reserved_for_gangs_that_rank_behind_it() {
     let (mut first, mut second) = (job(1, true, 2, 4.0), job(2, true, 2, 4.0));
     first.reserved_machines = vec![0, 2];
     second.reserved_machines = vec![1, 3];
-    let mut coming = machine(0, 4.0);
-    coming.usable = false;
-    coming.ready_in_s = Some(5.0);
+    let mut booting = machine(0, 4.0);
+    booting.usable = false;
+    booting.ready_in_s = Some(5.0);
     let snapshot = ClusterSnapshot {
-        machines: vec![machine(0, 4.0), machine(0, 4.0), coming.clone(), coming],
+        machines: vec![machine(0, 4.0), machine(0, 4.0), booting.clone(), booting],
         teams: vec![TeamSnapshot::default()],
         jobs: vec![first, second],
-        running: vec![],
+        running_tasks: vec![],
     };
     let d = decide(snapshot);
     assert_eq!(placements_of(&d, 0), vec![(0, 0), (1, 1)]);
     assert!(placements_of(&d, 1).is_empty());
     let reserves =
         |d: &Decision| matches!(d, Decision::Reserve { job: 1, machines } if machines == &[2, 3]);
-    assert!(d.iter().any(reserves), "the other waits for what is coming");
+    assert!(
+        d.iter().any(reserves),
+        "the other gang reserves the booting machines"
+    );
 }
 
-/// Gangs of a team at its limit waited nine minutes, as long as its sweeps took each place that became free.
+/// Guards against starvation of a gang whose team is at its limit: gangs waited nine minutes while sweeps of the same
+/// team used all capacity that became free.
 #[test]
-fn a_gang_kept_out_by_its_teams_limit_is_left_what_it_needs() {
+fn the_part_of_its_teams_limit_that_a_waiting_gang_needs_is_set_aside() {
     let snapshot = |used: f64| {
         let mut team = TeamSnapshot {
             limit: bounds(0.0, 8.0),
@@ -387,7 +401,7 @@
             machines: vec![machine(0, 16.0)],
             teams: vec![team],
             jobs: vec![job(1, true, 1, 4.0), job(2, false, 10, 1.0)],
-            running: vec![],
+            running_tasks: vec![],
         }
     };
     let full = decide(snapshot(6.0));
@@ -397,11 +411,12 @@
         (placements_of(&room, 0).len(), placements_of(&room, 1).len()),
         (1, 1)
     );
-    // Where another gang keeps it out for long, the rest is not held back.
+    // If long-running tasks, such as those of another gang, exhaust the limit in any case, nothing is set aside and
+    // other tasks are placed.
     let mut lasting = snapshot(6.0);
-    lasting.running = vec![RunningTask {
+    lasting.running_tasks = vec![RunningTask {
         job: 0,
-        task: 9,
+        number: 9,
         machine: 0,
         team: 0,
         priority: 1,
@@ -411,15 +426,16 @@
             memory_gb: 1.0,
         },
         preemptible: false,
-        cost_s: 0.0,
+        preemption_cost_s: 0.0,
         remaining_s: 400.0,
     }];
     assert_eq!(placements_of(&decide(lasting), 1).len(), 2);
 }
 
-/// Of a stage with hundreds of tasks some were always lost with spot machines, and the pipeline was late.
+/// Guards against late pipelines: of a stage with hundreds of tasks without checkpoints, some were always lost with
+/// spot machines.
 #[test]
-fn tasks_that_never_save_go_beside_gpu_work_on_ordinary_machines_before_spot_ones() {
+fn tasks_without_checkpoints_prefer_on_demand_machines_with_gpu_work_to_spot_machines() {
     let spot = MachineSnapshot {
         spot: true,
         ..machine(0, 4.0)
@@ -437,7 +453,7 @@
         machines: vec![machine(0, 4.0), spot, busy],
         teams: vec![TeamSnapshot::default()],
         jobs: vec![uncheckpointed],
-        running: vec![],
+        running_tasks: vec![],
     };
     let on: Vec<usize> = placements_of(&decide(snapshot), 0)
         .iter()
@@ -446,13 +462,13 @@
     assert_eq!(
         on,
         [2, 2, 1, 1],
-        "an idle ordinary machine last: it may go back"
+        "the idle on-demand machine is the last choice, since it may be returned"
     );
 }
 
-/// A new leader does not know yet in which zone some of a job's tasks are: they may be in any.
+/// A new leader may not know yet in which zone some of a job's tasks are. They may be in any zone.
 #[test]
-fn what_is_in_an_unknown_zone_counts_in_every_zone_where_only_half_may_be() {
+fn tasks_in_an_unknown_zone_count_against_the_maximum_of_every_zone() {
     let mut spread = job(1, false, 4, 1.0);
     spread.max_per_zone = Some(3);
     spread.tasks_by_zone = vec![(UNKNOWN_ZONE, 2), (0, 1)];
@@ -460,26 +476,26 @@
         machines: vec![machine(0, 4.0), machine(1, 4.0)],
         teams: vec![TeamSnapshot::default()],
         jobs: vec![spread],
-        running: vec![],
+        running_tasks: vec![],
     };
     assert_eq!(
         placements_of(&decide(snapshot), 0),
         vec![(0, 1)],
-        "none in zone 0"
+        "no task is placed in zone 0"
     );
 }
 
-/// A gang larger than its team's guarantee ranks behind all that fits into it: small work of the team went on taking
-/// what the gang waited for, while tasks without GPUs were kept out for its sake.
+/// Guards against two faults. A gang larger than its team's guarantee ranks behind all work within the guarantee, so
+/// that small tasks of the team kept using the capacity that the gang waited for. Tasks without GPUs were held back
+/// although the gang did not need their capacity.
 #[test]
-fn a_gang_beyond_the_guarantee_goes_before_smaller_work_of_its_team_and_keeps_out_only_what_it_needs(
-) {
+fn a_gang_beyond_the_guarantee_holds_back_only_tasks_of_its_team_that_use_resources_it_needs() {
     let snapshot = |may_claim: bool| {
         let mut gang = job(1, true, 3, 4.0);
         gang.priority = 2;
         gang.may_claim_limit = may_claim;
         let small = job(2, false, 3, 1.0);
-        let plain = job(3, false, 3, 0.0);
+        let without_gpu = job(3, false, 3, 0.0);
         let team = TeamSnapshot {
             guarantee: bounds(0.0, 9.0),
             limit: bounds(0.0, 18.0),
@@ -493,8 +509,8 @@
         ClusterSnapshot {
             machines: vec![machine(0, 4.0), machine(0, 4.0), machine(0, 4.0)],
             teams: vec![team],
-            jobs: vec![gang, small, plain],
-            running: vec![],
+            jobs: vec![gang, small, without_gpu],
+            running_tasks: vec![],
         }
     };
     let counts = |snapshot: ClusterSnapshot| {
@@ -505,22 +521,23 @@
     assert_eq!(
         counts(snapshot(false)),
         [0, 3, 3],
-        "for a while others go on"
+        "without a claim, other tasks are placed"
     );
 }
 
-/// Deferred tasks of work that nobody waits for went by arrival, before those of every sweep with a deadline.
+/// Guards against deferred tasks of jobs without an objective that, ordered by arrival, were placed before those of
+/// every sweep with a deadline.
 #[test]
-fn held_tasks_of_work_without_an_aim_get_idle_room_after_those_with_one() {
-    let mut idle_time = job(1, false, 8, 1.0);
-    (idle_time.sampling, idle_time.has_objective) = (true, false);
+fn deferred_tasks_of_jobs_without_an_objective_are_placed_after_those_with_one() {
+    let mut no_objective = job(1, false, 8, 1.0);
+    (no_objective.sampling, no_objective.has_objective) = (true, false);
     let mut sweep = job(50, false, 3, 1.0);
     sweep.sampling = true;
     let snapshot = ClusterSnapshot {
         machines: vec![machine(0, 4.0)],
         teams: vec![TeamSnapshot::default()],
-        jobs: vec![idle_time, sweep],
-        running: vec![],
+        jobs: vec![no_objective, sweep],
+        running_tasks: vec![],
     };
     let d = decide(snapshot);
     assert_eq!([0, 1].map(|j| placements_of(&d, j).len()), [1, 3]);
