--- a/crates/control/src/leader/cancellation.rs
+++ b/crates/control/src/leader/cancellation.rs
@@ -1,14 +1,15 @@
-//! Cancellation of jobs: what is known of it, and stopping their tasks.
+//! Cancellation of jobs: handles cancellation notices and stops the tasks of cancelled jobs.
 
 use super::model::{AssignmentStage, Stop};
 use super::Leader;
 use crate::effects::Now;
 
 impl Leader {
-    /// A node is about to confirm a cancellation to a user.
+    /// Handles the notice that a node is about to confirm a cancellation to a user.
     ///
-    /// The record follows by the watch, unless the state service fails in between: the tasks must stop all the same.
-    /// A job that is not known yet may be read any moment, in a record older than the cancellation.
+    /// The watch reports the changed record later, unless the state service fails in the meantime; the tasks must stop
+    /// in either case. The notice of a job that is not known yet is kept, since the job may still be read from a record
+    /// that is older than the cancellation.
     pub fn on_cancellation_notice(&mut self, id: &str, now: Now) {
         let is_known = self.jobs.contains_key(id);
         if !self.is_ready() || !is_known {
@@ -27,13 +28,15 @@
         self.queue_write_if_final(id);
     }
 
-    /// Moment up to which every cancellation confirmed to a user is known here; nothing while records are loaded.
-    pub fn informed_until(&self) -> Option<u64> {
-        self.is_ready().then_some(self.job_watch.informed_until)
+    /// Time up to which this leader knows every cancellation that was confirmed to a user. `None` while records are
+    /// being loaded.
+    pub fn cancellations_known_until(&self) -> Option<u64> {
+        self.is_ready()
+            .then_some(self.job_watch.cancellations_known_until)
     }
 
-    /// Stops all tasks of a cancelled job: those whose start was not sent are released, the others are killed,
-    /// whatever stop was requested before.
+    /// Stops all tasks of a cancelled job. Tasks whose start was not sent are released. All others are killed, even if
+    /// a graceful stop was requested before.
     ///
     /// Called when a cancellation becomes known, and for jobs that were already cancelled when they were loaded.
     pub(super) fn cancel_assignments(&mut self, id: &str, now: Now) {
--- a/crates/control/src/leader/delegation.rs
+++ b/crates/control/src/leader/delegation.rs
@@ -1,5 +1,6 @@
-//! Delegation: owners of partitions answer the heartbeats of steady machines for the leader. This module decides which
-//! machines are steady, and handles the requests of owners. Why this is safe: `docs/partitions.md`.
+//! Delegation: owners of partitions answer the heartbeats of steady machines on behalf of the leader. A machine is
+//! steady if its tasks run as recorded and nothing is pending for it. This module decides which machines are steady,
+//! and handles the requests of owners. `docs/partitions.md` explains why this is safe.
 
 use super::model::{AssignmentStage, Machine, OwnerPermit};
 use super::Leader;
@@ -9,18 +10,18 @@
 use wire::partitions::{Grant, GrantRequest, PartitionEpoch, PartitionId, Permit, RecalledPermit};
 use wire::workers::{TaskPhase, WorkerHeartbeat};
 
-/// What is needed of a heartbeat once it has been answered.
+/// The fields of a heartbeat that are needed after it has been answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct AnsweredHeartbeat {
     machine: String,
     incarnation: u64,
     seq: u64,
-    /// Number of the listed tasks, if all of them run.
+    /// Number of the listed tasks; `None` unless all of them are running.
     running_tasks: Option<usize>,
 }
 
 impl AnsweredHeartbeat {
-    /// Takes over what is needed of a heartbeat.
+    /// Copies the fields that are needed from a heartbeat.
     pub fn new(heartbeat: &WorkerHeartbeat) -> Self {
         let mut phases = heartbeat.tasks.iter().map(|task| task.phase);
         let all_run = phases.all(|phase| phase == TaskPhase::Running);
@@ -39,15 +40,15 @@
 }
 
 impl Leader {
-    /// Allows partitions to be granted to owners from now on.
+    /// Enables granting partitions to owners.
     pub fn begin_delegation(&mut self) {
         let report_ms = (self.settings.deployment.workers.report_s * 1000.0) as u64;
         self.delegation
             .get_or_insert_with(|| Delegation::new(report_ms));
     }
 
-    /// Handles an owner's request, and grants it the partitions that it is entitled to, for `valid_ms` from its
-    /// request on.
+    /// Handles an owner's request and grants it the partitions that it is entitled to, for `valid_ms` from the time of
+    /// the request.
     pub fn on_grant_request(
         &mut self,
         owner: &str,
@@ -78,8 +79,8 @@
         Ok(Some(grant))
     }
 
-    /// A permit for an owner that passed on a heartbeat which was answered without orders, with the number of the
-    /// owner's process.
+    /// Issues a permit to an owner that forwarded a heartbeat, if the heartbeat was answered without orders and the
+    /// machine is steady. Returns the number of the owner's process and the permit.
     pub fn permit_after_heartbeat(
         &mut self,
         owner: &str,
@@ -103,7 +104,7 @@
         Some((process, permit))
     }
 
-    /// Whether nothing is pending for the machine that sent a heartbeat, and nothing may soon be.
+    /// Whether nothing is pending for the machine that sent a heartbeat, and nothing is expected to be soon.
     fn is_steady(&self, heartbeat: &AnsweredHeartbeat) -> bool {
         let Some(machine) = self.machines.get(&heartbeat.machine) else {
             return false;
@@ -117,12 +118,12 @@
             && machine.is_reconciled
             && machine.fencing_token_seen
             && machine.is_unchanging()
-            && assignments.all(|(id, task)| self.goes_on_running(id, *task))
+            && assignments.all(|(id, task)| self.keeps_running(id, *task))
             && !self.has_room_for_work(&heartbeat.machine)
     }
 
-    /// Whether a task runs and is to go on running.
-    fn goes_on_running(&self, id: &str, task: u32) -> bool {
+    /// Whether a task is running and is not to be stopped.
+    fn keeps_running(&self, id: &str, task: u32) -> bool {
         let Some(job) = self.jobs.get(id).filter(|job| !job.aborted) else {
             return false;
         };
@@ -133,7 +134,7 @@
         })
     }
 
-    /// Notes that something has become pending for a machine. An owner that answers its heartbeats must stop doing so.
+    /// Marks a machine as having pending orders. An owner that answers its heartbeats must stop doing so.
     pub(super) fn note_pending_orders(&mut self, machine: String) {
         if self.delegation.is_none() {
             return;
@@ -144,7 +145,7 @@
         self.machines_with_new_orders.push(machine);
     }
 
-    /// Withdraws the permits of machines for which something has become pending.
+    /// Withdraws the permits of machines for which orders have become pending.
     fn withdraw_permits_with_orders(&mut self) {
         let names = std::mem::take(&mut self.machines_with_new_orders);
         let Some(delegation) = &mut self.delegation else {
@@ -155,14 +156,15 @@
         }
     }
 
-    /// Recalls of permits that are to be sent at once, by owner and number of the owner's process.
+    /// Recalls of permits that must be sent immediately, by owner and number of the owner's process.
     pub fn urgent_recalls(&mut self) -> BTreeMap<(String, u64), Vec<RecalledPermit>> {
         self.withdraw_permits_with_orders();
         let delegation = self.delegation.as_mut();
         delegation.map_or_else(BTreeMap::new, Delegation::urgent_recalls)
     }
 
-    /// Checks all permits again, since machines also change without a decision, and forgets answers from long ago.
+    /// Withdraws the permits of machines that are no longer steady, since machines also change without a decision, and
+    /// prunes old answers.
     pub fn review_delegation(&mut self, now: u64) {
         let machines = &self.machines;
         let is_steady = |name: &str| machines.get(name).is_some_and(Machine::stays_steady);
@@ -172,13 +174,13 @@
         }
     }
 
-    /// The owner that will hold the grant of a partition at a moment, as far as is known now.
+    /// The owner that will hold the grant of a partition at a given time, according to the grants known now.
     pub fn grant_holder_at(&self, partition: PartitionId, moment: u64) -> Option<&str> {
         self.delegation.as_ref()?.holder(partition, moment)
     }
 
-    /// Whether a worker that reports to the leader may be redirected to its owner: nothing is pending for it, and
-    /// enough of its lease is left.
+    /// Whether a worker that reports to the leader may be redirected to the owner of its partition: nothing is pending
+    /// for it, and enough of its lease is left.
     pub fn may_be_redirected(&self, machine: &str, now: u64) -> bool {
         let lease_ms = (self.settings.deployment.workers.lease_s * 1000.0) as u64;
         let is_recent = |at: u64| now < at + lease_ms / REDIRECT_LEASE_PART;
@@ -200,7 +202,7 @@
         })
     }
 
-    /// Whether an owner answers a machine's heartbeats, and will report when they stop.
+    /// Whether an owner answers a machine's heartbeats and will report if they stop.
     pub(super) fn is_watched_by_owner(&self, machine: &Machine, now: u64) -> bool {
         let permit = machine.permit.filter(|permit| now < permit.watched_until);
         let Some((permit, delegation)) = permit.zip(self.delegation.as_ref()) else {
@@ -209,8 +211,8 @@
         delegation.is_granted(permit.partition, now)
     }
 
-    /// When the last heartbeat of a machine was received. While an owner watches the machine and reports nothing, its
-    /// heartbeats go on.
+    /// When the last heartbeat of a machine was received. While an owner watches the machine and reports nothing, the
+    /// machine is assumed to be sending heartbeats.
     pub(super) fn last_heartbeat_at(&self, machine: &Machine, now: u64) -> Option<u64> {
         match self.is_watched_by_owner(machine, now) {
             true => Some(now),
--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -1,14 +1,15 @@
-//! Jobs that depend on others: when they may begin, when they are cancelled with them, and how their deadlines reach
-//! back to what they depend on.
+//! Dependencies between jobs: when a job may start, when it is cancelled with a job that it depends on, and how its
+//! deadline propagates to its dependencies.
 //!
-//! A job waits until this leader knows of each job it depends on that it is archived as done: by its own transaction,
-//! or by reading the final record. What is found neither open nor final is looked up again, never taken for done.
-//! Answers to users do not rest on any of this: nodes look up the chain in the store themselves.
+//! A job waits until this leader knows that each of its dependencies is archived as done, by the leader's own
+//! transaction or by reading the final record. A dependency that is found neither open nor final is looked up again,
+//! and never assumed to be done. Answers to users do not rely on this state: nodes look up the chain of dependencies in
+//! the store themselves.
 //!
 //! | module | subject |
 //! | --- | --- |
-//! | `lookups` | records read for dependencies: how jobs ended, and further records of a job |
-//! | `demand` | deadlines and priorities passed back along pipelines |
+//! | `lookups` | records read for dependencies: final records, and overflow records of a job |
+//! | `demand` | propagation of deadlines and priorities from jobs to their dependencies |
 
 mod demand;
 mod lookups;
@@ -20,20 +21,20 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use wire::records::Final;
 
-/// What the leader knows of jobs that depend on others.
+/// State of the dependencies between open jobs.
 #[derive(Default)]
 pub(super) struct Dependencies {
-    /// Open jobs, by each job they depend on that is not known to be over.
+    /// Open jobs, by each dependency that is not known to be done.
     dependents: HashMap<String, BTreeSet<String>>,
-    /// Cancelled jobs whose dependents are still to be cancelled.
+    /// Cancelled jobs whose dependents have yet to be cancelled.
     cascade: VecDeque<String>,
     lookups: Lookups,
-    /// Deadlines and priorities are to be passed back anew.
-    demand_due: bool,
+    /// Whether deadlines and priorities must be propagated again.
+    propagation_due: bool,
 }
 
 impl Leader {
-    /// Notes what a job that has just become known depends on.
+    /// Registers the dependencies of a job that has just become known.
     pub(super) fn track_dependencies(&mut self, id: &str, now: Now) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.aborted {
@@ -59,9 +60,9 @@
             return;
         };
         if !job.spec.needs.is_empty() {
-            // A new leader does not know whether it was released long ago.
+            // A new leader does not know whether the job was released long ago, so it counts from now.
             job.ready_at = now.unix;
-            self.dependencies.demand_due = true;
+            self.dependencies.propagation_due = true;
         }
         job.needs = pending;
         if dependency_cancelled {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Whether a job is over, not archived yet, and others wait for that.
+    /// Whether a job has ended but is not archived yet, and other jobs wait for that.
     pub(super) fn is_awaited_by_dependents(&self, id: &str) -> bool {
         self.dependencies.dependents.contains_key(id)
             && self
@@ -78,12 +79,12 @@
                 .is_some_and(|job| job.final_due().is_some())
     }
 
-    /// A job is archived: what depends on it may go on, or is cancelled with it.
+    /// Handles an archived job: its dependents are released if it is done, and cancelled if it was cancelled.
     pub(super) fn on_job_archived(&mut self, id: &str, end: Final, now: Now) {
         let Some(dependents) = self.dependencies.dependents.remove(id) else {
             return;
         };
-        self.dependencies.demand_due = true;
+        self.dependencies.propagation_due = true;
         for dependent in dependents {
             match end {
                 Final::Aborted => self.cancel_by_dependency(&dependent, now),
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A dependency of a job is done. If it was the last one, the job may begin.
+    /// Removes a completed dependency from a job. If it was the last one, the job may start.
     fn release_dependent(&mut self, dependent: &str, dependency: &str, now: Now) {
         let Some(job) = self.jobs.get_mut(dependent) else {
             return;
@@ -109,7 +110,7 @@
         );
     }
 
-    /// A job that is over no longer waits for its dependencies.
+    /// Removes a job that has ended from the dependents of a job.
     pub(super) fn remove_dependent(&mut self, dependency: &str, dependent: &str) {
         let Some(dependents) = self.dependencies.dependents.get_mut(dependency) else {
             return;
@@ -120,58 +121,60 @@
         }
     }
 
-    /// A job is cancelled: what depends on it will be too, a few jobs at a time.
+    /// Queues the dependents of a cancelled job for cancellation, which proceeds a few jobs at a time.
     pub(super) fn cancel_dependents(&mut self, id: &str) {
         if self.dependencies.dependents.contains_key(id) {
             self.dependencies.cascade.push_back(id.to_string());
         }
     }
 
-    /// Cancels a job with one that it depends on. It has never begun; its record says so once it is archived.
+    /// Cancels a job because one of its dependencies was cancelled. The job has never started. The cancellation is
+    /// recorded when the job is archived.
     fn cancel_by_dependency(&mut self, id: &str, now: Now) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.aborted) else {
             return;
         };
         job.aborted = true;
         log::info!("event=dependent_cancelled job={id} placed={}", job.assigned);
-        self.dependencies.demand_due = true;
+        self.dependencies.propagation_due = true;
         self.cancel_assignments(id, now);
         self.queue_write_if_final(id);
         self.cancel_dependents(id);
     }
 
-    /// Goes on with cancellations and with lookups of how jobs ended.
-    pub(super) fn maintain_pipelines(&mut self, effects: &mut Effects) {
+    /// Continues pending cancellations of dependents and sends due lookups of final records.
+    pub(super) fn process_dependencies(&mut self, effects: &mut Effects) {
         self.continue_cascade(effects.now);
         self.send_lookups(effects);
     }
 
-    /// Cancels some dependents of cancelled jobs, so that a cascade of any size leaves time for all else.
+    /// Cancels a limited number of dependents of cancelled jobs, so that a cascade of any size leaves time for other
+    /// work.
     fn continue_cascade(&mut self, now: Now) {
-        let mut left = CASCADE_A_TURN;
-        while left > 0 {
+        let mut remaining = CASCADE_A_TURN;
+        while remaining > 0 {
             let Some(id) = self.dependencies.cascade.front().cloned() else {
                 break;
             };
             let dependents = self.dependencies.dependents.get(&id);
             let is_open = |id: &&String| self.jobs.get(*id).is_some_and(|job| !job.aborted);
             let open = dependents.into_iter().flatten().filter(is_open);
-            let next: Vec<String> = open.take(left).cloned().collect();
-            if next.len() < left {
+            let next: Vec<String> = open.take(remaining).cloned().collect();
+            if next.len() < remaining {
                 self.dependencies.cascade.pop_front();
             }
-            left -= next.len();
+            remaining -= next.len();
             for dependent in next {
                 self.cancel_by_dependency(&dependent, now);
             }
         }
     }
 
-    /// When [`Leader::maintain_pipelines`] has something to do again.
-    pub(super) fn pipelines_wake(&self) -> u64 {
+    /// When [`Leader::process_dependencies`] next has work to do.
+    pub(super) fn next_dependency_wake(&self) -> u64 {
         if !self.dependencies.cascade.is_empty() {
             return 0;
         }
-        self.dependencies.lookups.wake()
+        self.dependencies.lookups.next_wake()
     }
 }
--- a/crates/control/src/leader/dependencies/demand.rs
+++ b/crates/control/src/leader/dependencies/demand.rs
@@ -1,27 +1,28 @@
-//! Deadlines and priorities, passed back along pipelines to what the jobs depend on.
+//! Propagation of deadlines and priorities from jobs to their dependencies.
 
 use crate::leader::model::{DownstreamDemand, Job};
 use crate::leader::Leader;
 use std::collections::{BTreeMap, HashMap};
 use wire::users::Priority;
 
-/// Moments (time of day, ms) by which a job must have ended: to meet its deadline, and for the last moment that an
-/// objective counts.
-type Ends = (u64, u64);
+/// Two times of day, in milliseconds, by which a job must start or end: for a deadline to be met, and for the last
+/// moment at which an objective still counts.
+type Deadlines = (u64, u64);
 
-/// The earlier of both, moment by moment.
-fn earliest(a: Option<Ends>, b: Option<Ends>) -> Option<Ends> {
-    let ends = [a, b].into_iter().flatten();
-    ends.reduce(|a, b| (a.0.min(b.0), a.1.min(b.1)))
+/// The earlier of each of the two times.
+fn earliest(a: Option<Deadlines>, b: Option<Deadlines>) -> Option<Deadlines> {
+    let deadlines = [a, b].into_iter().flatten();
+    deadlines.reduce(|a, b| (a.0.min(b.0), a.1.min(b.1)))
 }
 
-/// Demands while they are passed back, from the last jobs of the pipelines to the first.
+/// State of a propagation, which proceeds from jobs without dependents to their dependencies (reverse topological
+/// order).
 struct Propagation<'a> {
     jobs: &'a BTreeMap<String, Job>,
     demands: HashMap<String, DownstreamDemand>,
-    /// Open dependents whose demand is still to come, by job; the job's own demand is complete once there are none.
-    dependents_left: HashMap<&'a str, usize>,
-    /// Jobs whose demand is complete.
+    /// Number of open dependents whose demand has not been merged yet, by job. A job's own demand is complete at 0.
+    remaining_dependents: HashMap<&'a str, usize>,
+    /// Jobs whose demand is complete and has yet to be propagated.
     ready: Vec<&'a String>,
 }
 
@@ -30,7 +31,7 @@
         let mut propagation = Propagation {
             jobs: &leader.jobs,
             demands: HashMap::new(),
-            dependents_left: HashMap::new(),
+            remaining_dependents: HashMap::new(),
             ready: Vec::new(),
         };
         for (dependency, dependents) in &leader.dependencies.dependents {
@@ -38,9 +39,9 @@
                 .iter()
                 .filter_map(|dependent| propagation.open_job(dependent));
             let count = open.count();
-            propagation.dependents_left.insert(dependency, count);
+            propagation.remaining_dependents.insert(dependency, count);
         }
-        propagation.ready = propagation.last_jobs();
+        propagation.ready = propagation.jobs_without_dependents();
         propagation
     }
 
@@ -48,10 +49,10 @@
         self.jobs.get(id).filter(|job| !job.aborted)
     }
 
-    /// Waiting jobs without dependents.
-    fn last_jobs(&self) -> Vec<&'a String> {
+    /// Open jobs that wait for dependencies and have no open dependents.
+    fn jobs_without_dependents(&self) -> Vec<&'a String> {
         let has_no_dependents = |id: &String| {
-            self.dependents_left
+            self.remaining_dependents
                 .get(id.as_str())
                 .is_none_or(|count| *count == 0)
         };
@@ -62,21 +63,27 @@
         last.map(|(id, _)| id).collect()
     }
 
-    /// Merges the demand of a job into that of one it depends on.
-    fn pass_back(&mut self, dependency: &str, starts: Option<Ends>, priority: Priority) {
+    /// Merges the demand of a job into that of one of its dependencies. `start_deadlines` are the times by which the
+    /// job must start, and so by which the dependency must have ended.
+    fn merge_demand(
+        &mut self,
+        dependency: &str,
+        start_deadlines: Option<Deadlines>,
+        priority: Priority,
+    ) {
         let none = DownstreamDemand {
             ends: None,
             priority: Priority::Low,
         };
         let demand = self.demands.entry(dependency.to_string()).or_insert(none);
         demand.priority = demand.priority.max(priority);
-        demand.ends = earliest(demand.ends, starts);
-        self.count_off(dependency);
+        demand.ends = earliest(demand.ends, start_deadlines);
+        self.finish_dependent(dependency);
     }
 
-    /// One dependent less is to come.
-    fn count_off(&mut self, dependency: &str) {
-        let Some(count) = self.dependents_left.get_mut(dependency) else {
+    /// Counts a dependent whose demand has been merged. After the last one the demand of the dependency is complete.
+    fn finish_dependent(&mut self, dependency: &str) {
+        let Some(count) = self.remaining_dependents.get_mut(dependency) else {
             return;
         };
         *count -= 1;
@@ -88,10 +95,10 @@
 }
 
 impl Leader {
-    /// Passes deadlines and priorities back along the pipelines: a job must have ended when the jobs that depend on it
-    /// must start, the earliest of them.
+    /// Propagates deadlines and priorities to dependencies: a job must have ended by the earliest time at which one of
+    /// its dependents must start.
     pub(in crate::leader) fn propagate_downstream_demand(&mut self) {
-        if !std::mem::take(&mut self.dependencies.demand_due) {
+        if !std::mem::take(&mut self.dependencies.propagation_due) {
             return;
         }
         let mut demands = self.downstream_demands();
@@ -107,25 +114,28 @@
                 continue;
             };
             let demand = propagation.demands.get(id).copied();
-            let ends = earliest(self.own_ends(job), demand.and_then(|demand| demand.ends));
-            let takes_ms = self.expected_ms(job, self.task_estimate(job).seconds);
-            let starts = ends.map(|(first, last)| {
+            let end_deadlines = earliest(
+                self.own_deadlines(job),
+                demand.and_then(|demand| demand.ends),
+            );
+            let duration_ms = self.expected_ms(job, self.task_estimate(job).seconds);
+            let start_deadlines = end_deadlines.map(|(first, last)| {
                 (
-                    first.saturating_sub(takes_ms),
-                    last.saturating_sub(takes_ms),
+                    first.saturating_sub(duration_ms),
+                    last.saturating_sub(duration_ms),
                 )
             });
             let own_priority = job.spec.priority;
             let priority = demand.map_or(own_priority, |demand| demand.priority.max(own_priority));
             for dependency in &job.needs {
-                propagation.pass_back(dependency, starts, priority);
+                propagation.merge_demand(dependency, start_deadlines, priority);
             }
         }
         propagation.demands
     }
 
-    /// When a job must have ended by its own deadline.
-    fn own_ends(&self, job: &Job) -> Option<Ends> {
+    /// When a job must have ended because of its own deadline and objectives.
+    fn own_deadlines(&self, job: &Job) -> Option<Deadlines> {
         let due_s = job.spec.due_s?;
         let end = |times: f64| job.submitted_at + (due_s * times * 1000.0) as u64;
         let last_multiple = self.deadline_multiple(job).unwrap_or(1.0);
--- a/crates/control/src/leader/dependencies/lookups.rs
+++ b/crates/control/src/leader/dependencies/lookups.rs
@@ -1,5 +1,5 @@
-//! Records read for dependencies: how jobs ended that others depend on, and the further records of a job whose list of
-//! types does not fit into one.
+//! Records that are read on demand: final records of jobs that others depend on, and overflow records of jobs whose
+//! list of machine types does not fit into one record.
 
 use crate::effects::Effects;
 use crate::leader::Leader;
@@ -8,30 +8,30 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use wire::records::{final_key, job_overflow_key, Final, JobOverflowRecord, JobRecord};
 
-/// An open job's own record, read before its further ones.
+/// A job whose own record has been read, but not all of its overflow records.
 struct PartialJob {
     record: JobRecord,
     version: u64,
 }
 
-/// A job whose end is to be read, not before a moment of the steady clock.
+/// A pending read of a job's final record. Times are of the steady clock, in milliseconds.
 struct Lookup {
     not_before: u64,
     id: String,
 }
 
-/// Lookups that wait or are in progress.
+/// Lookups that are queued or in flight.
 #[derive(Default)]
 pub(super) struct Lookups {
-    /// Jobs that others depend on and that are not open here.
+    /// Jobs that others depend on and that this leader does not know as open.
     queue: VecDeque<Lookup>,
     in_flight: HashSet<String>,
-    /// Jobs whose further records are being read.
-    partial: HashMap<String, PartialJob>,
+    /// Jobs whose overflow records are being read.
+    partial_jobs: HashMap<String, PartialJob>,
 }
 
 impl Lookups {
-    /// Queues a lookup of how a job ended.
+    /// Queues a lookup of a job's final record, to be sent at `not_before` at the earliest.
     pub fn push(&mut self, not_before: u64, id: &str) {
         self.queue.push_back(Lookup {
             not_before,
@@ -39,17 +39,17 @@
         });
     }
 
-    /// When the next lookup may be sent.
-    pub fn wake(&self) -> u64 {
+    /// When the next lookup may be sent; `u64::MAX` if none is queued or too many are in flight.
+    pub fn next_wake(&self) -> u64 {
         if self.in_flight.len() >= LOOKUPS {
             return u64::MAX;
         }
         self.queue.front().map_or(u64::MAX, |next| next.not_before)
     }
 
-    /// Takes the next lookup from the queue if it is due and may be sent. One that is not due stays where it is.
+    /// Takes the next lookup from the queue if it is due and may be sent. A lookup that is not due stays at the front.
     fn pop_due(&mut self, now: u64) -> Option<String> {
-        if now < self.wake() {
+        if now < self.next_wake() {
             return None;
         }
         self.queue.pop_front().map(|lookup| lookup.id)
@@ -57,11 +57,11 @@
 }
 
 impl Leader {
-    /// Sends lookups that are due, as many as may be in progress at a time.
+    /// Sends lookups that are due, up to the limit of lookups in flight.
     pub(super) fn send_lookups(&mut self, effects: &mut Effects) {
         while let Some(id) = self.dependencies.lookups.pop_due(effects.now.mono) {
-            let needed = self.dependencies.dependents.contains_key(&id);
-            if self.jobs.contains_key(&id) || !needed {
+            let has_dependents = self.dependencies.dependents.contains_key(&id);
+            if self.jobs.contains_key(&id) || !has_dependents {
                 continue;
             }
             if self.dependencies.lookups.in_flight.insert(id.clone()) {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// The reply to a lookup of how a job ended.
-    pub(in crate::leader) fn on_final_record(
+    /// Handles the reply to a lookup of a final record.
+    pub(in crate::leader) fn on_final_record_reply(
         &mut self,
         id: &str,
         reply: StateReply,
@@ -89,68 +89,70 @@
                 self.archived.insert(id.to_string(), end);
                 self.on_job_archived(id, end, effects.now);
             }
-            // It was just created, and the watch is still to report it; or the state service does not answer.
+            // Either the job was just created and the watch has not reported it yet, or the state service does not
+            // answer.
             None => {
                 let not_before = effects.now.mono + LOOKUP_RETRY_MS;
                 self.dependencies.lookups.push(not_before, id);
             }
         }
-        self.maintain_pipelines(effects);
+        self.process_dependencies(effects);
     }
 
-    /// Reads the further records of a job, which counts only once all are read.
-    pub(in crate::leader) fn read_further_records(
+    /// Reads the overflow records of a job. The job becomes known only once all of them are read.
+    pub(in crate::leader) fn read_overflow_records(
         &mut self,
         id: &str,
         record: JobRecord,
         version: u64,
         effects: &mut Effects,
     ) {
-        let partial = &mut self.dependencies.lookups.partial;
-        let known = partial.insert(id.to_string(), PartialJob { record, version });
+        let partial_jobs = &mut self.dependencies.lookups.partial_jobs;
+        let known = partial_jobs.insert(id.to_string(), PartialJob { record, version });
         if known.is_none() {
-            self.request_more(id.to_string(), 1, effects);
+            self.request_overflow_record(id.to_string(), 1, effects);
         }
     }
 
-    /// The reply to a request for a further record of a job.
-    pub(in crate::leader) fn on_further_record(
+    /// Handles the reply to a request for an overflow record of a job.
+    pub(in crate::leader) fn on_overflow_record_reply(
         &mut self,
         id: String,
         number: u32,
         reply: StateReply,
         effects: &mut Effects,
     ) {
-        let partial = &mut self.dependencies.lookups.partial;
+        let partial_jobs = &mut self.dependencies.lookups.partial_jobs;
         if self.jobs.contains_key(&id) || self.archived.get(&id).is_some() {
-            partial.remove(&id);
+            partial_jobs.remove(&id);
             return;
         }
-        let more = match reply {
+        let overflow = match reply {
             StateReply::Item(item) => item.value.deserialized::<JobOverflowRecord>().ok(),
             _ => None,
         };
-        let Some(PartialJob { record, .. }) = partial.get_mut(&id) else {
+        let Some(PartialJob { record, .. }) = partial_jobs.get_mut(&id) else {
             return;
         };
-        let next = match more {
-            Some(more) => {
+        let next = match overflow {
+            Some(overflow) => {
                 let types = record.spec.types.get_or_insert_with(Vec::new);
-                types.extend(more.types);
+                types.extend(overflow.types);
                 number + 1
             }
-            // Refused or lost: it is read again. These records go with the job's own and never change.
+            // The request failed and is repeated. Overflow records are created with the job's own record and never
+            // change.
             None => number,
         };
         if next <= record.more {
-            return self.request_more(id, next, effects);
+            return self.request_overflow_record(id, next, effects);
         }
-        if let Some(PartialJob { record, version }) = partial.remove(&id) {
+        if let Some(PartialJob { record, version }) = partial_jobs.remove(&id) {
             self.insert_job(&id, record, version, effects);
         }
     }
 
-    fn request_more(&self, id: String, number: u32, effects: &mut Effects) {
+    fn request_overflow_record(&self, id: String, number: u32, effects: &mut Effects) {
         let op = StateOp::Get(job_overflow_key(&id, number));
         let request = LeaderRequest::FurtherRecord(id, number);
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
--- a/crates/control/src/leader/job_records.rs
+++ b/crates/control/src/leader/job_records.rs
@@ -1,4 +1,4 @@
-//! Taking in the records of open jobs, new ones and changed ones.
+//! Handles the records of open jobs, both new and changed.
 
 use super::model::Job;
 use super::Leader;
@@ -7,7 +7,7 @@
 use wire::users::Shape;
 
 impl Leader {
-    /// Takes in a job's record at a version, if it is newer than what is known.
+    /// Adds or updates a job from its record, if the record is newer than the known version.
     pub(super) fn update_from_job_record(
         &mut self,
         id: &str,
@@ -18,18 +18,18 @@
         if self.jobs.contains_key(id) {
             return self.update_job(id, &record, version, effects.now);
         }
-        // A job that was archived can't come back: ids are created once.
+        // An archived job can't become open again, since each id is created only once.
         if self.archived_outcome(id).is_some() {
             return;
         }
-        // Of a cancelled job the rest of its submission does not matter.
+        // The overflow records of a cancelled job are not needed.
         if record.more > 0 && !record.aborted {
-            return self.read_further_records(id, record, version, effects);
+            return self.read_overflow_records(id, record, version, effects);
         }
         self.insert_job(id, record, version, effects);
     }
 
-    /// Takes in a newer record of a known job. Only its version and its cancellation can have changed.
+    /// Updates a known job from a newer record. Only the version and the cancellation can have changed.
     fn update_job(&mut self, id: &str, record: &JobRecord, version: u64, now: Now) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -63,7 +63,7 @@
         if self.pages.is_dense() {
             job.split();
         } else if !job.spec.needs.is_empty() {
-            // Only a node that runs the version with pipelines accepts such a job, so the upgrade is over.
+            // Only a node of the version with job dependencies accepts such a job, so the upgrade is complete.
             effects.emit(NodeEvent::UpgradeEvidence {
                 observation: "a job that needs others",
             });
--- a/crates/control/src/leader/job_updates.rs
+++ b/crates/control/src/leader/job_updates.rs
@@ -1,4 +1,4 @@
-//! What the leader tells its peers of open jobs.
+//! Updates of open jobs that the leader sends to its peers.
 
 use super::model::Job;
 use super::Leader;
@@ -10,11 +10,11 @@
 impl Leader {
     /// The updates of open jobs that the next message to the peers carries.
     ///
-    /// Only jobs without open dependencies are included. The version before the pipelines knows no others, and so a
-    /// peer that receives an update knows that no dependency of the job can be cancelled any more.
+    /// Only jobs without open dependencies are included. The version before job dependencies supports no others, and a
+    /// peer that receives an update can conclude that no dependency of the job can be cancelled any more.
     ///
-    /// Where there are more jobs than a message holds, each message continues where the last one ended. When every
-    /// message began with the first jobs, all nodes had to read each of the others by itself.
+    /// If there are more jobs than fit into a message, each message continues where the last one ended. When every
+    /// message began with the first jobs, every node had to read each of the remaining jobs individually.
     pub fn next_job_updates(&mut self) -> Vec<JobUpdate> {
         let last = std::mem::take(&mut self.last_updated_job);
         let after = (Bound::Excluded(last.as_str()), Bound::Unbounded);
--- a/crates/control/src/leader/job_watch.rs
+++ b/crates/control/src/leader/job_watch.rs
@@ -1,6 +1,6 @@
-//! The watch of the open jobs: how the leader learns of submissions and cancellations.
+//! The watch on the records of open jobs, by which the leader learns of submissions and cancellations.
 //!
-//! If the watch has fallen too far behind, or fails again and again, all open jobs are read anew, page by page.
+//! If the watch has fallen too far behind, or fails repeatedly, all open jobs are read again, page by page.
 
 use super::Leader;
 use crate::effects::Effects;
@@ -15,58 +15,64 @@
 pub(super) struct JobWatch {
     /// Revision from which the next watch continues; 0 while nothing has been read.
     pub revision: u64,
-    /// Moment up to which every cancellation that was confirmed to a user is known here: when the reading or the last
-    /// watch was sent that was answered in full. 0 while nothing has been read.
-    pub informed_until: u64,
-    /// A watch, or a reading of all open jobs, is under way.
-    pub open: bool,
+    /// Time up to which this leader knows every cancellation that was confirmed to a user: when the last watch or
+    /// listing that completed was sent. 0 while nothing has been read.
+    pub cancellations_known_until: u64,
+    /// Whether a watch, or a listing of all open jobs, is in flight.
+    pub in_flight: bool,
     /// When the next watch may be sent.
     pub retry_at: u64,
-    /// Watches that failed in a row.
+    /// Number of consecutive failed watches.
     pub failures: u32,
 }
 
 impl JobWatch {
-    /// A watch or reading has ended: everything up to `revision` is known, and every cancellation that was confirmed
-    /// before `sent`.
-    fn advance(&mut self, revision: u64, sent: u64) {
+    /// Records that a watch or listing has completed: everything up to `revision` is known, and every cancellation that
+    /// was confirmed before `sent_at`.
+    fn advance(&mut self, revision: u64, sent_at: u64) {
         self.revision = self.revision.max(revision);
-        self.informed_until = self.informed_until.max(sent);
+        self.cancellations_known_until = self.cancellations_known_until.max(sent_at);
     }
 }
 
 impl Leader {
-    /// Sends the next watch once the last one has ended.
+    /// Sends the next watch unless one is in flight or the delay before the next one has not passed.
     pub(super) fn open_job_watch(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        if self.job_watch.open || now < self.job_watch.retry_at {
+        if self.job_watch.in_flight || now < self.job_watch.retry_at {
             return;
         }
-        self.job_watch.open = true;
+        self.job_watch.in_flight = true;
         let op = StateOp::Watch {
             prefix: JOBS,
             from: self.job_watch.revision,
         };
-        // Behind the leader's own writes it could wait for seconds, and cancellations with it.
+        // With the priority of the leader's own writes, the watch, and with it cancellations, could be delayed by
+        // seconds.
         self.send_state_request(Priority::Leadership, op, LeaderRequest::Watch(now), effects);
     }
 
-    /// The watch that was sent at `sent` has ended.
-    pub(super) fn on_watch(&mut self, sent: u64, reply: StateReply, effects: &mut Effects) {
-        self.job_watch.open = false;
+    /// Handles the reply to the watch that was sent at `sent_at`.
+    pub(super) fn on_watch_reply(
+        &mut self,
+        sent_at: u64,
+        reply: StateReply,
+        effects: &mut Effects,
+    ) {
+        self.job_watch.in_flight = false;
         match reply {
-            StateReply::Changes(changes) => self.on_changes(sent, changes, effects),
+            StateReply::Changes(changes) => self.on_changes(sent_at, changes, effects),
             StateReply::TooOld => self.reread_jobs(effects),
             _ => self.on_watch_failure(effects),
         }
     }
 
-    fn on_changes(&mut self, sent: u64, changes: Changes, effects: &mut Effects) {
+    fn on_changes(&mut self, sent_at: u64, changes: Changes, effects: &mut Effects) {
         self.job_watch.failures = 0;
         for change in changes.events {
             self.on_change(change, effects);
         }
-        self.job_watch.advance(changes.revision, sent);
+        self.job_watch.advance(changes.revision, sent_at);
         self.job_watch.retry_at = effects.now.mono + WATCH_EVERY_MS;
         self.tick(false, effects);
     }
@@ -74,13 +80,13 @@
     fn on_watch_failure(&mut self, effects: &mut Effects) {
         self.job_watch.failures += 1;
         self.job_watch.retry_at = effects.now.mono + STATE_RETRY_MS;
-        // A watch's answer has no size limit: one too large to be read would come again and again.
+        // The reply to a watch has no size limit: one that is too large to be read would be sent again on every retry.
         if self.job_watch.failures >= WATCH_TRIES {
             self.reread_jobs(effects);
         }
     }
 
-    /// Starts to read all open jobs, in place of what has changed.
+    /// Starts to read all open jobs instead of their changes.
     fn reread_jobs(&mut self, effects: &mut Effects) {
         log::info!(
             "event=resync from={} fails={}",
@@ -88,7 +94,7 @@
             self.job_watch.failures
         );
         self.job_watch.failures = 0;
-        self.job_watch.open = true;
+        self.job_watch.in_flight = true;
         let reread = Reread {
             since: effects.now.mono,
             revision: 0,
@@ -102,10 +108,15 @@
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
     }
 
-    /// A page of all open jobs has arrived, or the request for it has failed.
-    pub(super) fn on_resync(&mut self, reread: Reread, reply: StateReply, effects: &mut Effects) {
+    /// Handles the reply to a request for a page of all open jobs.
+    pub(super) fn on_reread_reply(
+        &mut self,
+        reread: Reread,
+        reply: StateReply,
+        effects: &mut Effects,
+    ) {
         let StateReply::Page(page) = reply else {
-            self.job_watch.open = false;
+            self.job_watch.in_flight = false;
             self.job_watch.retry_at = effects.now.mono + STATE_RETRY_MS;
             return;
         };
@@ -120,13 +131,13 @@
             }
             None => {
                 self.job_watch.advance(revision, reread.since);
-                self.job_watch.open = false;
+                self.job_watch.in_flight = false;
                 self.tick(false, effects);
             }
         }
     }
 
-    /// Takes the jobs of a page; the key to continue from, if more follow.
+    /// Handles the jobs of a page. Returns the key to continue from if more pages follow.
     fn on_reread_page(&mut self, page: Page, effects: &mut Effects) -> Option<String> {
         let last_key = page.items.last().map(|item| item.key.clone());
         for item in page.items {
@@ -136,7 +147,7 @@
     }
 
     fn on_change(&mut self, change: Change, effects: &mut Effects) {
-        // A change without a value deletes a record. Only this leader archives jobs, so it knows of that already.
+        // A change without a value is a deletion. Only this leader archives jobs, so it already knows of the deletion.
         if let (Some(key), Some(value)) = (change.put, change.value) {
             self.on_job_record(&key, &value, change.version, effects);
         }
--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -1,7 +1,7 @@
-//! Loading the records after an election.
+//! Loading of the records after an election.
 //!
-//! Open jobs come first, then what else belongs to them, then rentals and machine types. Each prefix is read in
-//! lists of limited length. Nothing is decided before all have been read.
+//! Open jobs are loaded first, then their overflow records and pages, then rentals and machine types. Each prefix is
+//! read in lists of limited length. The leader makes no decisions before all records have been read.
 
 use super::model::{Job, Machine, RecordCell};
 use super::rental::Rental;
@@ -15,22 +15,22 @@
 };
 use wire::state::Item;
 
-/// The records that are read next.
+/// The records that are to be read next.
 #[derive(Debug, Clone, PartialEq)]
 enum Stage {
-    /// Those under a prefix.
+    /// Records under a prefix.
     Prefix {
         /// The prefix.
         prefix: &'static str,
         /// Key to continue from.
         from: String,
     },
-    /// None: all have been read.
+    /// All records have been read.
     Complete,
 }
 
 impl Stage {
-    /// The records under a prefix, from the first one.
+    /// The records under a prefix, from the first key on.
     fn start_of(prefix: &'static str) -> Self {
         Stage::Prefix {
             prefix,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// What follows after everything under `prefix` has been read. The order matters: the records of a job are taken
-    /// in only if the job is known.
+    /// The stage after everything under `prefix` has been read. The order matters: overflow records and page copies are
+    /// applied only to jobs that are already known.
     fn after(prefix: &'static str) -> Self {
         match prefix {
             JOBS => Stage::start_of(MORE),
@@ -51,17 +51,17 @@
     }
 }
 
-/// How far loading has come.
+/// Progress of loading.
 pub(super) struct Loading {
     stage: Stage,
-    /// A list of records was requested.
+    /// Whether a list of records has been requested and has not arrived.
     in_flight: bool,
-    /// When the next list may be requested, after a failure.
+    /// When the next list may be requested after a failure.
     retry_at: u64,
 }
 
 impl Loading {
-    /// Loading that has yet to begin.
+    /// Loading that has not started.
     pub fn start() -> Self {
         Loading {
             stage: Stage::start_of(JOBS),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Loading that is over.
+    /// Loading that is complete.
     #[cfg(test)]
     pub fn complete() -> Self {
         Loading {
@@ -84,8 +84,8 @@
         self.stage == Stage::Complete
     }
 
-    /// When the next list may be requested; never while one is under way.
-    pub fn wake(&self) -> u64 {
+    /// When the next list may be requested; `u64::MAX` while one is in flight.
+    pub fn next_wake(&self) -> u64 {
         if self.in_flight {
             u64::MAX
         } else {
@@ -95,7 +95,7 @@
 }
 
 impl Leader {
-    /// Requests the next list of records, unless one is under way or the backoff after a failure lasts.
+    /// Requests the next list of records, unless one is in flight or the backoff after a failure has not ended.
     pub(super) fn request_next_list(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
         let Stage::Prefix { prefix, from } = self.loading.stage.clone() else {
@@ -106,7 +106,7 @@
         }
         self.loading.in_flight = true;
         if self.job_watch.revision == 0 {
-            self.job_watch.informed_until = now;
+            self.job_watch.cancellations_known_until = now;
         }
         self.send_state_request(
             Priority::Leadership,
@@ -116,8 +116,8 @@
         );
     }
 
-    /// A list of records has arrived, or the request for it has failed.
-    pub(super) fn on_load(
+    /// Handles the reply to a request for a list of records.
+    pub(super) fn on_load_reply(
         &mut self,
         prefix: &'static str,
         reply: StateReply,
@@ -179,7 +179,8 @@
         }
     }
 
-    /// Adds what did not fit into a job's own record. `name` is the job's id and the number of the further record.
+    /// Adds the machine types that did not fit into a job's own record. `name` is the job's id and the number of the
+    /// overflow record, separated by a slash.
     fn load_overflow_record(&mut self, name: &str, record: JobOverflowRecord) {
         let Some((id, _)) = name.split_once('/') else {
             return;
@@ -215,14 +216,14 @@
         self.tick(false, effects);
     }
 
-    /// Marks loaded jobs as cancelled if a notice of that came while they were being read.
+    /// Marks loaded jobs as cancelled if a cancellation notice arrived while records were being read.
     fn apply_cancellation_notices(&mut self) {
         for (id, job) in &mut self.jobs {
             job.aborted |= self.cancellation_notices.contains(id);
         }
     }
 
-    /// Adds the loaded assignments to their machines, which become known by them.
+    /// Adds the loaded assignments to their machines. Machines that are not known yet are created.
     fn index_assignments(&mut self, now: u64) {
         for (id, job) in &self.jobs {
             for (task, assignment) in job.assignments() {
@@ -235,7 +236,8 @@
         }
     }
 
-    /// Tracks the dependencies of all loaded jobs, then stops what is cancelled and archives what is over.
+    /// Registers the dependencies of all loaded jobs, then stops the tasks of cancelled jobs and archives jobs that
+    /// have ended.
     fn register_loaded_jobs(&mut self, effects: &Effects) {
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
         for id in &ids {
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -231,16 +231,16 @@
     /// A request to the state service has ended.
     pub fn on_state(&mut self, request: LeaderRequest, reply: StateReply, effects: &mut Effects) {
         match request {
-            LeaderRequest::Load(prefix) => self.on_load(prefix, reply, effects),
-            LeaderRequest::Watch(sent) => self.on_watch(sent, reply, effects),
+            LeaderRequest::Load(prefix) => self.on_load_reply(prefix, reply, effects),
+            LeaderRequest::Watch(sent) => self.on_watch_reply(sent, reply, effects),
             LeaderRequest::PendingTransaction(number) => {
                 self.on_transaction_reply(number, reply, effects)
             }
-            LeaderRequest::Refresh(what, key) => self.on_refresh(what, key, reply, effects),
-            LeaderRequest::Resync(reread) => self.on_resync(reread, reply, effects),
-            LeaderRequest::FinalRecord(id) => self.on_final_record(&id, reply, effects),
+            LeaderRequest::Refresh(what, key) => self.on_refresh_reply(what, key, reply, effects),
+            LeaderRequest::Resync(reread) => self.on_reread_reply(reread, reply, effects),
+            LeaderRequest::FinalRecord(id) => self.on_final_record_reply(&id, reply, effects),
             LeaderRequest::FurtherRecord(id, number) => {
-                self.on_further_record(id, number, reply, effects)
+                self.on_overflow_record_reply(id, number, reply, effects)
             }
         }
     }
--- a/crates/control/src/leader/pages/copies.rs
+++ b/crates/control/src/leader/pages/copies.rs
@@ -1,86 +1,82 @@
-//! Copies of parts on pages: finding the newest of each while loading, and identifying those that a write contains.
+//! Copies of chunks on pages: selects the newest copy of each chunk while loading, and lists the copies in a record.
 
-use super::page::PartId;
+use super::page::ChunkId;
 use std::collections::HashMap;
 use wire::records::{ChunkRecord, PageRecord};
 
-/// Identifies a copy of a part on a page, in either layout.
+/// Identifies a copy of a chunk on a page, in either layout.
 #[derive(Debug, Clone, PartialEq)]
-pub(in crate::leader) struct PartCopy {
-    /// The part, numbered as in the copy's layout.
-    pub part: PartId,
-    /// Number of the part's last change that the copy has.
+pub(in crate::leader) struct ChunkCopy {
+    /// The chunk, numbered as in the copy's layout.
+    pub id: ChunkId,
+    /// Number of the last change of the chunk that the copy includes.
     pub seq: u64,
-    /// Whether it is a wide part, as the version before job dependencies writes them.
+    /// Whether the copy is in the wide layout, which the version before job dependencies writes.
     pub is_wide: bool,
 }
 
 /// The copies that a page's record contains.
-pub(in crate::leader) fn copies_in(record: &PageRecord) -> Vec<PartCopy> {
-    let wide = record.parts.iter().map(|entry| PartCopy {
-        part: PartId::new(&entry.job, entry.part),
+pub(in crate::leader) fn copies_in(record: &PageRecord) -> Vec<ChunkCopy> {
+    let wide = record.parts.iter().map(|entry| ChunkCopy {
+        id: ChunkId::new(&entry.job, entry.part),
         seq: entry.seq,
         is_wide: true,
     });
-    let small = record.small.iter().map(|entry| PartCopy {
-        part: PartId::new(&entry.job, entry.part),
+    let dense = record.small.iter().map(|entry| ChunkCopy {
+        id: ChunkId::new(&entry.job, entry.part),
         seq: entry.seq,
         is_wide: false,
     });
-    wide.chain(small).collect()
+    wide.chain(dense).collect()
 }
 
-/// A copy of a part with its content.
+/// A copy of a chunk with its content.
 pub(super) struct LoadedCopy {
     /// Page that it was read from.
     pub page: u32,
-    /// Number of the part's last change that it has.
+    /// Number of the last change of the chunk that the copy includes.
     pub seq: u64,
-    /// Content.
+    /// Content of the chunk.
     pub chunk: ChunkRecord,
 }
 
-/// The newest copy of each part while pages are being loaded, apart for each layout.
+/// The newest copy of each chunk among the pages loaded so far, separately for each layout.
 #[derive(Default)]
-pub(super) struct Copies {
-    /// Wide parts.
-    pub wide: HashMap<PartId, LoadedCopy>,
-    /// Parts in the dense layout.
-    pub small: HashMap<PartId, LoadedCopy>,
+pub(super) struct NewestCopies {
+    /// Copies in the wide layout.
+    pub wide: HashMap<ChunkId, LoadedCopy>,
+    /// Copies in the dense layout.
+    pub dense: HashMap<ChunkId, LoadedCopy>,
 }
 
-impl Copies {
-    /// Whether a part in the dense layout was found.
-    pub fn has_small_parts(&self) -> bool {
-        !self.small.is_empty()
+impl NewestCopies {
+    /// Whether a copy in the dense layout was found.
+    pub fn has_dense_copies(&self) -> bool {
+        !self.dense.is_empty()
     }
 
-    /// Takes in the copies of a page.
+    /// Adds the copies of a page, keeping the newest copy of each chunk.
     pub fn add_page(&mut self, page: u32, record: PageRecord) {
         for entry in record.parts {
-            let part = PartId::new(&entry.job, entry.part);
+            let id = ChunkId::new(&entry.job, entry.part);
             let (seq, chunk) = (entry.seq, entry.chunk);
-            insert_if_newest(&mut self.wide, part, LoadedCopy { page, seq, chunk });
+            insert_if_newest(&mut self.wide, id, LoadedCopy { page, seq, chunk });
         }
         for entry in record.small {
-            let part = PartId::new(&entry.job, entry.part);
+            let id = ChunkId::new(&entry.job, entry.part);
             let Some(chunk) = entry.chunk.read() else {
-                log::error!(
-                    "event=part_unreadable job={} part={}",
-                    part.job,
-                    part.number
-                );
+                log::error!("event=part_unreadable job={} part={}", id.job, id.number);
                 continue;
             };
             let seq = entry.seq;
-            insert_if_newest(&mut self.small, part, LoadedCopy { page, seq, chunk });
+            insert_if_newest(&mut self.dense, id, LoadedCopy { page, seq, chunk });
         }
     }
 }
 
-fn insert_if_newest(newest: &mut HashMap<PartId, LoadedCopy>, part: PartId, copy: LoadedCopy) {
-    let known = newest.get(&part);
+fn insert_if_newest(newest: &mut HashMap<ChunkId, LoadedCopy>, id: ChunkId, copy: LoadedCopy) {
+    let known = newest.get(&id);
     if known.is_none_or(|known| copy.seq > known.seq) {
-        newest.insert(part, copy);
+        newest.insert(id, copy);
     }
 }
--- a/crates/control/src/leader/pages/draft.rs
+++ b/crates/control/src/leader/pages/draft.rs
@@ -1,50 +1,50 @@
 //! Drafts of the pages that one transaction is to write.
 
-use super::page::PartId;
+use super::page::ChunkId;
 use std::collections::BTreeSet;
 
-/// Something does not fit into a transaction any more.
+/// Error: the transaction has no capacity left for a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::leader) struct NoRoom;
+pub(in crate::leader) struct TransactionFull;
 
-/// What a transaction has left for pages.
+/// What the limits of a transaction leave for pages.
 #[derive(Debug, Clone, Copy)]
-pub(in crate::leader) struct PageRoom {
-    /// Writes.
+pub(in crate::leader) struct RemainingCapacity {
+    /// Maximum number of pages.
     pub writes: usize,
-    /// Compares (guards).
+    /// Maximum number of compares.
     pub compares: usize,
-    /// Bytes.
+    /// Maximum estimated bytes of all pages.
     pub bytes: usize,
 }
 
-/// A page as a transaction is to write it.
+/// The content of a page that a transaction is to write.
 pub(in crate::leader) struct PageDraft {
     number: u32,
-    parts: BTreeSet<PartId>,
+    chunks: BTreeSet<ChunkId>,
     bytes: usize,
-    /// Jobs whose version must be compared, since the page records new assignments of them.
+    /// Jobs with new assignments on the page. The transaction compares their versions.
     guarded_jobs: BTreeSet<String>,
 }
 
 impl PageDraft {
-    /// A draft without parts.
+    /// An empty draft of the page with this number.
     pub fn new(number: u32) -> Self {
         PageDraft {
             number,
-            parts: BTreeSet::new(),
+            chunks: BTreeSet::new(),
             bytes: 0,
             guarded_jobs: BTreeSet::new(),
         }
     }
 
-    /// Adds a part that it does not have yet.
-    pub fn add(&mut self, part: PartId, bytes: usize, is_guarded: bool) {
+    /// Adds a chunk that the draft does not have yet. `is_guarded` makes the transaction compare the job's version.
+    pub fn add(&mut self, id: ChunkId, bytes: usize, is_guarded: bool) {
         self.bytes += bytes;
         if is_guarded {
-            self.guarded_jobs.insert(part.job.clone());
+            self.guarded_jobs.insert(id.job.clone());
         }
-        self.parts.insert(part);
+        self.chunks.insert(id);
     }
 
     /// Number of the page.
@@ -52,22 +52,22 @@
         self.number
     }
 
-    /// Its parts.
-    pub fn parts(&self) -> impl Iterator<Item = &PartId> {
-        self.parts.iter()
+    /// Ids of its chunks.
+    pub fn chunks(&self) -> impl Iterator<Item = &ChunkId> {
+        self.chunks.iter()
     }
 
-    /// Whether it has a part.
-    pub fn contains(&self, part: &PartId) -> bool {
-        self.parts.contains(part)
+    /// Whether it has a chunk.
+    pub fn contains(&self, id: &ChunkId) -> bool {
+        self.chunks.contains(id)
     }
 
-    /// Whether it has no part.
+    /// Whether it has no chunks.
     pub fn is_empty(&self) -> bool {
-        self.parts.is_empty()
+        self.chunks.is_empty()
     }
 
-    /// Estimated bytes of its parts.
+    /// Estimated bytes of its chunks.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -77,17 +77,17 @@
         self.guarded_jobs.iter()
     }
 
-    /// Number of compares that it needs, its own included.
+    /// Number of compares that the page needs: one for its own record and one per guarded job.
     pub fn compares(&self) -> usize {
         1 + self.guarded_jobs.len()
     }
 
-    /// Number of jobs that it has parts of. The parts are sorted by job, so each change of the job counts.
+    /// Number of jobs that it has chunks of. The chunks are sorted by job, so this counts the changes of the job id.
     pub fn jobs(&self) -> usize {
         let (mut jobs, mut previous) = (0, "");
-        for part in &self.parts {
-            jobs += usize::from(part.job != previous);
-            previous = &part.job;
+        for id in &self.chunks {
+            jobs += usize::from(id.job != previous);
+            previous = &id.job;
         }
         jobs
     }
@@ -105,12 +105,12 @@
         self.drafts.len()
     }
 
-    /// Whether there is no page.
+    /// Whether there are no pages.
     pub fn is_empty(&self) -> bool {
         self.drafts.is_empty()
     }
 
-    /// Compares that all pages need.
+    /// Number of compares that all pages need.
     pub fn compares(&self) -> usize {
         self.drafts.iter().map(PageDraft::compares).sum()
     }
@@ -120,12 +120,12 @@
         self.drafts.iter().map(PageDraft::bytes).sum()
     }
 
-    /// Whether one of the pages has this part.
-    pub fn contains_part(&self, part: &PartId) -> bool {
-        self.drafts.iter().any(|draft| draft.contains(part))
+    /// Whether one of the pages has this chunk.
+    pub fn contains_chunk(&self, id: &ChunkId) -> bool {
+        self.drafts.iter().any(|draft| draft.contains(id))
     }
 
-    /// Whether this page is among them.
+    /// Whether the page with this number is among them.
     pub fn contains_page(&self, number: u32) -> bool {
         self.drafts.iter().any(|draft| draft.number == number)
     }
@@ -135,17 +135,17 @@
         self.drafts.iter().map(PageDraft::number)
     }
 
-    /// The page that parts are being added to.
+    /// The page that chunks are being added to.
     pub fn last(&self) -> Option<&PageDraft> {
         self.drafts.last()
     }
 
-    /// The page that parts are being added to, to change it.
+    /// The page that chunks are being added to, for changes.
     pub fn last_mut(&mut self) -> Option<&mut PageDraft> {
         self.drafts.last_mut()
     }
 
-    /// Adds a page, which parts are added to from now on.
+    /// Adds a page, to which further chunks are added.
     pub fn push(&mut self, draft: PageDraft) {
         self.drafts.push(draft);
     }
--- a/crates/control/src/leader/pages/encoding.rs
+++ b/crates/control/src/leader/pages/encoding.rs
@@ -1,23 +1,23 @@
 //! Encodes drafts of pages as writes of a transaction.
 
-use super::copies::{copies_in, PartCopy};
+use super::copies::{copies_in, ChunkCopy};
 use super::draft::{PageDraft, PageDrafts};
 use crate::leader::Leader;
 use wire::records::{job_key, page_key, PageEntry, PageRecord, SmallEntry, SmallPart};
 use wire::state::{Compare, Write};
 
-/// The rewrite of one page, ready to be put into a transaction.
+/// The write of one page, ready to be added to a transaction.
 pub(in crate::leader) struct PageWrite {
     /// Number of the page.
     pub number: u32,
-    /// Guards against the cancellation of jobs whose new assignments the page records.
+    /// Compares of the versions of jobs with new assignments on the page. They fail if the job was cancelled.
     pub job_compares: Vec<Compare>,
-    /// Guard of the page's own record.
+    /// Compare of the version of the page's own record.
     pub compare: Compare,
     /// The write itself.
     pub write: Write,
-    /// Copies of parts that the page holds once it is written.
-    pub copies: Vec<PartCopy>,
+    /// Copies of chunks that the page holds once it is written.
+    pub copies: Vec<ChunkCopy>,
 }
 
 impl Leader {
@@ -52,8 +52,8 @@
 
     fn page_record(&self, draft: &PageDraft) -> PageRecord {
         let mut record = PageRecord::default();
-        for id in draft.parts() {
-            let Some(chunk) = self.part_chunk(id) else {
+        for id in draft.chunks() {
+            let Some(chunk) = self.chunk_by_id(id) else {
                 continue;
             };
             let (job, part, seq) = (id.job.clone(), id.number, chunk.seq);
--- a/crates/control/src/leader/pages/limits.rs
+++ b/crates/control/src/leader/pages/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the state service, and what follows from them for pages and transactions.
+//! Limits of the state service, and the limits of pages and transactions that are derived from them.
 
 use crate::leader::Leader;
 use crate::settings::Limits;
@@ -7,11 +7,12 @@
 
 /// Compares that the state service allows for each write that a transaction may have.
 const COMPARES_PER_WRITE: usize = 4;
-/// Compares of a transaction that the jobs of one page can't use: the leader's and the page's own, and one to spare.
+/// Compares of a transaction that are not available to the jobs of one page: the leader's record, the page's own
+/// record, and one in reserve.
 const RESERVED_COMPARES: usize = 3;
-/// In the wide layout, share (one in that many) of a value that a page may take, and of a page that may be rewritten
-/// along with new parts.
-const WIDE_LAYOUT_SHARE: usize = 2;
+/// In the wide layout, a page may take the maximum size of a value divided by this. New chunks are added only to pages
+/// that have at most their maximum size divided by this.
+const WIDE_LAYOUT_DIVISOR: usize = 2;
 
 /// Compares that a transaction may have.
 pub(in crate::leader) fn max_compares(limits: &Limits) -> usize {
@@ -30,7 +31,7 @@
 }
 
 impl Leader {
-    /// Limits that transactions must stay within.
+    /// Limits that transactions must stay within. In the dense layout these include the future limits.
     pub(in crate::leader) fn limits(&self) -> Limits {
         let state = &self.settings.deployment.state;
         if self.pages.is_dense() {
@@ -40,33 +41,33 @@
         }
     }
 
-    /// Whether today's limits allow a transaction that the coming ones do not.
-    pub(in crate::leader) fn fits_only_today(&self, txn: &Txn) -> bool {
+    /// Whether a transaction fits the current limits but not the future ones.
+    pub(in crate::leader) fn fits_only_current_limits(&self, txn: &Txn) -> bool {
         let state = &self.settings.deployment.state;
         fits(txn, &state.now()) && !fits(txn, &state.least())
     }
 
-    /// Bytes that a page may have.
-    pub(super) fn page_bytes(&self) -> usize {
+    /// Maximum bytes of a page.
+    pub(super) fn max_page_bytes(&self) -> usize {
         let value_bytes = self.limits().value_bytes;
         if self.pages.is_dense() {
             ((value_bytes as f64 * DENSE_PAGE_FILL) as usize).min(PAGE_BYTES)
         } else {
-            value_bytes / WIDE_LAYOUT_SHARE
+            value_bytes / WIDE_LAYOUT_DIVISOR
         }
     }
 
-    /// Bytes that a page may already have for new parts to be added to it.
+    /// Maximum bytes that a page may already have if new chunks are to be added to it.
     pub(super) fn max_rewritten_bytes(&self) -> usize {
         if self.pages.is_dense() {
-            self.page_bytes() / REWRITTEN_PART
+            self.max_page_bytes() / REWRITTEN_PART
         } else {
-            self.page_bytes() / WIDE_LAYOUT_SHARE
+            self.max_page_bytes() / WIDE_LAYOUT_DIVISOR
         }
     }
 
-    /// Jobs that a page may have parts of: all of them may need a compare in one transaction.
-    pub(super) fn page_jobs(&self) -> usize {
+    /// Maximum number of jobs with chunks on one page: each of them may need a compare in the same transaction.
+    pub(super) fn max_page_jobs(&self) -> usize {
         max_compares(&self.limits()) - RESERVED_COMPARES
     }
 }
--- a/crates/control/src/leader/pages/packing.rs
+++ b/crates/control/src/leader/pages/packing.rs
@@ -1,84 +1,90 @@
-//! Chooses the pages that a transaction writes, and adds the unsaved parts of jobs to them.
+//! Chooses the pages that a transaction writes, and adds the unsaved chunks of jobs to them.
 
-use super::draft::{NoRoom, PageDraft, PageDrafts, PageRoom};
-use super::page::{Page, PartId};
+use super::draft::{PageDraft, PageDrafts, RemainingCapacity, TransactionFull};
+use super::page::{ChunkId, Page};
 use crate::leader::model::Chunk;
 use crate::leader::Leader;
 
 impl Leader {
-    /// Adds the unsaved parts of a job to the pages of a transaction, as far as they fit.
-    pub(in crate::leader) fn add_parts(
+    /// Adds the unsaved chunks of a job to the pages of a transaction, as far as they fit.
+    pub(in crate::leader) fn add_chunks(
         &self,
         id: &str,
         drafts: &mut PageDrafts,
-        room: PageRoom,
-    ) -> Result<(), NoRoom> {
+        capacity: RemainingCapacity,
+    ) -> Result<(), TransactionFull> {
         let Some(job) = self.jobs.get(id) else {
             return Ok(());
         };
         job.chunks
             .iter()
             .filter(|(_, chunk)| chunk.is_unsaved())
-            .try_for_each(|(part, chunk)| {
-                self.add_part(PartId::new(id, *part), chunk, drafts, room)
+            .try_for_each(|(number, chunk)| {
+                self.add_chunk(ChunkId::new(id, *number), chunk, drafts, capacity)
             })
     }
 
-    fn add_part(
+    fn add_chunk(
         &self,
-        part: PartId,
+        id: ChunkId,
         chunk: &Chunk,
         drafts: &mut PageDrafts,
-        room: PageRoom,
-    ) -> Result<(), NoRoom> {
-        if drafts.contains_part(&part) {
+        capacity: RemainingCapacity,
+    ) -> Result<(), TransactionFull> {
+        if drafts.contains_chunk(&id) {
             return Ok(());
         }
         let bytes = chunk.bytes(self.pages.is_dense());
         let needs_page = |draft: &PageDraft| self.is_full(draft, bytes);
         if drafts.last().is_none_or(needs_page) {
-            self.add_draft(drafts, room)?;
+            self.add_draft(drafts, capacity)?;
         }
-        // Each page has a guard of its own, which is counted here.
+        // A newly drafted page needs a compare of its own record, so the compares are counted after it was added.
         let compares = drafts.compares();
-        let draft = drafts.last_mut().ok_or(NoRoom)?;
-        if draft.contains(&part) {
+        let draft = drafts.last_mut().ok_or(TransactionFull)?;
+        if draft.contains(&id) {
             return Ok(());
         }
-        if compares >= room.compares {
-            return Err(NoRoom);
+        if compares >= capacity.compares {
+            return Err(TransactionFull);
         }
-        draft.add(part, bytes, chunk.has_new_assignments());
+        draft.add(id, bytes, chunk.has_new_assignments());
         Ok(())
     }
 
-    /// Whether a part of that size does not fit on a page any more. An empty page takes a part of any size.
+    /// Whether a chunk of this size no longer fits on a page. An empty page accepts a chunk of any size.
     fn is_full(&self, draft: &PageDraft, bytes: usize) -> bool {
         let exceeds_limits =
-            draft.bytes() + bytes > self.page_bytes() || draft.jobs() >= self.page_jobs();
+            draft.bytes() + bytes > self.max_page_bytes() || draft.jobs() >= self.max_page_jobs();
         exceeds_limits && !draft.is_empty()
     }
 
-    /// Adds a page to those that a transaction is to write.
-    fn add_draft(&self, drafts: &mut PageDrafts, room: PageRoom) -> Result<(), NoRoom> {
-        if drafts.len() >= room.writes {
-            return Err(NoRoom);
+    /// Adds a page to the drafts of a transaction.
+    fn add_draft(
+        &self,
+        drafts: &mut PageDrafts,
+        capacity: RemainingCapacity,
+    ) -> Result<(), TransactionFull> {
+        if drafts.len() >= capacity.writes {
+            return Err(TransactionFull);
         }
-        let bytes_of_all = (drafts.len() + 1) * self.page_bytes();
-        if !drafts.is_empty() && bytes_of_all > room.bytes {
-            return Err(NoRoom);
+        let total_bytes = (drafts.len() + 1) * self.max_page_bytes();
+        if !drafts.is_empty() && total_bytes > capacity.bytes {
+            return Err(TransactionFull);
         }
         let draft = self.open_page(drafts);
-        // The parts that the page already has may need guards too.
-        if drafts.compares() + draft.compares() > room.compares {
-            return Err(NoRoom);
+        // The chunks that the page already has may need compares too.
+        if drafts.compares() + draft.compares() > capacity.compares {
+            return Err(TransactionFull);
         }
         drafts.push(draft);
         Ok(())
     }
 
-    /// Starts to write a page: the one with the fewest bytes, or a new one if all have too many. Parts that are
-    /// rewritten take room from new ones: with small pages and few writes a second, starts waited for that room.
+    /// A draft of the page to write next: the one with the fewest bytes, or a new one if all have too many.
+    ///
+    /// Chunks that are rewritten unchanged take space from new ones: with small pages and few writes per second, starts
+    /// waited for that space.
     fn open_page(&self, drafts: &PageDrafts) -> PageDraft {
         let smallest = self.pages.smallest_writable(drafts);
         let max_bytes = self.max_rewritten_bytes();
@@ -88,14 +94,14 @@
         }
     }
 
-    /// A draft of an existing page with its parts as they are now.
+    /// A draft of an existing page with the current content of its chunks.
     fn rewrite_page(&self, number: u32, page: &Page) -> PageDraft {
         let mut draft = PageDraft::new(number);
-        for part in page.parts() {
-            let chunk = self.part_chunk(part);
+        for id in page.chunks() {
+            let chunk = self.chunk_by_id(id);
             let bytes = chunk.map_or(0, |chunk| chunk.bytes(self.pages.is_dense()));
             let is_guarded = chunk.is_some_and(Chunk::has_new_assignments);
-            draft.add(part.clone(), bytes, is_guarded);
+            draft.add(id.clone(), bytes, is_guarded);
         }
         draft
     }
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -1,7 +1,8 @@
-//! Writes the leader's records to the state service, in guarded transactions that are never applied twice.
+//! Writes the leader's records to the state service, in conditional transactions that are applied at most once.
 //!
-//! Each transaction compares the version of the leader's own record, which fences off a leader that was replaced, and
-//! the version of every record that it changes. So a transaction whose outcome is unknown may be sent again as it is.
+//! Each transaction compares the version of the leader's own record, which fences off a leader that has been replaced,
+//! and the version of every record that it changes. A transaction whose outcome is unknown can therefore be resent
+//! unchanged.
 
 mod builder;
 mod conflicts;
@@ -16,7 +17,7 @@
 pub(super) use pending_transactions::PendingTransactions;
 pub(super) use write_queue::WriteQueue;
 
-use super::pages::NoRoom;
+use super::pages::TransactionFull;
 use super::Leader;
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{LeaderRequest, Priority, RecordId, StateOp, StateReply};
@@ -27,7 +28,7 @@
 use wire::records::LEADER;
 
 impl Leader {
-    /// Sends transactions for the queued writes, as many as may be in flight at a time.
+    /// Sends transactions for the queued writes, up to the limit of transactions in flight.
     pub(super) fn flush(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
         if !self.is_ready() || self.transactions.is_paused(now) {
@@ -35,7 +36,7 @@
         }
         self.queue_due_deferred_writes(now);
         self.resend_due_transactions(effects);
-        while self.transactions.has_room() && !self.write_queue.is_empty() {
+        while self.transactions.has_capacity() && !self.write_queue.is_empty() {
             let Some(transaction) = self.next_transaction() else {
                 return;
             };
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Fills a transaction with queued writes; nothing if none of them can be written now.
+    /// Builds a transaction from queued writes. Returns `None` if none of them can be written now.
     fn next_transaction(&mut self) -> Option<PendingTransaction> {
         let mut builder = TransactionBuilder::new(self.lead_version, &self.limits());
         self.add_queued_writes(&mut builder);
@@ -67,7 +68,7 @@
         Some(builder.build())
     }
 
-    /// Adds queued writes in their order until one does not fit. Records that are in flight stay in the queue.
+    /// Adds queued writes in order until one does not fit. Records that are in flight stay in the queue.
     fn add_queued_writes(&mut self, builder: &mut TransactionBuilder) {
         let mut remaining = VecDeque::new();
         while let Some(record) = self.write_queue.pop() {
@@ -79,20 +80,20 @@
                 remaining.push_front(record);
                 break;
             }
-            self.write_queue.confirm(&record);
+            self.write_queue.acknowledge(&record);
         }
-        self.write_queue.put_back(remaining);
+        self.write_queue.requeue(remaining);
     }
 
-    /// Adds what a record needs to a transaction, if anything.
+    /// Adds the writes that a record needs, if any, to a transaction.
     fn add_write(
         &mut self,
         record: &RecordId,
         builder: &mut TransactionBuilder,
-    ) -> Result<(), NoRoom> {
-        if let Some(id) = self.job_with_unsaved_parts(record) {
-            let room = builder.page_room();
-            return self.add_parts(id, builder.drafts_mut(), room);
+    ) -> Result<(), TransactionFull> {
+        if let Some(id) = self.job_with_unsaved_chunks(record) {
+            let capacity = builder.remaining_capacity();
+            return self.add_chunks(id, builder.drafts_mut(), capacity);
         }
         let Some(write) = self.record_write(record) else {
             return Ok(());
@@ -102,31 +103,31 @@
         Ok(())
     }
 
-    /// Adds deferred writes where the pages of a transaction have room left: that costs no write of its own.
+    /// Adds deferred writes that fit on the pages of a transaction. They need no write of their own there.
     fn add_deferred_writes(&mut self, builder: &mut TransactionBuilder) {
-        let Some(room) = builder.room_on_drafted_pages() else {
+        let Some(capacity) = builder.remaining_capacity_of_drafts() else {
             return;
         };
         let deferred = self.write_queue.deferred_by_time();
         for record in deferred.into_iter().take(DEFERRED_WRITES_PER_TRANSACTION) {
-            let Some(id) = self.job_with_unsaved_parts(&record) else {
+            let Some(id) = self.job_with_unsaved_chunks(&record) else {
                 continue;
             };
             if self.is_in_flight(&record) {
                 continue;
             }
-            if self.add_parts(id, builder.drafts_mut(), room).is_ok() {
+            if self.add_chunks(id, builder.drafts_mut(), capacity).is_ok() {
                 self.write_queue.remove_deferred(&record);
             }
         }
     }
 
-    /// Deletes an empty page with a transaction that has room for it.
+    /// Adds the deletion of an empty page to a transaction if it fits.
     fn add_page_deletion(&mut self, builder: &mut TransactionBuilder) {
-        let Some((number, version)) = self.pages.spare_page() else {
+        let Some((number, version)) = self.pages.deletable_page() else {
             return;
         };
-        if builder.has_room_for_deletion() {
+        if builder.fits_deletion() {
             builder.delete_page(number, version);
             self.set_in_flight(&RecordId::Page(number), true);
         }
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Takes in the outcome of a transaction.
+    /// Handles the reply to a transaction.
     pub(super) fn on_transaction_reply(
         &mut self,
         number: u64,
@@ -159,11 +160,11 @@
         match reply {
             StateReply::Committed { version } => {
                 self.has_new_decisions = true;
-                self.on_committed(number, version, effects);
+                self.on_transaction_committed(number, version, effects);
             }
             StateReply::Refused => self.transactions.retry_later(number, now),
             StateReply::Unknown => {
-                // The very same transaction is sent again: its compares let it be applied once at most.
+                // The transaction is resent unchanged: its compares ensure that it is applied at most once.
                 self.transactions.mark_ambiguous(number);
                 self.transactions.retry_later(number, now);
             }
@@ -175,43 +176,43 @@
             }
             StateReply::Conflict { failed } => {
                 if let Some(transaction) = self.transactions.remove(number) {
-                    self.on_conflict(transaction, &failed, effects);
+                    self.on_transaction_conflict(transaction, &failed, effects);
                 }
             }
-            other => self.on_invalid(number, &other, effects),
+            other => self.on_transaction_invalid(number, &other, effects),
         }
         self.flush(effects);
     }
 
-    fn on_committed(&mut self, number: u64, version: u64, effects: &mut Effects) {
+    fn on_transaction_committed(&mut self, number: u64, version: u64, effects: &mut Effects) {
         if let Some(transaction) = self.transactions.remove(number) {
             for change in transaction.changes {
-                self.on_saved(change, version, effects);
+                self.on_change_saved(change, version, effects);
             }
         }
     }
 
-    /// The state service does not accept a transaction as it is.
-    fn on_invalid(&mut self, number: u64, reply: &StateReply, effects: &mut Effects) {
+    /// Handles a transaction that the state service rejects as invalid.
+    fn on_transaction_invalid(&mut self, number: u64, reply: &StateReply, effects: &mut Effects) {
         let Some(transaction) = self.transactions.remove(number) else {
             return;
         };
-        if !self.pages.is_dense() && self.fits_only_today(&transaction.txn) {
+        if !self.pages.is_dense() && self.fits_only_current_limits(&transaction.txn) {
             let event = NodeEvent::UpgradeEvidence {
                 observation: "a size that only new limits refuse",
             };
             effects.emit(event);
             self.switch_to_dense_layout();
         } else {
-            // Nothing that is written should ever be invalid; if it is, other work must go on meanwhile.
+            // No transaction should ever be invalid. If one is, writing is paused, and other work goes on meanwhile.
             log::error!("event=txn_invalid reply={reply:?}");
             self.transactions.pause(effects.now.mono);
         }
-        // An earlier copy of it may have been executed, or may be yet: what is recorded decides.
-        self.on_conflict(transaction, &[], effects);
+        // An earlier send of this transaction may have been applied, or may still be. The records are read to find out.
+        self.on_transaction_conflict(transaction, &[], effects);
     }
 
-    /// Whether transactions have been sent whose outcome is not known yet.
+    /// Whether any transaction has an unknown outcome.
     pub fn has_writes_in_flight(&self) -> bool {
         !self.transactions.is_empty()
     }
--- a/crates/control/src/leader/store/builder.rs
+++ b/crates/control/src/leader/store/builder.rs
@@ -1,27 +1,29 @@
-//! Puts a transaction together within the limits of the state service.
+//! Builds a transaction within the limits of the state service.
 
 use super::record_write::RecordWrite;
 use super::transaction::{PendingTransaction, RecordChange};
-use crate::leader::pages::{max_compares, NoRoom, PageDrafts, PageRoom, PageWrite};
+use crate::leader::pages::{
+    max_compares, PageDrafts, PageWrite, RemainingCapacity, TransactionFull,
+};
 use crate::settings::Limits;
 use constants::TXN_BYTES;
 use wire::records::{page_key, LEADER};
 use wire::state::{Compare, Txn, Write};
 
-/// A transaction that is being put together.
+/// Collects the compares and writes of a transaction.
 pub(super) struct TransactionBuilder {
     max_writes: usize,
     max_compares: usize,
     txn: Txn,
     changes: Vec<RecordChange>,
-    /// Estimated bytes of the writes added so far, pages apart.
+    /// Estimated bytes of the writes added so far, without pages.
     bytes: usize,
-    /// Pages that it is to write, which are encoded last.
+    /// Pages to write. They are encoded after all other writes have been added.
     drafts: PageDrafts,
 }
 
 impl TransactionBuilder {
-    /// A transaction that fails unless the leader's record has this version.
+    /// An empty transaction, which fails unless the leader's record has this version.
     pub fn new(leader_version: u64, limits: &Limits) -> Self {
         let fence = Compare::new(LEADER, leader_version);
         TransactionBuilder {
@@ -37,14 +39,14 @@
         }
     }
 
-    /// Adds the write of a record if it fits. The first one may have any number of bytes.
-    pub fn add(&mut self, write: RecordWrite) -> Result<(), NoRoom> {
+    /// Adds the write of a record if it fits. The first write may have any size.
+    pub fn add(&mut self, write: RecordWrite) -> Result<(), TransactionFull> {
         let writes = self.txn.writes.len() + self.drafts.len() + write.writes.len();
         let compares = self.txn.compares.len() + self.drafts.compares() + write.compares.len();
         let bytes = self.bytes + self.drafts.bytes();
         let exceeds_bytes = bytes > 0 && bytes + write.bytes > TXN_BYTES;
         if writes > self.max_writes || compares > self.max_compares || exceeds_bytes {
-            return Err(NoRoom);
+            return Err(TransactionFull);
         }
         self.bytes += write.bytes;
         self.txn.compares.extend(write.compares);
@@ -53,35 +55,35 @@
         Ok(())
     }
 
-    /// What is left for pages, those drafted so far included.
-    pub fn page_room(&self) -> PageRoom {
-        PageRoom {
+    /// Capacity for pages, including those drafted so far.
+    pub fn remaining_capacity(&self) -> RemainingCapacity {
+        RemainingCapacity {
             writes: self.max_writes - self.txn.writes.len(),
             compares: self.max_compares - self.txn.compares.len(),
             bytes: TXN_BYTES.saturating_sub(self.bytes),
         }
     }
 
-    /// What is left if no page is added to those drafted so far; nothing if there are none.
-    pub fn room_on_drafted_pages(&self) -> Option<PageRoom> {
-        (!self.drafts.is_empty()).then(|| PageRoom {
+    /// Capacity of the pages drafted so far, if no further page is added. `None` if there are none.
+    pub fn remaining_capacity_of_drafts(&self) -> Option<RemainingCapacity> {
+        (!self.drafts.is_empty()).then(|| RemainingCapacity {
             writes: self.drafts.len(),
             compares: self.max_compares - self.txn.compares.len(),
             bytes: TXN_BYTES,
         })
     }
 
-    /// The pages that it is to write, to add parts to them.
+    /// The drafted pages, to add chunks to them.
     pub fn drafts_mut(&mut self) -> &mut PageDrafts {
         &mut self.drafts
     }
 
-    /// The pages that it is to write, to encode them.
+    /// Takes the drafted pages, to encode them.
     pub fn take_drafts(&mut self) -> PageDrafts {
         std::mem::take(&mut self.drafts)
     }
 
-    /// Adds the write of a page that was drafted.
+    /// Adds the write of a drafted page.
     pub fn add_page(&mut self, page: PageWrite) {
         for compare in page.job_compares {
             if !self.txn.compares.contains(&compare) {
@@ -96,8 +98,8 @@
         });
     }
 
-    /// Whether one more write with one compare fits, all pages having been added.
-    pub fn has_room_for_deletion(&self) -> bool {
+    /// Whether a deletion (one write and one compare) still fits, after all pages have been added.
+    pub fn fits_deletion(&self) -> bool {
         self.txn.writes.len() < self.max_writes && self.txn.compares.len() < self.max_compares
     }
 
@@ -109,7 +111,7 @@
         self.changes.push(RecordChange::DeletePage(number));
     }
 
-    /// Whether it changes nothing.
+    /// Whether the transaction changes nothing.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
--- a/crates/control/src/leader/store/conflicts.rs
+++ b/crates/control/src/leader/store/conflicts.rs
@@ -1,25 +1,25 @@
-//! Conflicts: a record differs from what was known of it, and is read again before it is written.
+//! Transaction conflicts: a record does not have the expected version and is read again before it is written.
 
 use super::transaction::{PendingTransaction, RecordChange};
 use crate::effects::Effects;
 use crate::leader::model::{Job, RecordCell};
-use crate::leader::pages::{copies_in, has_unsaved_parts};
+use crate::leader::pages::{copies_in, has_unsaved_chunks};
 use crate::leader::Leader;
 use crate::requests::{LeaderRequest, Priority, RecordId, StateOp, StateReply};
 use serde::de::DeserializeOwned;
 use wire::records::{job_key, JobRecord, PageRecord, JOBS};
 use wire::state::Item;
 
-/// A record to be read again, with its key.
+/// A record that is to be read again, with its key.
 struct Refresh {
     record: RecordId,
     key: String,
 }
 
 impl Leader {
-    /// A transaction was not applied, or may not have been. Records that may have changed are read again; the others
-    /// are queued again.
-    pub(super) fn on_conflict(
+    /// Handles a transaction that was not applied, or may not have been. Records that may have changed are read again;
+    /// the others are queued again.
+    pub(super) fn on_transaction_conflict(
         &mut self,
         transaction: PendingTransaction,
         failed: &[String],
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Open jobs whose version was not as expected. Most often they were cancelled meanwhile, so that their new
+    /// Open jobs whose version was not the expected one. Most often they were cancelled meanwhile, and their new
     /// assignments must not be recorded on pages.
     fn refreshes_of_open_jobs(&self, failed: &[String]) -> Vec<Refresh> {
         failed
@@ -58,20 +58,20 @@
             .collect()
     }
 
-    /// Queues the jobs that a page was to be written for.
+    /// Queues the jobs with unsaved chunks on a page whose write is abandoned.
     fn queue_jobs_on_page(&mut self, change: &RecordChange) {
         let RecordChange::WritePage { copies, .. } = change else {
             return;
         };
         for copy in copies {
-            let id = &copy.part.job;
-            if self.jobs.get(id).is_some_and(has_unsaved_parts) {
+            let id = &copy.id.job;
+            if self.jobs.get(id).is_some_and(has_unsaved_chunks) {
                 self.queue_write(RecordId::Job(id.clone()));
             }
         }
     }
 
-    /// Reads a record again unless that is under way already.
+    /// Reads a record again unless it is already being read.
     fn start_refresh(&mut self, refresh: Refresh, effects: &mut Effects) {
         if self.transactions.begin_refresh(&refresh.record) {
             self.set_in_flight(&refresh.record, true);
@@ -86,8 +86,8 @@
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
     }
 
-    /// Takes in a record that was read again.
-    pub(in crate::leader) fn on_refresh(
+    /// Handles the reply to a request that reads a record again. A failed request is repeated.
+    pub(in crate::leader) fn on_refresh_reply(
         &mut self,
         record: RecordId,
         key: String,
@@ -120,11 +120,11 @@
 
     fn refresh_job(&mut self, id: &str, item: Option<Item>, effects: &mut Effects) {
         let Some(item) = item else {
-            // The job was archived. Only this leader does that, so the transaction of unknown outcome was applied.
+            // The job is archived. Only this leader archives jobs, so its transaction of unknown outcome was applied.
             let outcome = self.jobs.get(id).and_then(Job::final_due);
             if let Some(outcome) = outcome {
                 let id = id.to_string();
-                self.on_saved(RecordChange::ArchiveJob { id, outcome }, 0, effects);
+                self.on_change_saved(RecordChange::ArchiveJob { id, outcome }, 0, effects);
             }
             return;
         };
@@ -134,8 +134,8 @@
         }
     }
 
-    /// What the page holds was written by this leader: either the transaction of unknown outcome was applied, or the
-    /// page is as it was before.
+    /// Updates a page from its record. Only this leader writes pages: either the transaction of unknown outcome was
+    /// applied, or the page is unchanged.
     fn refresh_page(&mut self, number: u32, item: Option<Item>) {
         let version = version_of(&item);
         let record = item.and_then(|item| item.value.deserialized::<PageRecord>().ok());
@@ -149,7 +149,7 @@
     cell.saved = item.and_then(|item| item.value.deserialized().ok());
 }
 
-/// Version of a record, 0 if there is none.
+/// Version of a record, 0 if it does not exist.
 fn version_of(item: &Option<Item>) -> u64 {
     item.as_ref().map_or(0, |item| item.version)
 }
--- a/crates/control/src/leader/store/in_flight.rs
+++ b/crates/control/src/leader/store/in_flight.rs
@@ -1,4 +1,4 @@
-//! Which records are being written or read again.
+//! Tracks which records are being written or read again.
 
 use crate::leader::Leader;
 use crate::requests::RecordId;
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Notes whether a record is being written or read again.
+    /// Marks whether a record is being written or read again.
     pub(super) fn set_in_flight(&mut self, record: &RecordId, in_flight: bool) {
         match record {
             RecordId::Job(id) => {
--- a/crates/control/src/leader/store/pending_transactions.rs
+++ b/crates/control/src/leader/store/pending_transactions.rs
@@ -1,19 +1,19 @@
-//! Transactions whose outcome is not known yet, and records that are read again after a conflict.
+//! Transactions whose outcome is not known yet, and records that are being read again after a conflict.
 
 use super::transaction::PendingTransaction;
 use crate::requests::RecordId;
 use constants::{INVALID_RETRY_MS, STATE_RETRY_MS, TXN_PARALLEL};
 use std::collections::{BTreeSet, HashMap};
 
-/// A transaction that is to be sent again.
+/// A transaction that is to be resent.
 struct Retry {
-    /// When.
+    /// Earliest time to resend it, in milliseconds of the steady clock.
     at: u64,
     /// Number of the transaction.
     number: u64,
 }
 
-/// The transactions in flight, by number, and what delays further ones.
+/// The transactions in flight, by number, and the state that delays further ones.
 #[derive(Default)]
 pub(in crate::leader) struct PendingTransactions {
     transactions: HashMap<u64, PendingTransaction>,
@@ -21,7 +21,7 @@
     retries: Vec<Retry>,
     /// Records that are being read again.
     refreshing: BTreeSet<RecordId>,
-    /// Until when nothing is written, after a transaction that the state service called invalid.
+    /// Time until which nothing is written, after the state service rejected a transaction as invalid.
     paused_until: u64,
 }
 
@@ -31,12 +31,12 @@
         self.transactions.is_empty()
     }
 
-    /// Whether one more transaction may be sent meanwhile.
-    pub(super) fn has_room(&self) -> bool {
+    /// Whether another transaction may be sent before the pending ones end.
+    pub(super) fn has_capacity(&self) -> bool {
         self.transactions.len() < TXN_PARALLEL
     }
 
-    /// Adds a transaction, and returns its number.
+    /// Adds a transaction and returns its number.
     pub(super) fn insert(&mut self, transaction: PendingTransaction) -> u64 {
         self.last_number += 1;
         self.transactions.insert(self.last_number, transaction);
@@ -48,25 +48,25 @@
         self.transactions.get(&number)
     }
 
-    /// Notes that the transaction with this number may have been applied.
+    /// Records that the transaction with this number may have been applied.
     pub(super) fn mark_ambiguous(&mut self, number: u64) {
         if let Some(transaction) = self.transactions.get_mut(&number) {
             transaction.is_ambiguous = true;
         }
     }
 
-    /// Removes the transaction with this number, whose outcome is known or will be read from its records.
+    /// Removes the transaction with this number. Its outcome is known, or will be determined from its records.
     pub(super) fn remove(&mut self, number: u64) -> Option<PendingTransaction> {
         self.transactions.remove(&number)
     }
 
-    /// Has a transaction sent again after the backoff.
+    /// Schedules a transaction to be resent after the backoff.
     pub(super) fn retry_later(&mut self, number: u64, now: u64) {
         let at = now + STATE_RETRY_MS;
         self.retries.push(Retry { at, number });
     }
 
-    /// Takes the numbers of the transactions that are to be sent again by now.
+    /// Takes the numbers of the transactions that are due to be resent.
     pub(super) fn take_due_retries(&mut self, now: u64) -> Vec<u64> {
         let due = self.retries.iter().filter(|retry| retry.at <= now);
         let numbers = due.map(|retry| retry.number).collect();
@@ -74,27 +74,27 @@
         numbers
     }
 
-    /// When the next transaction is to be sent again.
+    /// When the next transaction is due to be resent.
     pub fn next_retry(&self) -> Option<u64> {
         self.retries.iter().map(|retry| retry.at).min()
     }
 
-    /// Notes that a record is read again. Returns whether it was not being read already.
+    /// Marks a record as being read again. Returns false if it was marked already.
     pub(super) fn begin_refresh(&mut self, record: &RecordId) -> bool {
         self.refreshing.insert(record.clone())
     }
 
-    /// Notes that a record has been read again.
+    /// Removes the mark of a record that has been read again.
     pub(super) fn end_refresh(&mut self, record: &RecordId) {
         self.refreshing.remove(record);
     }
 
-    /// Writes nothing for a while, after a transaction that the state service called invalid.
+    /// Pauses writing for a while, after the state service rejected a transaction as invalid.
     pub(super) fn pause(&mut self, now: u64) {
         self.paused_until = now + INVALID_RETRY_MS;
     }
 
-    /// Whether nothing is written for the time being.
+    /// Whether writing is paused.
     pub(super) fn is_paused(&self, now: u64) -> bool {
         now < self.paused_until
     }
--- a/crates/control/src/leader/store/record_write.rs
+++ b/crates/control/src/leader/store/record_write.rs
@@ -1,4 +1,4 @@
-//! What the write of a single record consists of. Pages are not among them: see [`crate::leader::pages`].
+//! Compares and writes for single records. Pages are handled by [`crate::leader::pages`].
 
 use super::transaction::RecordChange;
 use crate::leader::model::RecordCell;
@@ -10,16 +10,16 @@
 
 /// Estimated bytes of the record of a rental request.
 const RENTAL_BYTES: usize = 512;
-/// Estimated bytes of what archiving a job takes.
+/// Estimated bytes of the writes that archive a job.
 const ARCHIVE_BYTES: usize = 400;
-/// Estimated bytes of the list of machine types. It is long, so that little else goes with it.
+/// Estimated bytes of the list of machine types. The list is long, so the estimate leaves little room for other writes.
 const TYPES_BYTES: usize = TXN_BYTES / 2;
 
-/// Compares, writes and an estimate of the bytes that the change of one record needs.
+/// Compares and writes that the change of one record needs, with an estimate of their bytes.
 pub(super) struct RecordWrite {
     /// The change.
     pub change: RecordChange,
-    /// Guards that let it be applied once at most.
+    /// Compares that ensure that the change is applied at most once.
     pub compares: Vec<Compare>,
     /// Writes to the state service.
     pub writes: Vec<Write>,
@@ -28,8 +28,8 @@
 }
 
 impl RecordWrite {
-    /// Brings a record to what is desired.
-    fn of_cell<T: serde::Serialize>(
+    /// Writes or deletes a record so that it matches its desired state.
+    fn for_cell<T: serde::Serialize>(
         change: RecordChange,
         cell: &RecordCell<T>,
         bytes: usize,
@@ -49,7 +49,7 @@
 }
 
 impl Leader {
-    /// The write that a record needs; nothing if it is as desired or has no write of its own.
+    /// The write that a record needs. `None` if it matches its desired state or is not written on its own.
     pub(super) fn record_write(&self, record: &RecordId) -> Option<RecordWrite> {
         match record {
             RecordId::Job(id) => self.archive_write(id),
@@ -68,12 +68,13 @@
             name: name.to_string(),
             record: cell.desired.clone(),
         };
-        Some(RecordWrite::of_cell(change, cell, RENTAL_BYTES))
+        Some(RecordWrite::for_cell(change, cell, RENTAL_BYTES))
     }
 
     fn types_write(&self) -> Option<RecordWrite> {
         let types = self.types.desired.clone()?;
-        // The types recorded last suffice: they are for nodes that start without a leader.
+        // A list that is too long is not written: the list recorded last suffices for nodes that start without a
+        // leader.
         let bytes = wire::json_bytes(&types);
         if bytes > self.limits().value_bytes {
             log::info!("event=types_too_long bytes={bytes}");
@@ -83,10 +84,10 @@
             return None;
         }
         let change = RecordChange::MachineTypes(types);
-        Some(RecordWrite::of_cell(change, &self.types, TYPES_BYTES))
+        Some(RecordWrite::for_cell(change, &self.types, TYPES_BYTES))
     }
 
-    /// Moves a finished job from the open ones to the final ones.
+    /// Deletes the open records of a finished job and creates its final record.
     fn archive_write(&self, id: &str) -> Option<RecordWrite> {
         let job = self.jobs.get(id)?;
         let outcome = job.final_due()?;
--- a/crates/control/src/leader/store/saved.rs
+++ b/crates/control/src/leader/store/saved.rs
@@ -1,4 +1,4 @@
-//! What follows once a change is known to be recorded.
+//! Updates the leader's state once a change is known to be recorded.
 
 use super::transaction::RecordChange;
 use crate::effects::{Effects, NodeEvent};
@@ -8,12 +8,17 @@
 use wire::cloud::MachineType;
 use wire::records::{Final, RentalRecord};
 
-/// Milliseconds of a second, for times in the log.
+/// Milliseconds per second.
 const MS_PER_SECOND: f64 = 1000.0;
 
 impl Leader {
-    /// A change is known to be recorded.
-    pub(super) fn on_saved(&mut self, change: RecordChange, version: u64, effects: &mut Effects) {
+    /// Handles a change that is known to be recorded.
+    pub(super) fn on_change_saved(
+        &mut self,
+        change: RecordChange,
+        version: u64,
+        effects: &mut Effects,
+    ) {
         self.set_in_flight(&change.record_id(), false);
         match change {
             RecordChange::WritePage { number, copies } => {
@@ -28,7 +33,7 @@
         }
     }
 
-    /// The cloud is asked for machines only once the request is recorded.
+    /// Handles the saved record of a rental request. A request is sent to the cloud only once it is recorded.
     fn on_rental_saved(
         &mut self,
         name: String,
@@ -59,7 +64,7 @@
         }
     }
 
-    /// A finished job is recorded as final: it is removed from everything that knows it as open.
+    /// Removes an archived job from the open jobs and everything that refers to it as open.
     fn on_archived(&mut self, id: &str, outcome: Final, effects: &mut Effects) {
         let Some(job) = self.jobs.remove(id) else {
             return;
@@ -96,7 +101,7 @@
         }
     }
 
-    /// How a job ended that was archived in this term. The watch may still report a change of it.
+    /// How a job ended, if it is known to be archived. The watch may still report a change of it.
     pub(in crate::leader) fn archived_outcome(&self, id: &str) -> Option<Final> {
         self.archived.get(id).copied()
     }
--- a/crates/control/src/leader/store/transaction.rs
+++ b/crates/control/src/leader/store/transaction.rs
@@ -1,6 +1,6 @@
-//! A transaction whose outcome is not known yet, and the changes of records that it makes.
+//! A transaction whose outcome is not known yet, and the record changes that it makes.
 
-use crate::leader::pages::PartCopy;
+use crate::leader::pages::ChunkCopy;
 use crate::requests::RecordId;
 use wire::cloud::MachineType;
 use wire::records::{job_key, page_key, rental_key, Final, RentalRecord, TYPES};
@@ -13,23 +13,23 @@
     WritePage {
         /// Number of the page.
         number: u32,
-        /// Copies of parts that it holds then.
-        copies: Vec<PartCopy>,
+        /// Copies of chunks that the page holds after the write.
+        copies: Vec<ChunkCopy>,
     },
-    /// A page that holds nothing is deleted.
+    /// An empty page is deleted.
     DeletePage(u32),
-    /// A finished job moves from the open ones to the final ones.
+    /// A finished job is archived: its open record is deleted and its final record created.
     ArchiveJob {
         /// Id of the job.
         id: String,
-        /// How it ended.
+        /// How the job ended.
         outcome: Final,
     },
     /// A rental request is written or deleted.
     Rental {
         /// Name of the request.
         name: String,
-        /// Its record, if it is written.
+        /// The record to write; `None` if it is deleted.
         record: Option<RentalRecord>,
     },
     /// The list of machine types is written.
@@ -37,7 +37,7 @@
 }
 
 impl RecordChange {
-    /// The record that is changed.
+    /// Id of the changed record.
     pub fn record_id(&self) -> RecordId {
         match self {
             RecordChange::WritePage { number, .. } | RecordChange::DeletePage(number) => {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Key of the record that is changed.
+    /// Key of the changed record.
     pub fn key(&self) -> String {
         match self {
             RecordChange::WritePage { number, .. } | RecordChange::DeletePage(number) => {
@@ -65,10 +65,10 @@
 /// A transaction in flight.
 #[derive(Debug, Clone)]
 pub(super) struct PendingTransaction {
-    /// What is sent to the state service.
+    /// The transaction as it is sent to the state service.
     pub txn: Txn,
-    /// The changes of records that it makes.
+    /// The record changes that it makes.
     pub changes: Vec<RecordChange>,
-    /// Whether it was sent before with an unknown outcome.
+    /// Whether an earlier send had an unknown outcome.
     pub is_ambiguous: bool,
 }
--- a/crates/control/src/leader/store/write_queue.rs
+++ b/crates/control/src/leader/store/write_queue.rs
@@ -1,29 +1,29 @@
-//! Which records have to be written, in which order, and which may wait.
+//! Queue of the records to be written, and of those whose write may wait.
 
 use crate::requests::RecordId;
 use constants::{DEFERRED_WRITE_MAX_MS, DEFERRED_WRITE_MS, HOUSEKEEPING_MS};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Records whose write is wanted.
+/// Records to be written.
 ///
-/// A record in `queued` stands once in `order`. A record in `deferred` is in neither of them: it is written with a
-/// page that has room left, or moves to the queue when its time is up.
+/// Each record in `queued` is in `order` once, except while it is popped. A record in `deferred` is in neither of them:
+/// it is written with a page that has space left, or moves to the queue when its time is up.
 #[derive(Default)]
 pub(in crate::leader) struct WriteQueue {
     queued: BTreeSet<RecordId>,
     order: VecDeque<RecordId>,
-    /// Records whose change may wait, with the time up to which.
+    /// Records whose write may wait, with the time until which it may.
     deferred: BTreeMap<RecordId, u64>,
     next_deferred_check: u64,
 }
 
 impl WriteQueue {
-    /// Number of records whose write is wanted and can't wait.
+    /// Number of queued records, without the deferred ones.
     pub fn len(&self) -> usize {
         self.queued.len()
     }
 
-    /// Whether no record stands in the queue. Deferred writes may still wait.
+    /// Whether no record is queued. There may still be deferred writes.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
@@ -34,8 +34,8 @@
         self.deferred.is_empty()
     }
 
-    /// Queues the write of a record, which is no longer deferred then. An urgent one goes to the front, also if the
-    /// record is queued already.
+    /// Queues the write of a record, and ends its deferral. An urgent write goes to the front, also if the record is
+    /// already queued.
     pub fn push(&mut self, record: RecordId, is_urgent: bool) {
         self.deferred.remove(&record);
         let is_new = self.queued.insert(record.clone());
@@ -50,25 +50,25 @@
         }
     }
 
-    /// Takes the record that stands first. Until [`WriteQueue::confirm`] or [`WriteQueue::put_back`] it still counts
-    /// as queued.
+    /// Takes the first record. It still counts as queued until it is passed to [`WriteQueue::acknowledge`], or returned
+    /// by [`WriteQueue::requeue`].
     pub(super) fn pop(&mut self) -> Option<RecordId> {
         self.order.pop_front()
     }
 
-    /// Notes that a record that was popped needs no place in the queue any more.
-    pub(super) fn confirm(&mut self, record: &RecordId) {
+    /// Removes a popped record, which no longer needs to be written from the queue.
+    pub(super) fn acknowledge(&mut self, record: &RecordId) {
         self.queued.remove(record);
     }
 
-    /// Puts records that were popped back to the front, in this order.
-    pub(super) fn put_back(&mut self, records: VecDeque<RecordId>) {
+    /// Returns popped records to the front of the queue, in this order.
+    pub(super) fn requeue(&mut self, records: VecDeque<RecordId>) {
         for record in records.into_iter().rev() {
             self.order.push_front(record);
         }
     }
 
-    /// Defers the write of a record, unless it is queued or deferred already.
+    /// Defers the write of a record, unless it is already queued or deferred.
     pub(super) fn defer(&mut self, record: RecordId, now: u64) {
         if !self.queued.contains(&record) {
             self.deferred
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Deferred writes, those whose time is up first in front.
+    /// Deferred records, in the order in which their time is up.
     pub(super) fn deferred_by_time(&self) -> Vec<RecordId> {
         let mut deferred: Vec<(u64, &RecordId)> = self
             .deferred
             .iter()
-            .map(|(record, at)| (*at, record))
+            .map(|(record, until)| (*until, record))
             .collect();
         deferred.sort_unstable();
         deferred
@@ -91,18 +91,19 @@
             .collect()
     }
 
-    /// Notes that a deferred write has found a place in a transaction.
+    /// Removes a deferred record that was added to a transaction.
     pub(super) fn remove_deferred(&mut self, record: &RecordId) {
         self.deferred.remove(record);
     }
 
-    /// Deferred writes that have waited long enough; nothing until the next check is due.
+    /// Deferred records whose time is up; none until the next check is due.
     pub(super) fn due_deferred(&mut self, now: u64) -> Vec<RecordId> {
         if now < self.next_deferred_check {
             return Vec::new();
         }
         self.next_deferred_check = now + HOUSEKEEPING_MS;
-        // Starts and ends go first: deferred writes would take half of what a small state service accepts.
+        // Queued writes (starts and ends of tasks) take precedence: deferred writes would use half of the write rate
+        // that a small state service accepts.
         let extra_delay_ms = if self.is_empty() {
             0
         } else {
@@ -110,7 +111,7 @@
         };
         self.deferred
             .iter()
-            .filter(|(_, at)| **at + extra_delay_ms <= now)
+            .filter(|(_, until)| **until + extra_delay_ms <= now)
             .map(|(record, _)| record.clone())
             .collect()
     }
--- a/crates/control/src/leader/tests/job_watch.rs
+++ b/crates/control/src/leader/tests/job_watch.rs
@@ -55,5 +55,5 @@
         });
     assert_eq!(from, Some(20));
     // Dated by when the reading began.
-    assert_eq!(leader.informed_until(), Some(5_000));
+    assert_eq!(leader.cancellations_known_until(), Some(5_000));
 }
--- a/crates/control/src/leader/timers.rs
+++ b/crates/control/src/leader/timers.rs
@@ -12,7 +12,7 @@
             return self.request_next_list(effects);
         }
         self.open_job_watch(effects);
-        self.maintain_pipelines(effects);
+        self.process_dependencies(effects);
         self.run_housekeeping(active, effects);
         let now = effects.now.mono;
         if active && self.plan_due && now >= self.next_round {
@@ -42,15 +42,15 @@
     /// over.
     pub fn next_wake(&self, active: bool) -> u64 {
         if !self.is_ready() {
-            return self.loading.wake();
+            return self.loading.next_wake();
         }
         let next_round = (active && self.plan_due).then_some(self.next_round);
-        let next_watch = (!self.job_watch.open).then_some(self.job_watch.retry_at);
+        let next_watch = (!self.job_watch.in_flight).then_some(self.job_watch.retry_at);
         let next_retry = self.transactions.next_retry();
         [next_round, next_watch, next_retry]
             .into_iter()
             .flatten()
-            .chain([self.next_housekeeping, self.pipelines_wake()])
+            .chain([self.next_housekeeping, self.next_dependency_wake()])
             .min()
             .unwrap_or(u64::MAX)
     }
--- a/crates/control/src/leader/watch.rs
+++ b/crates/control/src/leader/watch.rs
@@ -1,5 +1,6 @@
-//! What the leader does about machines and gangs without a heartbeat: it frees machines whose leases have expired,
-//! drains those under notice, stops broken gangs, and sends stops that can't wait for the next heartbeat.
+//! Periodic checks of machines and gangs, which need no heartbeat: releases the assignments of machines whose leases
+//! have expired, drains machines under notice, stops broken gangs, and sends stops that can't wait for the next
+//! heartbeat.
 
 mod direct_orders;
 mod draining;
@@ -11,13 +12,13 @@
 use super::Leader;
 use crate::effects::{Effects, Now};
 
-/// A machine on which certainly nothing runs any more.
+/// A machine on which nothing can be running any more.
 struct DeadMachine {
     name: String,
     why: &'static str,
 }
 
-/// A task that is to be stopped.
+/// A request to stop a task.
 struct TaskStop {
     job: String,
     task: u32,
@@ -25,19 +26,19 @@
 }
 
 impl Leader {
-    /// Handles machines that are silent, under notice, faulty or gone, and gangs that can't go on.
+    /// Handles machines that are silent, under notice, faulty or gone, and gangs that can't continue.
     pub(super) fn check_machines_and_gangs(&mut self, active: bool, effects: &mut Effects) {
         let now = effects.now;
         for dead in self.find_dead_machines(now.mono) {
             self.release_machine(&dead.name, dead.why, now);
         }
-        self.drain_noticed_machines(now);
+        self.drain_machines(now);
         self.stop_broken_gangs(now);
         self.send_direct_orders(active, effects);
     }
 
-    /// Machines with assignments or orphans on which certainly nothing runs. Ends the incarnations whose leases have
-    /// expired.
+    /// Finds machines with assignments or orphans on which nothing can be running any more. Also marks the incarnations
+    /// whose leases have expired as ended.
     fn find_dead_machines(&mut self, now: u64) -> Vec<DeadMachine> {
         let expiry_ms = self.lease_expiry_ms();
         let delegation = self.delegation.as_ref();
@@ -52,7 +53,7 @@
             if is_expired {
                 machine.ended_incarnation = machine.incarnation;
             }
-            if let Some(why) = reason_to_free(machine, is_expired) {
+            if let Some(why) = release_reason(machine, is_expired) {
                 let name = name.clone();
                 dead_machines.push(DeadMachine { name, why });
             }
@@ -60,7 +61,7 @@
         dead_machines
     }
 
-    /// Releases everything on a machine on which certainly nothing runs.
+    /// Releases all assignments and orphans of a machine on which nothing can be running any more.
     pub(super) fn release_machine(&mut self, name: &str, why: &str, now: Now) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -89,8 +90,8 @@
     }
 }
 
-/// Why everything on a machine is to be released, if it is.
-fn reason_to_free(machine: &Machine, is_expired: bool) -> Option<&'static str> {
+/// Why the assignments and orphans of a machine are to be released. `None` if they are not.
+fn release_reason(machine: &Machine, is_expired: bool) -> Option<&'static str> {
     if machine.assignments.is_empty() && machine.orphans.is_empty() {
         None
     } else if machine.failed {
--- a/crates/control/src/leader/watch/direct_orders.rs
+++ b/crates/control/src/leader/watch/direct_orders.rs
@@ -1,5 +1,5 @@
-//! Stops sent to a worker's own address, where waiting for its next heartbeat would take too long: those of cancelled
-//! jobs, of gangs, and of preempted tasks.
+//! Direct calls that stop tasks when waiting for the worker's next heartbeat would take too long: for tasks of
+//! cancelled jobs, tasks of gangs, and preempted tasks.
 
 use crate::effects::{Effects, Output, Target};
 use crate::leader::model::{Assignment, AssignmentStage, Job, Machine, Stop};
@@ -9,11 +9,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::workers::{DirectOrders, Order};
 
-/// Milliseconds per second between heartbeats after which the next heartbeat is overdue: a quarter more than it should
-/// take.
-const OVERDUE_MS_PER_S: f64 = 1250.0;
+/// Milliseconds after which the next heartbeat is overdue, per second of the heartbeat interval: a quarter more than
+/// the interval.
+const OVERDUE_MS_PER_INTERVAL_S: f64 = 1250.0;
 
-/// A task on a machine that has been told to stop, or is about to be.
+/// A task that has been ordered to stop or is about to be.
 struct StoppingTask<'a> {
     id: &'a str,
     task: u32,
@@ -23,14 +23,14 @@
 }
 
 impl StoppingTask<'_> {
-    /// Whether the stop should not wait for the next heartbeat.
+    /// Whether the stop should not wait for the next heartbeat of the worker.
     fn is_urgent(&self, active: bool, is_heartbeat_overdue: bool, now: u64) -> bool {
         if self.assignment.stage == AssignmentStage::Ready {
             return false;
         }
         let is_recent = now < self.stop.since + DIRECT_STOP_REPEAT_MS;
         let is_in_gang = self.job.is_gang() && self.job.tasks() > 1;
-        // Another job waits for the room of a preempted task.
+        // Another job waits for the capacity that a preempted task uses.
         let is_preempted = self.stop.why == PREEMPTED;
         let is_decided = active && is_recent && (is_in_gang || is_preempted);
         let is_cancelled = self.job.aborted && (is_recent || is_heartbeat_overdue);
@@ -49,12 +49,14 @@
 impl Leader {
     /// Sends stops that should not wait for the next heartbeat.
     ///
-    /// A leader without its lease still stops tasks of cancelled jobs. A cancellation is final, so such a stop is
-    /// right whoever leads, and a worker that has seen a newer term refuses it. Without such stops the tasks would
-    /// run on where a worker reaches no controller, or where a worker that hung goes on within its lease.
+    /// A leader that is not active, for example because its lease is no longer valid, still stops tasks of cancelled
+    /// jobs. A cancellation is final, so such a stop is correct whichever node leads, and a worker that has seen a
+    /// newer term refuses it. Without these stops the tasks would continue if their worker reaches no controller, or if
+    /// a worker resumes within its lease after it hung.
     pub(super) fn send_direct_orders(&mut self, active: bool, effects: &mut Effects) {
         let now = effects.now.mono;
-        let overdue_ms = (self.settings.deployment.workers.report_s * OVERDUE_MS_PER_S) as u64;
+        let overdue_ms =
+            (self.settings.deployment.workers.report_s * OVERDUE_MS_PER_INTERVAL_S) as u64;
         for machine in self
             .machines
             .values_mut()
@@ -113,7 +115,7 @@
     assignments.iter().filter_map(stopping_task).collect()
 }
 
-/// A direct call to a worker. Its answer is not needed: the worker's next heartbeat shows the effect.
+/// A direct call to a worker. The response is not needed: the worker's next heartbeat shows the effect.
 pub(crate) fn direct_call(call: u64, addr: String, body: Vec<u8>) -> Output {
     Output::Call {
         call,
--- a/crates/control/src/leader/watch/gangs.rs
+++ b/crates/control/src/leader/watch/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs that can't go on: all their tasks stop, so that the gang can start anew.
+//! Broken gangs: stops all tasks of a gang that can't continue, so that the gang can be restarted.
 
 use super::TaskStop;
 use crate::effects::Now;
@@ -7,17 +7,17 @@
 use wire::workers::TaskPhase;
 
 impl Leader {
-    /// Stops the remaining tasks of gangs that can't go on.
+    /// Stops the remaining tasks of gangs that can't continue.
     pub(super) fn stop_broken_gangs(&mut self, now: Now) {
         let mut stops = Vec::new();
         for (id, job) in &self.jobs {
             let Some(grace_s) = broken_gang_grace_s(job) else {
                 continue;
             };
-            let going_on = job
+            let not_stopped = job
                 .assignments()
                 .filter(|(_, assignment)| assignment.stop.is_none());
-            stops.extend(going_on.map(|(task, _)| TaskStop {
+            stops.extend(not_stopped.map(|(task, _)| TaskStop {
                 job: id.clone(),
                 task,
                 grace_s,
@@ -27,7 +27,8 @@
     }
 }
 
-/// Seconds that the tasks of a gang get to save if the gang has to stop; `None` if it goes on, or is no gang.
+/// Seconds that the tasks of a gang have to save their progress if the gang must stop. `None` if the gang continues, or
+/// if the job is not a gang.
 fn broken_gang_grace_s(job: &Job) -> Option<f64> {
     if !job.is_gang() || job.assigned == 0 || job.all_done() {
         return None;
@@ -35,16 +36,16 @@
     let stop = job
         .assignments()
         .find_map(|(_, assignment)| assignment.stop);
-    // An image fetch that takes longer than the other tasks wait must run to its end. If it were given up, it would
-    // begin anew with every attempt, and the gang would never start.
+    // An image fetch that takes longer than the other tasks wait must be allowed to finish. If it were aborted, every
+    // attempt would begin it again, and the gang would never start.
     if job.gathering_timed_out && stop.is_none() && is_fetching(job) {
         return None;
     }
     if job.broken {
-        // After a loss there is nothing left to save.
+        // After the loss of a task there is no progress left to save.
         return Some(0.0);
     }
-    // An orderly stop of one task extends to all.
+    // A graceful stop of one task applies to all tasks of the gang.
     stop.map(|stop| stop.grace_s)
 }
 
--- a/crates/control/src/node/answering_rights.rs
+++ b/crates/control/src/node/answering_rights.rs
@@ -26,7 +26,7 @@
     /// its own reading of the records, and beyond it as long as all peers tell of the cancellations that
     /// they confirm. A successful reply of the state service to any other request proves nothing.
     pub(super) fn informed_until(&self) -> Option<u64> {
-        let read_until = self.leader.as_ref()?.informed_until()?;
+        let read_until = self.leader.as_ref()?.cancellations_known_until()?;
         Some(self.peers.cancellations_known_until(read_until))
     }
 
