--- a/crates/control/src/leader/cancellation.rs
+++ b/crates/control/src/leader/cancellation.rs
@@ -1,6 +1,6 @@
 //! Cancellation of jobs: what is known of it, and stopping their tasks.
 
-use super::model::{AssignmentStage, Stop};
+use super::model::{AssignmentStage, StopRequest};
 use super::Leader;
 use crate::effects::Now;
 
@@ -21,7 +21,10 @@
             return;
         };
         job.aborted = true;
-        log::info!("event=cancellation_notice job={id} placed={}", job.assigned);
+        log::info!(
+            "event=cancellation_notice job={id} placed={}",
+            job.assigned_count
+        );
         self.cancel_assignments(id, now);
         self.cancel_dependents(id);
         self.queue_write_if_final(id);
@@ -46,7 +49,7 @@
             .collect();
         for (task, stage) in assignments {
             match stage {
-                AssignmentStage::Ready => {
+                AssignmentStage::Unsent => {
                     self.release_assignment(id, task, "aborted before it was sent", now);
                 }
                 _ => self.kill_cancelled_task(id, task, now),
@@ -59,10 +62,10 @@
         let Some(assignment) = job.and_then(|job| job.assignment_mut(task)) else {
             return;
         };
-        assignment.stop = Some(Stop {
-            since: now.mono,
+        assignment.stop = Some(StopRequest {
+            requested_at: now.mono,
             grace_s: 0.0,
-            why: "aborted",
+            reason: "aborted",
         });
         let name = assignment.machine.clone();
         if let Some(machine) = self.machines.get_mut(&name) {
--- a/crates/control/src/leader/consolidation.rs
+++ b/crates/control/src/leader/consolidation.rs
@@ -46,12 +46,12 @@
     /// small part of the fleet at a time, and only while nothing waits.
     pub(super) fn consolidate(&mut self, effects: &mut Effects) {
         let now = effects.now;
-        if !self.settings.minimizes_cost() || now.mono < self.next_consolidation {
+        if !self.settings.minimizes_cost() || now.mono < self.next_consolidation_at {
             return;
         }
-        self.next_consolidation = now.mono + (CONSOLIDATE_S * 1000.0) as u64;
+        self.next_consolidation_at = now.mono + (CONSOLIDATE_S * 1000.0) as u64;
         let snapshot = self.scheduling_snapshot(now);
-        let view = &snapshot.view;
+        let view = &snapshot.cluster;
         let is_waiting = view.jobs.iter().any(|job| !job.waiting.is_empty());
         let machines = self.machines.values();
         let draining = machines
@@ -64,7 +64,7 @@
         let mut consolidation = Consolidation::new(view);
         consolidation.choose(most - draining, &snapshot, &self.jobs);
         for machine in consolidation.chosen {
-            self.drain_consolidated(&snapshot.machines[machine]);
+            self.drain_consolidated(&snapshot.machine_names[machine]);
         }
     }
 
@@ -72,7 +72,7 @@
         if let Some(machine) = self.machines.get_mut(name) {
             log::info!(
                 "event=consolidate kind={} tasks={}",
-                machine.kind,
+                machine.type_name,
                 machine.assignments.len()
             );
             machine.draining = Some(CONSOLIDATED);
@@ -135,7 +135,7 @@
         jobs: &BTreeMap<String, Job>,
     ) -> Vec<usize> {
         let is_movable = |task: &&RunningTask| {
-            let job = jobs.get(&snapshot.jobs[task.job]);
+            let job = jobs.get(&snapshot.job_ids[task.job]);
             let saves = job.is_some_and(|job| !job.is_gang() && job.spec.checkpoint_s > 0.0);
             task.preemptible && saves
         };
--- a/crates/control/src/leader/consolidation/demand.rs
+++ b/crates/control/src/leader/consolidation/demand.rs
@@ -21,8 +21,9 @@
     /// Whether the machine is one of these. Each is counted once: a few waiting tasks are no reason to keep all the
     /// machines they could use.
     pub fn take(&mut self, machine: &Machine) -> bool {
-        let is_same =
-            self.kind == machine.kind && self.zone == machine.zone && self.spot == machine.spot;
+        let is_same = self.kind == machine.type_name
+            && self.zone == machine.zone
+            && self.spot == machine.spot;
         let takes = is_same && self.count > 0;
         self.count -= usize::from(takes);
         takes
@@ -37,7 +38,7 @@
         let waits = |job: &&Job| is_waiting(job, now) && !self.exceeds_limit(job, &usage);
         let jobs: Vec<&Job> = self.jobs.values().filter(waits).collect();
         let mut wanted = Vec::new();
-        for machine_type in self.types.desired.iter().flatten() {
+        for machine_type in self.machine_types.desired.iter().flatten() {
             for zone in &machine_type.zones {
                 for spot in [false, true] {
                     let suitable = jobs
@@ -62,7 +63,7 @@
     fn usage_by_team(&self) -> HashMap<&str, Resources> {
         let mut usage: HashMap<&str, Resources> = HashMap::new();
         for job in self.jobs.values() {
-            let assigned = job.task_resources().times(f64::from(job.assigned));
+            let assigned = job.task_resources().times(f64::from(job.assigned_count));
             usage.entry(&job.spec.team).or_default().add(&assigned);
         }
         usage
@@ -91,8 +92,8 @@
 fn is_waiting(job: &Job, now: Now) -> bool {
     !job.aborted
         && !job.awaits_dependencies()
-        && u64::from(job.assigned) + job.done < job.spec.tasks
-        && job.failures == 0
+        && u64::from(job.assigned_count) + job.done_count < job.spec.tasks
+        && job.consecutive_failures == 0
         && !job.is_backed_off(now.unix)
 }
 
@@ -112,7 +113,7 @@
 
 /// How many empty machines of the type the waiting tasks of a job fill.
 fn machines_for(job: &Job, machine_type: &MachineType) -> usize {
-    let waiting = (job.spec.tasks - job.done) as u32 - job.assigned;
+    let waiting = (job.spec.tasks - job.done_count) as u32 - job.assigned_count;
     let per_machine = type_resources(machine_type).capacity_for(&job.task_resources(), waiting);
     waiting.div_ceil(per_machine.max(1)) as usize
 }
--- a/crates/control/src/leader/delegation.rs
+++ b/crates/control/src/leader/delegation.rs
@@ -109,14 +109,14 @@
             return false;
         };
         let numbers = (heartbeat.incarnation, heartbeat.seq);
-        let is_latest = (machine.incarnation, machine.seq) == numbers;
+        let is_latest = (machine.incarnation, machine.heartbeat_seq) == numbers;
         let is_as_recorded = heartbeat.running_tasks == Some(machine.assignments.len());
         let mut assignments = machine.assignments.iter();
         is_latest
             && is_as_recorded
             && machine.is_reconciled
             && machine.fencing_token_seen
-            && machine.is_unchanging()
+            && machine.is_steady()
             && assignments.all(|(id, task)| self.goes_on_running(id, *task))
             && !self.has_room_for_work(&heartbeat.machine)
     }
@@ -127,7 +127,7 @@
             return false;
         };
         job.assignment(task).is_some_and(|assignment| {
-            assignment.stage == AssignmentStage::Seen
+            assignment.stage == AssignmentStage::Reported
                 && assignment.phase == Some(TaskPhase::Running)
                 && assignment.stop.is_none()
         })
@@ -165,7 +165,7 @@
     /// Checks all permits again, since machines also change without a decision, and forgets answers from long ago.
     pub fn review_delegation(&mut self, now: u64) {
         let machines = &self.machines;
-        let is_steady = |name: &str| machines.get(name).is_some_and(Machine::stays_steady);
+        let is_steady = |name: &str| machines.get(name).is_some_and(Machine::may_stay_delegated);
         if let Some(delegation) = &mut self.delegation {
             delegation.withdraw_unless(is_steady);
             delegation.prune(now);
@@ -186,7 +186,7 @@
         self.machines.get(machine).is_some_and(|machine| {
             machine.is_reconciled
                 && machine.fencing_token_seen
-                && machine.notice_at.is_none()
+                && machine.reclaim_at.is_none()
                 && machine.last_answer.is_some_and(is_recent)
                 && machine.assignments.iter().all(has_nothing_pending)
         })
@@ -196,7 +196,7 @@
     fn is_unchanging(&self, id: &str, task: u32) -> bool {
         let assignment = self.jobs.get(id).and_then(|job| job.assignment(task));
         assignment.is_some_and(|assignment| {
-            assignment.stage == AssignmentStage::Seen && assignment.stop.is_none()
+            assignment.stage == AssignmentStage::Reported && assignment.stop.is_none()
         })
     }
 
--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -63,7 +63,7 @@
             job.ready_at = now.unix;
             self.dependencies.demand_due = true;
         }
-        job.needs = pending;
+        job.unmet_dependencies = pending;
         if dependency_cancelled {
             self.cancel_by_dependency(id, now);
         }
@@ -97,11 +97,11 @@
         let Some(job) = self.jobs.get_mut(dependent) else {
             return;
         };
-        if !job.needs.remove(dependency) || !job.needs.is_empty() {
+        if !job.unmet_dependencies.remove(dependency) || !job.unmet_dependencies.is_empty() {
             return;
         }
         job.ready_at = now.unix;
-        self.plan_due = true;
+        self.round_due = true;
         log::info!(
             "event=released job={dependent} by={dependency} class={} after_s={:.1}",
             job.spec.class,
@@ -133,7 +133,10 @@
             return;
         };
         job.aborted = true;
-        log::info!("event=dependent_cancelled job={id} placed={}", job.assigned);
+        log::info!(
+            "event=dependent_cancelled job={id} placed={}",
+            job.assigned_count
+        );
         self.dependencies.demand_due = true;
         self.cancel_assignments(id, now);
         self.queue_write_if_final(id);
--- a/crates/control/src/leader/dependencies/demand.rs
+++ b/crates/control/src/leader/dependencies/demand.rs
@@ -65,12 +65,12 @@
     /// Merges the demand of a job into that of one it depends on.
     fn pass_back(&mut self, dependency: &str, starts: Option<Ends>, priority: Priority) {
         let none = DownstreamDemand {
-            ends: None,
+            deadlines: None,
             priority: Priority::Low,
         };
         let demand = self.demands.entry(dependency.to_string()).or_insert(none);
         demand.priority = demand.priority.max(priority);
-        demand.ends = earliest(demand.ends, starts);
+        demand.deadlines = earliest(demand.deadlines, starts);
         self.count_off(dependency);
     }
 
@@ -96,7 +96,7 @@
         }
         let mut demands = self.downstream_demands();
         for (id, job) in &mut self.jobs {
-            job.downstream = demands.remove(id);
+            job.downstream_demand = demands.remove(id);
         }
     }
 
@@ -107,8 +107,11 @@
                 continue;
             };
             let demand = propagation.demands.get(id).copied();
-            let ends = earliest(self.own_ends(job), demand.and_then(|demand| demand.ends));
-            let takes_ms = self.expected_ms(job, self.task_estimate(job).seconds);
+            let ends = earliest(
+                self.own_ends(job),
+                demand.and_then(|demand| demand.deadlines),
+            );
+            let takes_ms = self.expected_duration_ms(job, self.task_estimate(job).run_time_s);
             let starts = ends.map(|(first, last)| {
                 (
                     first.saturating_sub(takes_ms),
@@ -117,7 +120,7 @@
             });
             let own_priority = job.spec.priority;
             let priority = demand.map_or(own_priority, |demand| demand.priority.max(own_priority));
-            for dependency in &job.needs {
+            for dependency in &job.unmet_dependencies {
                 propagation.pass_back(dependency, starts, priority);
             }
         }
--- a/crates/control/src/leader/dependencies/lookups.rs
+++ b/crates/control/src/leader/dependencies/lookups.rs
@@ -86,7 +86,7 @@
         };
         match end {
             Some(end) => {
-                self.archived.insert(id.to_string(), end);
+                self.archived_jobs.insert(id.to_string(), end);
                 self.on_job_archived(id, end, effects.now);
             }
             // It was just created, and the watch is still to report it; or the state service does not answer.
@@ -122,7 +122,7 @@
         effects: &mut Effects,
     ) {
         let partial = &mut self.dependencies.lookups.partial;
-        if self.jobs.contains_key(&id) || self.archived.get(&id).is_some() {
+        if self.jobs.contains_key(&id) || self.archived_jobs.get(&id).is_some() {
             partial.remove(&id);
             return;
         }
--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -47,8 +47,8 @@
         self.maintain_rentals(effects);
         self.rent_machines(effects);
         self.expire_departed(now);
-        if now.mono >= self.next_summary {
-            self.next_summary = now.mono + SUMMARY_EVERY_MS;
+        if now.mono >= self.next_summary_at {
+            self.next_summary_at = now.mono + SUMMARY_EVERY_MS;
             self.log_costs();
             self.log_summary();
             self.start_latencies = StartLatencies::default();
@@ -63,8 +63,8 @@
 
     fn request_types(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        if now >= self.next_types {
-            self.next_types = now + (CLOUD_TYPES_S * 1000.0) as u64;
+        if now >= self.next_type_listing_at {
+            self.next_type_listing_at = now + (CLOUD_TYPES_S * 1000.0) as u64;
             self.send_cloud_request(CloudOp::Types, CloudRequest::Types, effects);
         }
     }
@@ -74,7 +74,7 @@
         let list_lag_s = self.settings.deployment.cloud.list_lag_s;
         let remembered_ms =
             (list_lag_s * DEPARTED_MS_PER_LAG_S) as u64 + REMOVED_MACHINE_RETENTION_MS;
-        self.departed
+        self.departed_machines
             .retain(|_, removed_at| now.mono < *removed_at + remembered_ms);
     }
 
@@ -87,11 +87,11 @@
         let waiting: u64 = ready
             .iter()
             .map(|job| {
-                let not_done = job.spec.tasks - job.done;
-                not_done - u64::from(job.assigned).min(not_done)
+                let not_done = job.spec.tasks - job.done_count;
+                not_done - u64::from(job.assigned_count).min(not_done)
             })
             .sum();
-        let assigned: u32 = self.jobs.values().map(|job| job.assigned).sum();
+        let assigned: u32 = self.jobs.values().map(|job| job.assigned_count).sum();
         log::info!(
             "event=summary machines={} up={up} jobs={} awaiting_dependencies={} assigned={assigned} \
              waiting={waiting} rentals={} unsaved={} starts={} sent_ms={} seen_ms={} ran_ms={}",
@@ -100,7 +100,7 @@
             blocked.len(),
             self.rentals.len(),
             self.write_queue.len(),
-            self.start_latencies.sent.n,
+            self.start_latencies.sent.count,
             self.start_latencies.sent,
             self.start_latencies.seen,
             self.start_latencies.ran
--- a/crates/control/src/leader/fleet/costs.rs
+++ b/crates/control/src/leader/fleet/costs.rs
@@ -85,18 +85,18 @@
 impl Leader {
     /// Accounts for the time since the last call that did.
     pub(super) fn account_costs(&mut self, now: Now) {
-        if now.mono < self.next_account {
+        if now.mono < self.next_cost_account_at {
             return;
         }
-        self.next_account = now.mono + ACCOUNT_MS;
+        self.next_cost_account_at = now.mono + ACCOUNT_MS;
         // After a standstill only a bounded time counts.
         let elapsed_ms = now.mono.saturating_sub(self.costs.at).min(2 * ACCOUNT_MS);
         let hours = elapsed_ms as f64 / MS_PER_HOUR;
         self.costs.at = now.mono;
-        let types = self.types.desired.iter().flatten();
+        let types = self.machine_types.desired.iter().flatten();
         let types: HashMap<&str, &MachineType> = types.map(|t| (t.name.as_str(), t)).collect();
         for machine in self.machines.values() {
-            let Some(machine_type) = types.get(machine.kind.as_str()) else {
+            let Some(machine_type) = types.get(machine.type_name.as_str()) else {
                 continue;
             };
             let price = match machine.spot {
--- a/crates/control/src/leader/fleet/listing.rs
+++ b/crates/control/src/leader/fleet/listing.rs
@@ -16,11 +16,11 @@
     /// Requests the first page of the list when it is due and no listing is in progress.
     pub(super) fn request_listing(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        if now < self.next_list || self.listing_since.is_some() {
+        if now < self.next_listing_at || self.listing_started_at.is_some() {
             return;
         }
-        self.next_list = now + (self.listing_interval_s() * 1000.0) as u64;
-        self.listing_since = Some(now);
+        self.next_listing_at = now + (self.listing_interval_s() * 1000.0) as u64;
+        self.listing_started_at = Some(now);
         self.listed_machines.clear();
         let op = CloudOp::List {
             from: String::new(),
@@ -53,7 +53,7 @@
 
     fn on_listed(&mut self, listed: ListedMachine, now: Now) {
         self.listed_machines.insert(listed.id.clone());
-        if self.departed.contains_key(&listed.id) {
+        if self.departed_machines.contains_key(&listed.id) {
             return;
         }
         let age_ms = (listed.age_s.max(0.0) * 1000.0) as u64;
@@ -66,19 +66,19 @@
             machine.addr = listed.addr.clone();
         }
         machine.listed = true;
-        machine.expected = true;
+        machine.confirmed_by_cloud = true;
         machine.missed_listings = 0;
         if listed.phase == MachinePhase::Failed && !machine.failed {
             log::info!("event=machine_failed machine={}", listed.id);
             machine.failed = true;
-            self.plan_due = true;
+            self.round_due = true;
         }
     }
 
     /// Counts a missed listing of each machine that must be listed by now and is not: the cloud has taken it away.
     fn list_complete(&mut self, asked: u64) {
-        self.listing_since = None;
-        self.listed_once = true;
+        self.listing_started_at = None;
+        self.has_complete_listing = true;
         if asked < self.last_listing_at {
             return;
         }
--- a/crates/control/src/leader/fleet/renting.rs
+++ b/crates/control/src/leader/fleet/renting.rs
@@ -98,14 +98,14 @@
     /// Decides on new rentals, and queues their records.
     pub(super) fn rent_machines(&mut self, effects: &mut Effects) {
         let now = effects.now;
-        let Some(types) = self.types.desired.clone() else {
+        let Some(types) = self.machine_types.desired.clone() else {
             return;
         };
         // A new leader first reads the list, which may still hide what was rented before it.
-        if !self.listed_once || now.mono < self.next_rent {
+        if !self.has_complete_listing || now.mono < self.next_rental_at {
             return;
         }
-        self.next_rent = now.mono + HOUSEKEEPING_MS;
+        self.next_rental_at = now.mono + HOUSEKEEPING_MS;
         let mut snapshot = self.scheduling_snapshot(now);
         let offers = self.offers(&types, &mut snapshot, now);
         let expected = self.expected_machines(&offers, now);
@@ -116,7 +116,7 @@
             minimizes_cost: self.settings.minimizes_cost(),
             horizon_s: shortest_boot_s * RENT_HORIZON,
         };
-        let mut requests = VecDeque::from(plan_fleet(&snapshot.view, &fleet));
+        let mut requests = VecDeque::from(plan_fleet(&snapshot.cluster, &fleet));
         requests.retain(|request| !expected.requested[request.offer]);
         self.create_rentals(requests, &offers.keys, now);
     }
@@ -130,8 +130,8 @@
                     let key = OfferKey::new(&machine_type.name, zone, spot);
                     let backoff = self.offer_backoff.get(&key);
                     offers.push(Offer {
-                        kind: snapshot.kinds.number(&machine_type.name),
-                        zone: snapshot.zones.number(zone),
+                        kind: snapshot.machine_types.intern(&machine_type.name),
+                        zone: snapshot.zones.intern(zone),
                         spot,
                         total: type_resources(machine_type),
                         price: match spot {
@@ -154,7 +154,7 @@
         let silent_ms = self.silent_ms();
         for machine in self.machines.values() {
             if is_expected(machine, silent_ms, now.mono) {
-                let key = OfferKey::new(&machine.kind, &machine.zone, machine.spot);
+                let key = OfferKey::new(&machine.type_name, &machine.zone, machine.spot);
                 if let Some(number) = offers.number(&key) {
                     counts[number] += 1;
                 }
@@ -207,9 +207,9 @@
             zone,
             spot,
         } = offer.clone();
-        self.next_request += 1;
+        self.last_rental_number += 1;
         // The term makes the name unique among all leaders there ever were.
-        let name = format!("t{}-{}", self.term, self.next_request);
+        let name = format!("t{}-{}", self.term, self.last_rental_number);
         log::info!("event=rent request={name} kind={kind} zone={zone} spot={spot} count={count}");
         let mut record = RecordCell::new(None, 0);
         record.desired = Some(RentalRecord {
@@ -233,11 +233,11 @@
 /// Whether a machine without tasks is to be up soon. One that has fallen silent is most likely cut off or hangs: it is
 /// back before a new one would be up.
 fn is_expected(machine: &Machine, silent_ms: u64, now: u64) -> bool {
-    let booting = machine.expected && !machine.is_reconciled;
+    let booting = machine.confirmed_by_cloud && !machine.is_reconciled;
     let away = machine.is_reconciled
         && machine.assignments.is_empty()
         && machine
             .last_heartbeat
             .is_some_and(|at| now > at + silent_ms);
-    machine.known && (booting || away) && !machine.failed && !machine.returning
+    machine.is_described && (booting || away) && !machine.failed && !machine.returning
 }
--- a/crates/control/src/leader/fleet/replies.rs
+++ b/crates/control/src/leader/fleet/replies.rs
@@ -32,16 +32,16 @@
         match (request, reply) {
             (CloudRequest::Types, CloudReply::Types(types)) => self.on_types(types, effects),
             (CloudRequest::Types, _) => {
-                let retry_ms = match self.types.desired.is_some() {
+                let retry_ms = match self.machine_types.desired.is_some() {
                     true => TYPES_RETRY_MS,
                     false => FIRST_TYPES_RETRY_MS,
                 };
-                self.next_types = now.mono + retry_ms;
+                self.next_type_listing_at = now.mono + retry_ms;
             }
             (CloudRequest::List { asked }, CloudReply::Listed(page)) => {
                 self.on_list_page(asked, page, effects);
             }
-            (CloudRequest::List { .. }, _) => self.listing_since = None,
+            (CloudRequest::List { .. }, _) => self.listing_started_at = None,
             (CloudRequest::Rent(name), reply) => {
                 if let CloudOp::Rent(rent) = op {
                     self.on_rent_reply(&name, rent, reply, now);
@@ -63,11 +63,11 @@
     }
 
     fn on_types(&mut self, types: Vec<MachineType>, effects: &mut Effects) {
-        if self.types.desired.as_ref() != Some(&types) {
+        if self.machine_types.desired.as_ref() != Some(&types) {
             effects.emit(NodeEvent::MachineTypesRead(types.clone()));
-            self.types.desired = Some(types);
+            self.machine_types.desired = Some(types);
             self.queue_write(RecordId::Types);
-            self.plan_due = true;
+            self.round_due = true;
         }
     }
 
@@ -106,7 +106,7 @@
             self.filled_offers.insert(offer);
         }
         for machine in machines {
-            if !self.departed.contains_key(&machine) {
+            if !self.departed_machines.contains_key(&machine) {
                 self.add_rented(machine, &rent, now);
             }
         }
@@ -118,8 +118,8 @@
             .entry(name)
             .or_insert_with(|| Machine::new(now.mono));
         machine.describe(&rent.kind, &rent.zone, rent.spot);
-        machine.expected = true;
-        machine.rented = machine.last_heartbeat.is_none() && !machine.listed;
+        machine.confirmed_by_cloud = true;
+        machine.rented_by_this_leader = machine.last_heartbeat.is_none() && !machine.listed;
     }
 
     /// Leaves an offer alone for a while, with exponential backoff.
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -159,7 +159,7 @@
         // Whether it is gone or not: the answer frees its tasks for sure, and nothing is left to wait for.
         let notice_over =
             |at: u64| now > at + NOTICE_OVER_MS && now > contact.last_heartbeat_at + NOTICE_OVER_MS;
-        if machine.notice_at.is_some_and(notice_over) {
+        if machine.reclaim_at.is_some_and(notice_over) {
             return Some(ReturnReason::NoticeOver);
         }
         if machine.last_heartbeat.is_none() {
@@ -188,7 +188,7 @@
         limits: &ReturnLimits,
         now: u64,
     ) -> Option<ReturnReason> {
-        if machine.notice_at.is_some() {
+        if machine.reclaim_at.is_some() {
             return Some(ReturnReason::EmptyUnderNotice);
         }
         if machine.draining == Some(CONSOLIDATED) {
@@ -207,8 +207,8 @@
         if !machine.assignments.is_empty() {
             return limits.unsure_ms();
         }
-        let mut types = self.types.desired.iter().flatten();
-        let machine_type = types.find(|t| t.name == machine.kind);
+        let mut types = self.machine_types.desired.iter().flatten();
+        let machine_type = types.find(|t| t.name == machine.type_name);
         let boot_s = machine_type.map_or(UNKNOWN_BOOT_S, |t| t.boot_s);
         ((boot_s * BOOT_PATIENCE + BOOT_PATIENCE_S) * 1000.0) as u64
     }
@@ -248,7 +248,7 @@
         let why = reason.as_str();
         log::info!(
             "event=return_machine machine={name} kind={} spot={} places={} why={why:?}",
-            machine.kind,
+            machine.type_name,
             machine.spot,
             machine.assignments.len()
         );
@@ -261,11 +261,11 @@
         let mut names = Vec::new();
         for (name, machine) in &mut self.machines {
             let due = machine
-                .return_sent
+                .return_requested_at
                 .is_none_or(|at| now > at + RETURN_RESEND_MS);
-            let may_send = names.len() < RETURN_MAX && !self.departed.contains_key(name);
+            let may_send = names.len() < RETURN_MAX && !self.departed_machines.contains_key(name);
             if machine.returning && due && may_send {
-                machine.return_sent = Some(now);
+                machine.return_requested_at = Some(now);
                 names.push(name.clone());
             }
         }
@@ -278,10 +278,10 @@
     /// The cloud has confirmed that the machine is gone: nothing runs there any more.
     pub(super) fn on_machine_removed(&mut self, name: &str, now: Now) {
         self.release_machine(name, "its machine was given back", now);
-        self.departed.insert(name.to_string(), now.mono);
+        self.departed_machines.insert(name.to_string(), now.mono);
         log::info!("event=machine_gone machine={name}");
         self.machines.remove(name);
-        self.plan_due = true;
+        self.round_due = true;
     }
 
     /// Lets returns that have failed be sent again soon.
@@ -289,7 +289,7 @@
         for name in names {
             if let Some(machine) = self.machines.get_mut(name) {
                 let sent_at = now.mono.saturating_sub(RETURN_RESEND_MS - RETURN_RETRY_MS);
-                machine.return_sent = Some(sent_at);
+                machine.return_requested_at = Some(sent_at);
             }
         }
     }
--- a/crates/control/src/leader/job_records.rs
+++ b/crates/control/src/leader/job_records.rs
@@ -34,18 +34,21 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if version <= job.version {
+        if version <= job.record_version {
             return;
         }
-        job.version = version;
+        job.record_version = version;
         job.recorded_abort = record.aborted;
         if record.aborted && !job.aborted {
             job.aborted = true;
-            log::info!("event=cancellation_read job={id} placed={}", job.assigned);
+            log::info!(
+                "event=cancellation_read job={id} placed={}",
+                job.assigned_count
+            );
             self.cancel_assignments(id, now);
             self.cancel_dependents(id);
         }
-        self.plan_due = true;
+        self.round_due = true;
         self.queue_write_if_final(id);
     }
 
@@ -61,7 +64,7 @@
         let mut job = Job::new(record, version);
         job.aborted |= self.cancellation_notices.contains(id);
         if self.pages.is_dense() {
-            job.split();
+            job.split_into_dense_chunks();
         } else if !job.spec.needs.is_empty() {
             // Only a node that runs the version with pipelines accepts such a job, so the upgrade is over.
             effects.emit(NodeEvent::UpgradeEvidence {
@@ -70,7 +73,7 @@
         }
         self.jobs.insert(id.to_string(), job);
         self.track_dependencies(id, effects.now);
-        self.plan_due = true;
+        self.round_due = true;
         self.queue_write_if_final(id);
     }
 }
--- a/crates/control/src/leader/job_updates.rs
+++ b/crates/control/src/leader/job_updates.rs
@@ -16,14 +16,14 @@
     /// Where there are more jobs than a message holds, each message continues where the last one ended. When every
     /// message began with the first jobs, all nodes had to read each of the others by itself.
     pub fn next_job_updates(&mut self) -> Vec<JobUpdate> {
-        let last = std::mem::take(&mut self.last_updated_job);
+        let last = std::mem::take(&mut self.job_update_cursor);
         let after = (Bound::Excluded(last.as_str()), Bound::Unbounded);
         let up_to = (Bound::Unbounded, Bound::Included(last.as_str()));
         let all = self.job_updates(after).chain(self.job_updates(up_to));
         let updates: Vec<JobUpdate> = all.take(JOB_UPDATES_MAX).collect();
         if updates.len() == JOB_UPDATES_MAX {
             if let Some(last) = updates.last() {
-                self.last_updated_job = last.id.clone();
+                self.job_update_cursor = last.id.clone();
             }
         }
         updates
@@ -47,9 +47,9 @@
         .count();
     JobUpdate {
         id: id.to_string(),
-        done: job.done as u32,
+        done: job.done_count as u32,
         running: running as u32,
-        version: job.version,
+        version: job.record_version,
         aborted: job.recorded_abort,
     }
 }
--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -170,7 +170,7 @@
                 self.rentals.insert(name.to_string(), rental);
             }),
             _ if key == TYPES => value.deserialized::<Vec<MachineType>>().map(|types| {
-                self.types = RecordCell::new(Some(types), version);
+                self.machine_types = RecordCell::new(Some(types), version);
             }),
             _ => Ok(()),
         };
@@ -184,7 +184,11 @@
         let Some((id, _)) = name.split_once('/') else {
             return;
         };
-        if let Some(job) = self.jobs.get_mut(id).filter(|job| job.more > 0) {
+        if let Some(job) = self
+            .jobs
+            .get_mut(id)
+            .filter(|job| job.further_record_count > 0)
+        {
             let types = job.spec.types.get_or_insert_with(Vec::new);
             types.extend(record.types);
         }
@@ -194,8 +198,8 @@
         let now = effects.now.mono;
         self.loading.stage = Stage::Complete;
         self.ready_at = now;
-        self.next_housekeeping = now + HOUSEKEEPING_MS;
-        if let Some(types) = &self.types.saved {
+        self.next_housekeeping_at = now + HOUSEKEEPING_MS;
+        if let Some(types) = &self.machine_types.saved {
             effects.emit(NodeEvent::MachineTypesRead(types.clone()));
         }
         self.apply_page_copies();
@@ -211,7 +215,7 @@
             self.rentals.len(),
             now.saturating_sub(self.elected_at)
         );
-        self.plan_due = true;
+        self.round_due = true;
         self.tick(false, effects);
     }
 
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -1,8 +1,8 @@
-//! The leader's state: open jobs, machines and rentals; the only place where tasks are assigned.
+//! The leader's state: open jobs, machines and rentals. Only the leader assigns tasks to machines.
 //!
-//! Everything recorded is level-triggered: memory holds what is wanted, and transactions bring the store there.
-//! Nothing leaves the node (`launch`, `reap`, `done`, a rental) before its record is known to be saved. Machines have
-//! no records: their workers, the cloud's list and recent rental requests name them.
+//! Records are level-triggered: memory holds the desired state, and transactions bring the store to it. Nothing that
+//! depends on a record (`launch`, `reap`, `done`, a rental) is sent before the record is known to be saved. Machines
+//! have no records: the leader learns of them from their workers, the cloud's list and recent rental requests.
 
 mod cancellation;
 mod consolidation;
@@ -50,17 +50,17 @@
 use wire::cloud::MachineType;
 use wire::records::Final;
 
-/// Direct calls to workers per second. What they leave out goes with the answers to the workers' reports.
+/// Direct calls to workers per second. Orders beyond this rate are sent in the answers to the workers' heartbeats.
 const DIRECT_CALLS_PER_S: f64 = 20.0;
-/// Direct calls to workers at once.
+/// Largest burst of direct calls to workers.
 const DIRECT_CALLS_BURST: f64 = 40.0;
 
-/// The leader of one term. Times are of the steady clock, in milliseconds.
+/// The leader of one term. Times are on the monotonic clock, in milliseconds.
 pub(crate) struct Leader {
-    /// Fencing token: the number of the term.
+    /// Number of the term, which serves as fencing token.
     pub term: u64,
-    /// Version of the leader key in this term, which guards every write.
-    lead_version: u64,
+    /// Version of the leader key in this term. Every write is conditional on it.
+    leader_key_version: u64,
     settings: Settings,
     operator: Operator,
     stopwatch: crate::Stopwatch,
@@ -69,9 +69,10 @@
     loading: Loading,
     /// When the term began.
     elected_at: u64,
-    /// When all records had been read.
+    /// When the last record had been read.
     ready_at: u64,
-    /// When this process last resumed after a stall: silence up to then says nothing about a machine.
+    /// When this process last resumed after a stall. Missing heartbeats up to then do not show that a machine is
+    /// silent.
     resumed_at: u64,
 
     // Jobs.
@@ -79,91 +80,94 @@
     jobs: BTreeMap<String, Job>,
     /// The watch that reports changes of open jobs.
     job_watch: JobWatch,
-    /// Which jobs wait for which others.
+    /// Dependencies among jobs.
     dependencies: dependencies::Dependencies,
-    /// Jobs archived in this term.
-    archived: RecentMap<Final>,
-    /// Jobs that peers, or this node, have reported as cancelled and that are not known here, or not yet.
+    /// Outcomes of the jobs archived in this term.
+    archived_jobs: RecentMap<Final>,
+    /// Jobs that a peer or this node has reported as cancelled and that the leader does not know, or not yet.
     cancellation_notices: RecentMap<()>,
-    /// The job that the last message to the peers ended with, if there are more.
-    last_updated_job: String,
+    /// Last job in the latest message to the peers, if the next message has to continue after it.
+    job_update_cursor: String,
 
     // Machines.
     /// Known machines, by name.
     machines: BTreeMap<String, Machine>,
-    /// Machines that are certainly gone, with the time when that became known.
-    departed: HashMap<String, u64>,
-    /// Boot times seen in this term, by machine type.
-    boots: HashMap<String, BootTimes>,
+    /// Machines that are certainly gone, with the time at which this became known.
+    departed_machines: HashMap<String, u64>,
+    /// Statistics of the boot times seen in this term, by machine type.
+    boot_times: HashMap<String, BootTimes>,
     start_latencies: StartLatencies,
-    /// Direct calls that may be made.
+    /// Rate limit of direct calls to workers.
     direct_order_budget: TokenBucket,
-    /// Something happened that a deferred answer may have waited for.
+    /// Set when something happened that a deferred answer may be waiting for.
     pub has_new_decisions: bool,
-    /// Which answers of owners may be under way; nothing where partitions are off.
+    /// Tracks which answers of partition owners may be under way; `None` if partitions are off.
     delegation: Option<::partitions::Delegation>,
-    /// Machines for which something has become pending, and which an owner may be answering.
+    /// Machines that have new pending orders and whose heartbeats an owner may be answering.
     machines_with_new_orders: Vec<String>,
 
     // Store.
-    /// Pages of assignments and progress.
+    /// Pages that store assignments and progress.
     pages: pages::PageTable,
-    /// Records whose write is wanted.
+    /// Records that are to be written.
     write_queue: store::WriteQueue,
     /// Transactions in flight.
     transactions: store::PendingTransactions,
 
     // Planning.
-    /// Something changed that a round of decisions may answer.
-    plan_due: bool,
-    /// When the next round may begin at the earliest.
-    next_round: u64,
-    next_housekeeping: u64,
-    next_consolidation: u64,
-    /// Jobs for which a round that was cut short had found no room: the next one continues behind them.
+    /// Something has changed that may call for a scheduling round.
+    round_due: bool,
+    /// Earliest start of the next round.
+    next_round_at: u64,
+    next_housekeeping_at: u64,
+    next_consolidation_at: u64,
+    /// Jobs for which the last round, cut short by its time budget, found no room. The next round leaves them out, to
+    /// get to the jobs behind them.
     skipped_jobs: BTreeSet<String>,
-    /// Number of rounds of decisions so far.
+    /// Number of rounds so far.
     rounds: u64,
 
     // Fleet.
     /// Rental requests, by name.
     rentals: BTreeMap<String, Rental>,
     /// Machine types that the cloud offers.
-    types: RecordCell<Vec<MachineType>>,
-    next_request: u64,
-    /// Offers that the cloud had no capacity for: until when they are left alone, and for how long.
+    machine_types: RecordCell<Vec<MachineType>>,
+    /// Number in the name of the last rental request.
+    last_rental_number: u64,
+    /// Backoff of the offers that the cloud had no capacity for.
     offer_backoff: HashMap<OfferKey, OfferBackoff>,
-    /// Offers whose last request was filled in full: several may be requested at once.
+    /// Offers whose last request was filled completely. Such an offer may have several requests at a time.
     filled_offers: BTreeSet<OfferKey>,
-    next_list: u64,
-    next_types: u64,
-    /// When the listing under way began.
-    listing_since: Option<u64>,
-    /// Machines that the listing under way has shown.
+    next_listing_at: u64,
+    next_type_listing_at: u64,
+    /// When the machine listing under way began.
+    listing_started_at: Option<u64>,
+    /// Machines that the listing under way has returned so far.
     listed_machines: BTreeSet<String>,
     /// When the last complete listing was requested.
     last_listing_at: u64,
-    listed_once: bool,
-    next_rent: u64,
-    next_summary: u64,
-    next_account: u64,
+    /// The machines have been listed completely at least once in this term.
+    has_complete_listing: bool,
+    next_rental_at: u64,
+    next_summary_at: u64,
+    next_cost_account_at: u64,
     costs: fleet::CostAccount,
 }
 
 impl Leader {
-    /// A leader that has just been elected and has yet to read its records.
+    /// A newly elected leader that has not read its records yet.
     pub fn new(
         settings: &Settings,
         operator: &Operator,
         stopwatch: crate::Stopwatch,
         term: u64,
-        lead_version: u64,
+        leader_key_version: u64,
         dense: bool,
         now: Now,
     ) -> Self {
         Leader {
             term,
-            lead_version,
+            leader_key_version,
             settings: settings.clone(),
             operator: operator.clone(),
             stopwatch,
@@ -174,12 +178,12 @@
             jobs: BTreeMap::new(),
             job_watch: JobWatch::default(),
             dependencies: dependencies::Dependencies::default(),
-            archived: RecentMap::new(FINAL_CACHE),
+            archived_jobs: RecentMap::new(FINAL_CACHE),
             cancellation_notices: RecentMap::new(FINAL_CACHE),
-            last_updated_job: String::new(),
+            job_update_cursor: String::new(),
             machines: BTreeMap::new(),
-            departed: HashMap::new(),
-            boots: HashMap::new(),
+            departed_machines: HashMap::new(),
+            boot_times: HashMap::new(),
             start_latencies: StartLatencies::default(),
             direct_order_budget: TokenBucket::new(DIRECT_CALLS_PER_S, DIRECT_CALLS_BURST),
             has_new_decisions: false,
@@ -188,34 +192,34 @@
             pages: pages::PageTable::new(dense),
             write_queue: store::WriteQueue::default(),
             transactions: store::PendingTransactions::default(),
-            plan_due: true,
-            next_round: 0,
-            next_housekeeping: 0,
-            next_consolidation: 0,
+            round_due: true,
+            next_round_at: 0,
+            next_housekeeping_at: 0,
+            next_consolidation_at: 0,
             skipped_jobs: BTreeSet::new(),
             rounds: 0,
             rentals: BTreeMap::new(),
-            types: RecordCell::new(None, 0),
-            next_request: 0,
+            machine_types: RecordCell::new(None, 0),
+            last_rental_number: 0,
             offer_backoff: HashMap::new(),
             filled_offers: BTreeSet::new(),
-            next_list: 0,
-            next_types: 0,
-            listing_since: None,
+            next_listing_at: 0,
+            next_type_listing_at: 0,
+            listing_started_at: None,
             listed_machines: BTreeSet::new(),
             last_listing_at: 0,
-            listed_once: false,
-            next_rent: 0,
-            next_summary: 0,
-            next_account: 0,
+            has_complete_listing: false,
+            next_rental_at: 0,
+            next_summary_at: 0,
+            next_cost_account_at: 0,
             costs: fleet::CostAccount::default(),
         }
     }
 
-    /// The upgrade is over: no node is left that can't read the dense form.
-    pub fn upgraded(&mut self, effects: &mut Effects) {
+    /// Switches to the dense form of the records: the upgrade is complete, and every node can read it.
+    pub fn on_upgrade_complete(&mut self, effects: &mut Effects) {
         if !self.is_ready() {
-            // The records that are still being read show which chunks are in which form.
+            // The jobs are converted once all records have been read: only then the form of each chunk is known.
             self.pages.use_dense_layout();
             return;
         }
@@ -228,8 +232,13 @@
         self.loading.is_complete()
     }
 
-    /// A request to the state service has ended.
-    pub fn on_state(&mut self, request: LeaderRequest, reply: StateReply, effects: &mut Effects) {
+    /// Handles the reply to a request to the state service.
+    pub fn handle_state_reply(
+        &mut self,
+        request: LeaderRequest,
+        reply: StateReply,
+        effects: &mut Effects,
+    ) {
         match request {
             LeaderRequest::Load(prefix) => self.on_load(prefix, reply, effects),
             LeaderRequest::Watch(sent) => self.on_watch(sent, reply, effects),
@@ -245,8 +254,8 @@
         }
     }
 
-    /// A request to the cloud has ended.
-    pub fn on_cloud(
+    /// Handles the reply to a request to the cloud.
+    pub fn handle_cloud_reply(
         &mut self,
         request: CloudRequest,
         op: CloudOp,
--- a/crates/control/src/leader/model/boot_times.rs
+++ b/crates/control/src/leader/model/boot_times.rs
@@ -1,14 +1,14 @@
-//! Statistics of boot times of a machine type.
+//! Statistics of the boot times of a machine type.
 
 #[cfg(test)]
 mod tests;
 
-/// Standard deviations above the mean from which a boot counts as late.
+/// Standard deviations above the mean beyond which a boot counts as late.
 const LATE_DEVIATIONS: f64 = 2.0;
-/// Seconds added to that, so that a type whose boots hardly vary has some tolerance too.
+/// Seconds added to that bound, so that a type whose boot times hardly vary has some tolerance too.
 const LATE_MARGIN_S: f64 = 1.0;
 
-/// Mean and variance of the boot times seen of a machine type (Welford's online algorithm).
+/// Mean and variance of the boot times of a machine type (Welford's online algorithm).
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct BootTimes {
     count: f64,
@@ -26,10 +26,10 @@
         self.squared_deviations += deviation * (secs - self.mean_s);
     }
 
-    /// Seconds after which a machine that is not up is unusually late; `None` while too few boots were seen.
-    pub fn late_s(&self) -> Option<f64> {
+    /// Seconds after which a machine that is not up counts as late; `None` until enough boots were seen.
+    pub fn late_after_s(&self) -> Option<f64> {
         let deviation = (self.squared_deviations / self.count.max(1.0)).sqrt();
-        let late_s = self.mean_s + LATE_DEVIATIONS * deviation + LATE_MARGIN_S;
-        (self.count >= constants::BOOTS_SEEN).then_some(late_s)
+        let late_after_s = self.mean_s + LATE_DEVIATIONS * deviation + LATE_MARGIN_S;
+        (self.count >= constants::BOOTS_SEEN).then_some(late_after_s)
     }
 }
--- a/crates/control/src/leader/model/job.rs
+++ b/crates/control/src/leader/model/job.rs
@@ -1,4 +1,4 @@
-//! A job that is not over.
+//! Open jobs.
 
 mod chunks;
 mod dense_form;
@@ -12,12 +12,12 @@
 use wire::records::{Final, JobRecord};
 use wire::users::{Priority, Shape, Submission};
 
-/// What the jobs that depend on a job need of it.
+/// Requirements that a job inherits from the jobs that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct DownstreamDemand {
-    /// Two moments (time of day, milliseconds) by which the job must be over: for the first of the dependent jobs to
-    /// meet its deadline, and for it to meet the last moment that an objective still counts.
-    pub ends: Option<(u64, u64)>,
+    /// Two times (wall clock, milliseconds) by which the job must be over: for the first of the dependent jobs to meet
+    /// its deadline, and for that job to end at the last moment that an objective still counts.
+    pub deadlines: Option<(u64, u64)>,
     /// Highest priority among the dependent jobs.
     pub priority: Priority,
 }
@@ -25,119 +25,119 @@
 /// An open job: its submission, its progress and its assignments.
 #[derive(Debug, Clone)]
 pub(crate) struct Job {
-    /// What was submitted.
+    /// The submission.
     pub spec: Submission,
-    /// Time of day of its acceptance, in milliseconds.
+    /// When the job was accepted (wall clock, milliseconds).
     pub submitted_at: u64,
-    /// Version of its record.
-    pub version: u64,
-    /// Its user has cancelled it.
+    /// Version of the job's record.
+    pub record_version: u64,
+    /// The user has cancelled the job.
     pub aborted: bool,
-    /// The record of that version says so. A peer's notice may have come ahead of the record.
+    /// The record of that version shows the cancellation. A peer's notice of it may arrive before the record.
     pub recorded_abort: bool,
-    /// Tasks of a chunk: `CHUNK_TASKS` in the wide form, `SMALL_TASKS` in the dense form.
+    /// Tasks per chunk: `CHUNK_TASKS` in the wide form, `SMALL_TASKS` in the dense form.
     pub tasks_per_chunk: u32,
-    /// Its chunks, by number.
+    /// Chunks of the tasks, by number.
     pub chunks: BTreeMap<u32, Chunk>,
     /// Dependencies that are not known to be recorded as done.
-    pub needs: BTreeSet<String>,
-    /// When the last dependency was done, as far as this leader knows (time of day, milliseconds). From then on it
+    pub unmet_dependencies: BTreeSet<String>,
+    /// When the last dependency was done, as far as this leader knows (wall clock, milliseconds). From then on the job
     /// waits for machines.
     pub ready_at: u64,
-    /// What the jobs that depend on it make of its deadline and priority.
-    pub downstream: Option<DownstreamDemand>,
+    /// Deadlines and priority inherited from the jobs that depend on this one.
+    pub downstream_demand: Option<DownstreamDemand>,
     /// Tasks that are done or assigned.
-    pub busy: RangeSet,
+    pub done_or_assigned: RangeSet,
     /// Number of tasks that are done.
-    pub done: u64,
+    pub done_count: u64,
     /// Number of assignments.
-    pub assigned: u32,
-    /// Tasks on machines without a record, by (task, machine): not to be started again until they are gone.
+    pub assigned_count: u32,
+    /// Tasks that machines run without a record, by (task, machine). The job starts nothing until they are gone.
     pub orphans: BTreeSet<(u32, String)>,
-    /// Its final record is being written, or its record is being read again.
-    pub in_flight: bool,
-    /// Gang: its present attempt has run.
-    pub started: bool,
-    /// Gang: its present attempt can't be completed any more.
-    pub broken: bool,
-    /// Gang: some of its tasks waited in vain for others that are still fetching the image.
+    /// The final record is being written, or the job's record is being read again.
+    pub record_in_flight: bool,
+    /// Gang: the current attempt has run.
+    pub gang_started: bool,
+    /// Gang: the current attempt can no longer be completed.
+    pub gang_broken: bool,
+    /// Gang: some tasks timed out waiting for others that are still fetching the image.
     pub gathering_timed_out: bool,
-    /// Failures in a row, which determine the backoff.
-    pub failures: u32,
-    /// All attempts under earlier leaders ended with nothing done.
+    /// Number of consecutive failures, which determines the backoff.
+    pub consecutive_failures: u32,
+    /// Several attempts ended under earlier leaders, and no task was completed.
     pub failed_under_earlier_leaders: bool,
-    /// Machines that it failed on.
+    /// Machines on which tasks of the job failed.
     pub failed_machines: BTreeSet<String>,
-    /// End of the backoff after a failure (steady clock, milliseconds).
-    pub pause_until: u64,
-    /// When a task of it was first seen running (steady clock, milliseconds).
-    pub first_run: Option<u64>,
+    /// End of the backoff after a failure (monotonic clock, milliseconds).
+    pub backoff_until: u64,
+    /// When a task of the job was first seen running (monotonic clock, milliseconds).
+    pub first_run_at: Option<u64>,
     /// Machines reserved for this gang.
     pub reserved_machines: Vec<String>,
-    /// Number of further records that hold the rest of its submission.
-    pub more: u32,
+    /// Number of further records that hold the rest of the submission.
+    pub further_record_count: u32,
 }
 
 impl Job {
-    /// A job as its record has it, in the wide form and without progress.
+    /// A job as described by its record, in the wide form and without progress.
     pub fn new(record: JobRecord, version: u64) -> Self {
         Job {
             spec: record.spec,
             submitted_at: record.at,
-            version,
+            record_version: version,
             aborted: record.aborted,
             recorded_abort: record.aborted,
             tasks_per_chunk: constants::CHUNK_TASKS,
             chunks: BTreeMap::new(),
-            needs: BTreeSet::new(),
+            unmet_dependencies: BTreeSet::new(),
             ready_at: record.at,
-            downstream: None,
-            busy: RangeSet::default(),
-            done: 0,
-            assigned: 0,
+            downstream_demand: None,
+            done_or_assigned: RangeSet::default(),
+            done_count: 0,
+            assigned_count: 0,
             orphans: BTreeSet::new(),
-            in_flight: false,
-            started: false,
-            broken: false,
+            record_in_flight: false,
+            gang_started: false,
+            gang_broken: false,
             gathering_timed_out: false,
-            failures: 0,
+            consecutive_failures: 0,
             failed_under_earlier_leaders: false,
             failed_machines: BTreeSet::new(),
-            pause_until: 0,
-            first_run: None,
+            backoff_until: 0,
+            first_run_at: None,
             reserved_machines: Vec::new(),
-            more: record.more,
+            further_record_count: record.more,
         }
     }
 
-    /// Whether it waits for dependencies: until they are done, nothing of it is started.
+    /// Whether the job waits for dependencies. Its tasks are not started until they are done.
     pub fn awaits_dependencies(&self) -> bool {
-        !self.needs.is_empty()
+        !self.unmet_dependencies.is_empty()
     }
 
-    /// The highest priority among it and the jobs that depend on it.
+    /// The highest priority among the job and the jobs that depend on it.
     pub fn priority(&self) -> Priority {
         let own = self.spec.priority;
-        self.downstream
+        self.downstream_demand
             .map_or(own, |demand| demand.priority.max(own))
     }
 
-    /// Whether its tasks run all at once or not at all.
+    /// Whether the job is a gang: its tasks run all at once or not at all.
     pub fn is_gang(&self) -> bool {
         self.spec.shape == Shape::Gang
     }
 
-    /// Whether it is a service.
+    /// Whether the job is a service.
     pub fn is_service(&self) -> bool {
         self.spec.shape == Shape::Service
     }
 
     /// Number of tasks.
-    pub fn tasks(&self) -> u32 {
+    pub fn task_count(&self) -> u32 {
         self.spec.tasks as u32
     }
 
-    /// Resources that a task takes.
+    /// Resources that each task takes.
     pub fn task_resources(&self) -> Resources {
         Resources {
             cpus: self.spec.cpus,
@@ -148,15 +148,16 @@
 
     /// Whether all tasks are done.
     pub fn all_done(&self) -> bool {
-        self.done >= self.spec.tasks
+        self.done_count >= self.spec.tasks
     }
 
-    /// How it ended, if it is over and may be archived.
+    /// The outcome of a job that is over and may be archived.
     pub fn final_due(&self) -> Option<Final> {
-        // A user who was told "cancelled" must never read "done", even if every task completes meanwhile.
+        // A user whose cancellation was confirmed must never see the job as done, even if every task completes
+        // meanwhile.
         if self.aborted {
-            let is_free = self.assigned == 0 && self.orphans.is_empty();
-            return is_free.then_some(Final::Aborted);
+            let has_no_tasks_left = self.assigned_count == 0 && self.orphans.is_empty();
+            return has_no_tasks_left.then_some(Final::Aborted);
         }
         self.all_done().then_some(Final::Done)
     }
--- a/crates/control/src/leader/model/job/chunks.rs
+++ b/crates/control/src/leader/model/job/chunks.rs
@@ -5,17 +5,17 @@
 use sched::RangeSet;
 use wire::records::ChunkRecord;
 
-/// Run times of a job's tasks that were timed.
+/// Summary of the run times of a job's timed tasks.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct RunTimeSample {
     /// Mean run time in seconds, 0 if none was timed.
     pub mean_s: f64,
-    /// How many tasks were timed.
+    /// Number of timed tasks.
     pub timed_tasks: u32,
 }
 
 impl Job {
-    /// The chunk that a task is in, if it has been created.
+    /// The chunk that holds a task, if it has been created.
     pub fn chunk(&self, task: u32) -> Option<&Chunk> {
         self.chunks.get(&self.chunk_number(task))
     }
@@ -35,8 +35,8 @@
         self.chunk(task)?.assignments.get(&task)
     }
 
-    /// The assignment of a task, to be changed. What is recorded of it is changed by [`Job::put`] and
-    /// [`Job::unassign`] only.
+    /// The assignment of a task, for changes to what is not recorded of it. Only [`Job::assign`] and [`Job::unassign`]
+    /// change what is recorded.
     pub fn assignment_mut(&mut self, task: u32) -> Option<&mut Assignment> {
         self.chunk_mut(task)?.assignments.get_mut(&task)
     }
@@ -49,90 +49,90 @@
             .map(|(task, assignment)| (*task, assignment))
     }
 
-    /// Whether everything known about a task's chunk is recorded.
-    pub fn is_saved(&self, task: u32) -> bool {
+    /// Whether all changes of a task's chunk are recorded.
+    pub fn is_chunk_saved(&self, task: u32) -> bool {
         self.chunk(task).is_none_or(|chunk| !chunk.is_unsaved())
     }
 
-    /// Whether a task has an assignment that is recorded and whose start has not been sent.
+    /// Whether a task has a recorded assignment whose `launch` has not been sent and that is not to be stopped.
     pub fn is_startable(&self, task: u32) -> bool {
         let Some(chunk) = self.chunk(task) else {
             return false;
         };
         chunk.assignments.get(&task).is_some_and(|assignment| {
-            assignment.stage == AssignmentStage::Ready
-                && assignment.seq <= chunk.saved
+            assignment.stage == AssignmentStage::Unsent
+                && assignment.chunk_seq <= chunk.saved_seq
                 && assignment.stop.is_none()
         })
     }
 
-    /// Takes a chunk from a record that is in the job's present form.
+    /// Loads a chunk from a record in the job's current form.
     pub fn load_chunk(&mut self, number: u32, seq: u64, record: ChunkRecord, page: u32) {
         let chunk = Chunk::from_record(record, seq, page);
         self.chunks.insert(number, chunk);
     }
 
-    /// Counts what the loaded chunks hold.
-    pub fn count_chunks(&mut self) {
-        self.busy = RangeSet::default();
-        self.done = 0;
-        self.assigned = 0;
+    /// Recomputes the job's totals from its loaded chunks.
+    pub fn recount_tasks(&mut self) {
+        self.done_or_assigned = RangeSet::default();
+        self.done_count = 0;
+        self.assigned_count = 0;
         for chunk in self.chunks.values() {
-            self.done += chunk.done.len();
-            self.assigned += chunk.assignments.len() as u32;
+            self.done_count += chunk.done.len();
+            self.assigned_count += chunk.assignments.len() as u32;
             let assigned_tasks = chunk.assignments.keys().copied();
             for task in chunk.done.iter().chain(assigned_tasks) {
-                self.busy.insert(task);
+                self.done_or_assigned.insert(task);
             }
         }
     }
 
-    /// Assigns a task to a machine. The caller has checked that it has no assignment.
-    pub fn put(&mut self, task: u32, machine: &str, attempt: u64, pilot: bool, now: u64) {
+    /// Assigns a task to a machine. The task must not have an assignment.
+    pub fn assign(&mut self, task: u32, machine: &str, attempt: u64, pilot: bool, now: u64) {
         let chunk = self.chunk_or_default(task);
         chunk.seq += 1;
         chunk.highest_attempt = chunk.highest_attempt.max(attempt);
-        let assignment = Assignment::ready(machine, attempt, chunk.seq, pilot, now);
+        let assignment = Assignment::unsent(machine, attempt, chunk.seq, pilot, now);
         chunk.assignments.insert(task, assignment);
-        self.assigned += 1;
-        self.busy.insert(task);
+        self.assigned_count += 1;
+        self.done_or_assigned.insert(task);
     }
 
-    /// Removes the assignment of a task, whether the task is done or not.
+    /// Removes the assignment of a task, whether or not the task is done.
     pub fn unassign(&mut self, task: u32) -> Option<Assignment> {
         let chunk = self.chunk_mut(task)?;
         let assignment = chunk.assignments.remove(&task)?;
         chunk.seq += 1;
         let is_done = chunk.done.contains(task);
-        self.assigned -= 1;
+        self.assigned_count -= 1;
         if !is_done {
-            self.busy.remove(task);
+            self.done_or_assigned.remove(task);
         }
-        if self.assigned == 0 {
-            self.started = false;
-            self.broken = false;
+        if self.assigned_count == 0 {
+            self.gang_started = false;
+            self.gang_broken = false;
             self.gathering_timed_out = false;
         }
         Some(assignment)
     }
 
-    /// Records a task as done; true if that is new.
-    pub fn complete(&mut self, task: u32, secs: Option<f64>) -> bool {
+    /// Marks a task as done and adds its run time, if known. Returns false if the task was done already.
+    pub fn complete(&mut self, task: u32, run_time_s: Option<f64>) -> bool {
         let chunk = self.chunk_or_default(task);
         if !chunk.done.insert(task) {
             return false;
         }
         chunk.seq += 1;
-        if let Some(secs) = secs {
-            chunk.run_seconds += secs;
+        if let Some(run_time_s) = run_time_s {
+            chunk.run_seconds += run_time_s;
             chunk.timed_tasks += 1;
         }
-        self.busy.insert(task);
-        self.done += 1;
+        self.done_or_assigned.insert(task);
+        self.done_count += 1;
         true
     }
 
-    /// Highest attempt given out to any task.
+    /// Highest attempt number of any task so far.
     pub fn highest_attempt(&self) -> u64 {
         self.chunks
             .values()
@@ -141,7 +141,7 @@
             .unwrap_or(0)
     }
 
-    /// What the tasks that were timed say of the job's run time.
+    /// Mean run time and number of the job's timed tasks.
     pub fn run_time_sample(&self) -> RunTimeSample {
         let run_seconds: f64 = self.chunks.values().map(|chunk| chunk.run_seconds).sum();
         let timed_tasks: u32 = self.chunks.values().map(|chunk| chunk.timed_tasks).sum();
--- a/crates/control/src/leader/model/job/dense_form.rs
+++ b/crates/control/src/leader/model/job/dense_form.rs
@@ -1,13 +1,13 @@
 //! The two forms in which a job's tasks are divided into chunks.
 //!
-//! Wide chunks hold `CHUNK_TASKS` tasks; every version reads them. The dense form has chunks of `SMALL_TASKS` tasks,
-//! which fit into smaller records. A job goes from the wide form to the dense one, never back.
+//! Chunks in the wide form hold `CHUNK_TASKS` tasks; every version can read them. Chunks in the dense form hold
+//! `SMALL_TASKS` tasks and fit into smaller records. A job is converted from the wide to the dense form, never back.
 
 use super::Job;
 use std::ops::Range;
 
 impl Job {
-    /// Number of the chunk that a task is in.
+    /// Number of the chunk that holds a task.
     pub(super) fn chunk_number(&self, task: u32) -> u32 {
         task / self.tasks_per_chunk
     }
@@ -17,32 +17,33 @@
         self.tasks_per_chunk == constants::SMALL_TASKS
     }
 
-    /// Chunks that a recorded copy covers: a wide one, written before the split, covers several.
-    pub fn parts_in(&self, part: u32, wide: bool) -> Range<u32> {
-        let covered = match wide {
+    /// Numbers of the chunks that a recorded copy covers. A wide copy, written before the split, covers several dense
+    /// chunks.
+    pub fn covered_chunks(&self, number: u32, is_wide: bool) -> Range<u32> {
+        let count = match is_wide {
             true => constants::CHUNK_TASKS / self.tasks_per_chunk,
             false => 1,
         };
-        part * covered..(part + 1) * covered
+        number * count..(number + 1) * count
     }
 
-    /// Changes to the dense form by splitting each chunk.
+    /// Converts the job to the dense form by splitting each chunk.
     ///
-    /// The new chunks continue the change numbers of the chunk that they were split from, so that recorded copies in
+    /// The new chunks continue the sequence numbers of the chunk that they were split from, so that recorded copies in
     /// both forms can be ordered by them.
-    pub fn split(&mut self) {
+    pub fn split_into_dense_chunks(&mut self) {
         if self.is_dense() {
             return;
         }
         self.tasks_per_chunk = constants::SMALL_TASKS;
         for (wide_number, wide_chunk) in std::mem::take(&mut self.chunks) {
-            let numbers = self.parts_in(wide_number, true);
+            let numbers = self.covered_chunks(wide_number, true);
             for number in numbers.clone() {
                 let tasks = self.tasks_in(number);
-                if tasks.start >= self.tasks() {
+                if tasks.start >= self.task_count() {
                     break;
                 }
-                let part = wide_chunk.part(tasks, number == numbers.start);
+                let part = wide_chunk.extract(tasks, number == numbers.start);
                 self.chunks.insert(number, part);
             }
         }
--- a/crates/control/src/leader/model/job/failures.rs
+++ b/crates/control/src/leader/model/job/failures.rs
@@ -1,53 +1,58 @@
-//! Judgements about a job that fails or waits in vain, and the backoff between its attempts.
+//! Detection of jobs that keep failing or waiting, and the backoff between their attempts.
 
 use super::Job;
 use crate::leader::model::Assignment;
 
-/// Doublings of the backoff at most. The pause has reached its maximum by then.
+/// Maximum number of doublings of the backoff, which has reached its maximum by then.
 const BACKOFF_DOUBLINGS_MAX: u32 = 5;
-/// Assignments up to which an array counts as idle: one may be its present attempt.
+/// Number of assignments up to which an array counts as idle: one may be its current attempt.
 const IDLE_ASSIGNMENTS_MAX: u32 = 1;
 
 impl Job {
-    /// Whether it is a gang that has waited in vain for so long that it rests.
+    /// Whether the job is a gang that has waited so long for its first assignment that it is backed off.
     ///
-    /// What is reserved, rented or stopped for such a gang, perhaps for ever, is needed by others. It is tried again
-    /// after a while.
+    /// Reserving or renting machines and stopping tasks for a gang that may never start takes resources from other
+    /// jobs. The gang is tried again after a while.
     pub fn is_backed_off(&self, now_unix: u64) -> bool {
         let waited_s = now_unix.saturating_sub(self.ready_at) / 1000;
-        // A gang that was assigned before, perhaps by an earlier leader, can be again.
+        // A gang that has been assigned before, perhaps by an earlier leader, can be assigned again.
         let never_assigned = self.is_gang() && self.highest_attempt() == 0;
         never_assigned && waited_s % (2 * constants::GANG_TRY_S) >= constants::GANG_TRY_S
     }
 
-    /// Whether one of its tasks has completed, or has been running for a while on one of the machines that count.
+    /// Whether a task of the job has completed, or one whose assignment satisfies `counts` has been running for
+    /// a while.
     pub fn is_sound(&self, now: u64, counts: impl Fn(&Assignment) -> bool) -> bool {
-        let runs_on = |assignment: &Assignment| {
+        let runs_well = |assignment: &Assignment| {
             counts(assignment) && assignment.has_run_for(constants::SOUND_RUN_MS, now)
         };
-        self.done > 0
+        self.done_count > 0
             || self
                 .assignments()
-                .any(|(_, assignment)| runs_on(assignment))
+                .any(|(_, assignment)| runs_well(assignment))
     }
 
-    /// Whether it has failed on so many machines that it most likely fails on all of them.
+    /// Whether the job has failed on so many machines, or in so many attempts under earlier leaders, that it most
+    /// likely fails on every machine.
     pub fn seems_to_fail_everywhere(&self) -> bool {
         self.failed_under_earlier_leaders || self.failed_machines.len() > constants::FAULTY_JOBS
     }
 
-    /// Whether its records show several attempts that have ended and nothing that is done.
+    /// Whether the job's records show several ended attempts and no completed task.
     ///
-    /// The records do not say why the attempts ended. If they failed, the job must not start again with a short
-    /// backoff under each new leader.
+    /// The records do not say why the attempts ended. If they failed, the job must not start again with a short backoff
+    /// under each new leader.
     pub fn has_failed_under_earlier_leaders(&self) -> bool {
-        let (attempts, present) = match self.is_gang() {
-            true => (self.highest_attempt(), u64::from(self.assigned > 0)),
-            false => (self.sum_of_highest_attempts(), u64::from(self.assigned)),
+        let (attempts, current_attempts) = match self.is_gang() {
+            true => (self.highest_attempt(), u64::from(self.assigned_count > 0)),
+            false => (
+                self.sum_of_highest_attempts(),
+                u64::from(self.assigned_count),
+            ),
         };
-        let ended = attempts.saturating_sub(present);
-        let is_idle = self.is_gang() || self.assigned <= IDLE_ASSIGNMENTS_MAX;
-        self.done == 0 && is_idle && ended >= constants::FAILED_ATTEMPTS_SUSPECT
+        let ended_attempts = attempts.saturating_sub(current_attempts);
+        let is_idle = self.is_gang() || self.assigned_count <= IDLE_ASSIGNMENTS_MAX;
+        self.done_count == 0 && is_idle && ended_attempts >= constants::FAILED_ATTEMPTS_SUSPECT
     }
 
     fn sum_of_highest_attempts(&self) -> u64 {
@@ -57,12 +62,13 @@
             .sum()
     }
 
-    /// Milliseconds of backoff after a failure.
-    pub fn error_pause_ms(&self) -> u64 {
+    /// Backoff after a failure, in milliseconds.
+    pub fn failure_backoff_ms(&self) -> u64 {
         if self.failed_under_earlier_leaders {
             return constants::ERROR_PAUSE_MAX_MS;
         }
-        let pause_ms = constants::ERROR_PAUSE_MS << self.failures.min(BACKOFF_DOUBLINGS_MAX);
+        let pause_ms =
+            constants::ERROR_PAUSE_MS << self.consecutive_failures.min(BACKOFF_DOUBLINGS_MAX);
         pause_ms.min(constants::ERROR_PAUSE_MAX_MS)
     }
 }
--- a/crates/control/src/leader/model/job/tests.rs
+++ b/crates/control/src/leader/model/job/tests.rs
@@ -1,13 +1,13 @@
-//! Changing a job from the wide form to the dense one.
+//! Tests of the conversion of a job from the wide to the dense form.
 
 use super::Job;
 use wire::records::JobRecord;
 use wire::users::Submission;
 
-/// A write of the wide form that is answered after the split covers the chunks that its chunk has become; what
-/// has changed since is still to be recorded.
+/// A write in the wide form may be confirmed after the split. It then covers the chunks that the wide chunk was split
+/// into, and only their later changes remain to be recorded.
 #[test]
-fn a_split_chunk_continues_its_change_numbers_and_keeps_its_content() {
+fn splitting_a_chunk_keeps_its_sequence_numbers_and_content() {
     let spec: Submission = serde_json::from_str(
         r#"{"id":"run-1","cohort":"c","tenant":"t","shape":"array","rank":"low","shards":300,"cpus":1,"gpus":0,
         "mem_gb":1,"bundle":"i","pull_gb":1,"same_place":false,"apart":false,"loaners":true,"guess_s":1,
@@ -17,17 +17,17 @@
     let record = JobRecord::new(spec, 0);
     let mut job = Job::new(record, 1);
     for task in [0, 31, 32, 130, 299] {
-        job.put(task, "vm-1", 1, false, 0);
+        job.assign(task, "vm-1", 1, false, 0);
     }
     job.complete(31, Some(4.0));
-    assert_eq!((job.parts_in(1, true), job.chunks.len()), (1..2, 3));
+    assert_eq!((job.covered_chunks(1, true), job.chunks.len()), (1..2, 3));
     let (wide_chunk, sample) = (job.chunks[&0].clone(), job.run_time_sample());
-    job.split();
+    job.split_into_dense_chunks();
     assert_eq!(
-        (job.parts_in(1, true), job.parts_in(1, false)),
+        (job.covered_chunks(1, true), job.covered_chunks(1, false)),
         (4..8, 1..2)
     );
-    // 300 tasks are ten dense chunks; attempts and change numbers continue in each of them.
+    // 300 tasks make ten dense chunks, which continue the attempt and sequence numbers.
     assert!(job.chunks.keys().copied().eq(0..10));
     assert!(job.chunks.values().all(|chunk| chunk.highest_attempt == 1));
     assert!((0..4).all(|number| job.chunks[&number].seq == wide_chunk.seq));
@@ -38,6 +38,6 @@
         (sample, 1)
     );
     assert!(job.assignment(130).is_some() && job.assignment(131).is_none());
-    job.count_chunks();
-    assert_eq!((job.done, job.assigned), (1, 5));
+    job.recount_tasks();
+    assert_eq!((job.done_count, job.assigned_count), (1, 5));
 }
--- a/crates/control/src/leader/model/record_cell.rs
+++ b/crates/control/src/leader/model/record_cell.rs
@@ -1,20 +1,20 @@
-//! A record in memory beside its last known state in the store.
+//! Records with their desired and their stored contents.
 
-/// A record as it is wanted, and as it is known to be in the store.
+/// Desired content of a record, and its last known content in the store.
 #[derive(Debug, Clone)]
 pub(crate) struct RecordCell<T> {
-    /// What the store is to hold; nothing if the record is to be deleted.
+    /// Content that the store is to hold; `None` if the record is to be deleted.
     pub desired: Option<T>,
-    /// What the store is known to hold.
+    /// Content that the store is known to hold; `None` if the record does not exist.
     pub saved: Option<T>,
     /// Version of the record in the store, for compare-and-swap.
     pub version: u64,
-    /// A transaction that writes it, or a read of it, is under way.
+    /// A transaction that writes the record, or a read of it, is in flight.
     pub in_flight: bool,
 }
 
 impl<T: PartialEq + Clone> RecordCell<T> {
-    /// A record that the store holds as it is wanted.
+    /// A record whose stored content is the desired one.
     pub fn new(saved: Option<T>, version: u64) -> Self {
         RecordCell {
             desired: saved.clone(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Whether the store does not hold what is wanted.
+    /// Whether the desired content differs from the stored one.
     pub fn is_unsaved(&self) -> bool {
         self.desired != self.saved
     }
--- a/crates/control/src/leader/model/task_chunk.rs
+++ b/crates/control/src/leader/model/task_chunk.rs
@@ -1,4 +1,4 @@
-//! A chunk of a job's tasks, the unit in which assignments and progress are recorded.
+//! Chunks of a job's tasks, the units in which assignments and progress are recorded.
 
 use super::{Assignment, AssignmentStage};
 use sched::RangeSet;
@@ -6,54 +6,54 @@
 use std::ops::Range;
 use wire::records::ChunkRecord;
 
-/// Bytes of a chunk's record in the wide form, without its tasks. This and the next are estimates, on the high side.
+/// Bytes of a chunk's record in the wide form, without its tasks. This and the next are cautious estimates.
 const WIDE_CHUNK_BYTES: usize = 150;
-/// Bytes of an assignment in the wide form, beside the machine's name.
+/// Bytes of an assignment in the wide form, without the machine's name.
 const WIDE_ASSIGNMENT_BYTES: usize = 26;
-/// Bytes of a chunk's record in the dense form, without tasks.
+/// Bytes of a chunk's record in the dense form, without its tasks.
 const DENSE_CHUNK_BYTES: usize = 125;
-/// Bytes of an assignment in the dense form, beside what its machine's name has on its own.
+/// Bytes of an assignment in the dense form, without the part of the machine's name after the common prefix.
 const DENSE_ASSIGNMENT_BYTES: usize = 10;
-/// Bytes of an attempt's number in the dense form, which is written only where it can't be derived.
+/// Bytes of an attempt number in the dense form, which is written only where it cannot be derived.
 const DENSE_ATTEMPT_BYTES: usize = 6;
 
 /// A chunk of a job's tasks.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Chunk {
-    /// Page that holds the last recorded copy.
-    pub home: Option<u32>,
-    /// Tasks that are done.
+    /// Number of the page that holds the last recorded copy.
+    pub page: Option<u32>,
+    /// Completed tasks.
     pub done: RangeSet,
     /// Assignments by task.
     pub assignments: BTreeMap<u32, Assignment>,
-    /// Highest attempt given out to any task.
+    /// Highest attempt number of any task so far.
     pub highest_attempt: u64,
-    /// Sum of the run times of timed tasks, in seconds.
+    /// Sum of the run times of the timed tasks, in seconds.
     pub run_seconds: f64,
     /// Number of timed tasks.
     pub timed_tasks: u32,
-    /// Number of the last change.
+    /// Sequence number of the last change.
     pub seq: u64,
-    /// Number of the last change that is known to be recorded.
-    pub saved: u64,
+    /// Sequence number of the last change that is known to be recorded.
+    pub saved_seq: u64,
 }
 
 impl Chunk {
-    /// A chunk as the record on `page` has it, after change number `seq`.
+    /// The chunk that a record on `page` describes, as of change `seq`.
     pub(super) fn from_record(record: ChunkRecord, seq: u64, page: u32) -> Self {
         let assignments = record
             .at
             .into_iter()
-            .map(|(task, attempt, machine)| (task, Assignment::recorded(machine, attempt)));
+            .map(|(task, attempt, machine)| (task, Assignment::loaded(machine, attempt)));
         Chunk {
-            home: Some(page),
+            page: Some(page),
             done: RangeSet::parse(&record.done).unwrap_or_default(),
             assignments: assignments.collect(),
             highest_attempt: record.hi,
             run_seconds: record.secs,
             timed_tasks: record.timed,
             seq,
-            saved: seq,
+            saved_seq: seq,
         }
     }
 
@@ -71,21 +71,21 @@
         }
     }
 
-    /// Whether its last change is not known to be recorded.
+    /// Whether the last change is not known to be recorded.
     pub fn is_unsaved(&self) -> bool {
-        self.seq > self.saved
+        self.seq > self.saved_seq
     }
 
-    /// Whether it has assignments that are not recorded yet. Their write must fail once the job is cancelled.
+    /// Whether the chunk has assignments that are not recorded yet. Their write must fail if the job is cancelled.
     pub fn has_new_assignments(&self) -> bool {
         let is_new = |assignment: &Assignment| {
-            assignment.stage == AssignmentStage::Ready && assignment.seq > self.saved
+            assignment.stage == AssignmentStage::Unsent && assignment.chunk_seq > self.saved_seq
         };
         self.is_unsaved() && self.assignments.values().any(is_new)
     }
 
-    /// A cautious estimate of the bytes of its record, in the JSON form that limits count in.
-    pub fn bytes(&self, dense: bool) -> usize {
+    /// A cautious estimate of the size of the record in bytes of its JSON form, to which the limits apply.
+    pub fn estimated_bytes(&self, dense: bool) -> usize {
         match dense {
             true => self.dense_bytes(),
             false => self.wide_bytes(),
@@ -100,18 +100,18 @@
         WIDE_CHUNK_BYTES + self.done.to_string().len() + assignments.sum::<usize>()
     }
 
-    /// The common prefix of the machines' names is counted once, since the dense form writes it once.
+    /// Counts the common prefix of the machine names once, as the dense form writes it once.
     fn dense_bytes(&self) -> usize {
-        let common = self.common_name_prefix();
+        let prefix = self.common_name_prefix_len();
         let assignments = self.assignments.values().map(|assignment| {
-            let name = assignment.machine.len() - common;
-            DENSE_ASSIGNMENT_BYTES + self.dense_attempt_bytes(assignment) + name
+            let name_suffix = assignment.machine.len() - prefix;
+            DENSE_ASSIGNMENT_BYTES + self.dense_attempt_bytes(assignment) + name_suffix
         });
-        DENSE_CHUNK_BYTES + common + self.done.to_string().len() + assignments.sum::<usize>()
+        DENSE_CHUNK_BYTES + prefix + self.done.to_string().len() + assignments.sum::<usize>()
     }
 
-    /// An attempt's number is written out unless it is the chunk's highest. A `:` in the machine's name also has it
-    /// written out, since it separates the two.
+    /// Bytes of an assignment's attempt number. It is written unless it is the chunk's highest. It is always written
+    /// where the machine's name contains `:`, the separator between the two.
     fn dense_attempt_bytes(&self, assignment: &Assignment) -> usize {
         if assignment.attempt == self.highest_attempt && !assignment.machine.contains(':') {
             0
@@ -120,21 +120,21 @@
         }
     }
 
-    /// Bytes at the start of the machines' names that are the same in all of them.
-    fn common_name_prefix(&self) -> usize {
+    /// Length in bytes of the common prefix of all machine names.
+    fn common_name_prefix_len(&self) -> usize {
         let mut names = self.assignments.values().map(|a| a.machine.as_bytes());
         let Some(first) = names.next() else {
             return 0;
         };
         names
-            .map(|name| common_prefix(name, first))
+            .map(|name| common_prefix_len(name, first))
             .min()
             .unwrap_or(first.len())
     }
 
-    /// The part of a wide chunk that holds these tasks. The run times can't be divided by task, so they go with the
-    /// first part.
-    pub(super) fn part(&self, tasks: Range<u32>, is_first: bool) -> Chunk {
+    /// Copies the part of a wide chunk that holds these tasks. The run times are not known by task, so they all go to
+    /// the first part.
+    pub(super) fn extract(&self, tasks: Range<u32>, is_first: bool) -> Chunk {
         let mut done = RangeSet::default();
         for task in self.done.iter().filter(|task| tasks.contains(task)) {
             done.insert(task);
@@ -148,19 +148,19 @@
             false => (0.0, 0),
         };
         Chunk {
-            home: self.home,
+            page: self.page,
             done,
             assignments: assignments.collect(),
             highest_attempt: self.highest_attempt,
             run_seconds,
             timed_tasks,
             seq: self.seq,
-            saved: self.saved,
+            saved_seq: self.saved_seq,
         }
     }
 }
 
-/// Number of bytes at the start that are the same in both.
-fn common_prefix(a: &[u8], b: &[u8]) -> usize {
+/// Length of the common prefix in bytes.
+fn common_prefix_len(a: &[u8], b: &[u8]) -> usize {
     a.iter().zip(b).take_while(|(a, b)| a == b).count()
 }
--- a/crates/control/src/leader/pages.rs
+++ b/crates/control/src/leader/pages.rs
@@ -72,7 +72,7 @@
 
     fn split_all_jobs(&mut self) {
         for job in self.jobs.values_mut() {
-            job.split();
+            job.split_into_dense_chunks();
         }
     }
 
@@ -81,8 +81,8 @@
         self.pages.clear_parts();
         for (id, job) in &self.jobs {
             for (part, chunk) in &job.chunks {
-                if let Some(home) = chunk.home {
-                    let bytes = chunk.bytes(job.is_dense());
+                if let Some(home) = chunk.page {
+                    let bytes = chunk.estimated_bytes(job.is_dense());
                     self.pages.add_part(home, PartId::new(id, *part), bytes);
                 }
             }
@@ -107,7 +107,7 @@
         }
         self.apply_small_copies(small);
         for job in self.jobs.values_mut() {
-            job.count_chunks();
+            job.recount_tasks();
             job.failed_under_earlier_leaders = job.has_failed_under_earlier_leaders();
         }
         self.rebuild_page_contents();
@@ -149,16 +149,16 @@
         };
         let is_dense = job.is_dense();
         // The copy may have been written before the job's parts were split.
-        for part in job.parts_in(copy.part.number, copy.is_wide) {
+        for part in job.covered_chunks(copy.part.number, copy.is_wide) {
             let Some(chunk) = job.chunks.get_mut(&part) else {
                 continue;
             };
-            if copy.seq < chunk.saved {
+            if copy.seq < chunk.saved_seq {
                 continue;
             }
-            chunk.saved = copy.seq;
-            let bytes = chunk.bytes(is_dense);
-            let previous = chunk.home.replace(number);
+            chunk.saved_seq = copy.seq;
+            let bytes = chunk.estimated_bytes(is_dense);
+            let previous = chunk.page.replace(number);
             let part = PartId::new(&copy.part.job, part);
             if let Some(previous) = previous.filter(|previous| *previous != number) {
                 self.pages.remove_part(previous, &part);
@@ -170,7 +170,7 @@
     /// Removes the parts of a finished job from their pages. Copies that are still recorded there are ignored.
     pub(super) fn remove_from_pages(&mut self, id: &str, job: &Job) {
         for (part, chunk) in &job.chunks {
-            if let Some(home) = chunk.home {
+            if let Some(home) = chunk.page {
                 self.pages.remove_part(home, &PartId::new(id, *part));
             }
         }
--- a/crates/control/src/leader/pages/encoding.rs
+++ b/crates/control/src/leader/pages/encoding.rs
@@ -34,7 +34,7 @@
         let job_compares = draft
             .guarded_jobs()
             .map(|id| {
-                let version = self.jobs.get(id).map_or(0, |job| job.version);
+                let version = self.jobs.get(id).map_or(0, |job| job.record_version);
                 Compare::new(job_key(id), version)
             })
             .collect();
--- a/crates/control/src/leader/pages/packing.rs
+++ b/crates/control/src/leader/pages/packing.rs
@@ -34,7 +34,7 @@
         if drafts.contains_part(&part) {
             return Ok(());
         }
-        let bytes = chunk.bytes(self.pages.is_dense());
+        let bytes = chunk.estimated_bytes(self.pages.is_dense());
         let needs_page = |draft: &PageDraft| self.is_full(draft, bytes);
         if drafts.last().is_none_or(needs_page) {
             self.add_draft(drafts, room)?;
@@ -93,7 +93,7 @@
         let mut draft = PageDraft::new(number);
         for part in page.parts() {
             let chunk = self.part_chunk(part);
-            let bytes = chunk.map_or(0, |chunk| chunk.bytes(self.pages.is_dense()));
+            let bytes = chunk.map_or(0, |chunk| chunk.estimated_bytes(self.pages.is_dense()));
             let is_guarded = chunk.is_some_and(Chunk::has_new_assignments);
             draft.add(part.clone(), bytes, is_guarded);
         }
--- a/crates/control/src/leader/planning.rs
+++ b/crates/control/src/leader/planning.rs
@@ -1,19 +1,19 @@
-//! Planning: the leader's state becomes a snapshot for the scheduler, and the scheduler's decisions become assignments,
-//! reservations and preemptions.
+//! Scheduling rounds: builds a snapshot of the leader's state for the scheduler, and applies the scheduler's decisions
+//! as assignments, reservations and preemptions.
 //!
 //! | module | subject |
 //! | --- | --- |
-//! | `snapshot` | the snapshot of teams and machines, and its assembly |
+//! | `snapshot` | assembly of the snapshot, with its teams and machines |
 //! | `job_snapshots` | the jobs and running tasks of the snapshot |
 //! | `waiting_tasks` | tasks that wait for a machine |
-//! | `numbering` | numbers for names |
+//! | `interner` | indices for names |
 //! | `estimates` | run times, deadlines and latest starts |
-//! | `decisions` | decisions of a round carried out |
+//! | `decisions` | application of a round's decisions |
 
 mod decisions;
 mod estimates;
+mod interner;
 mod job_snapshots;
-mod numbering;
 mod snapshot;
 mod waiting_tasks;
 
@@ -22,15 +22,16 @@
 use super::Leader;
 use crate::effects::Effects;
 use constants::{ROUND_BUDGET_MS, ROUND_EVERY_MS, ROUND_LEAST_MS, ROUND_REST};
-use decisions::{JobQueue, RoundSubjects};
+use decisions::{IndexedNames, JobQueue};
 use sched::{ClusterSnapshot, Outcome, Round};
 use std::collections::BTreeSet;
 
-/// Moments of a round, in microseconds of the stopwatch.
+/// Timestamps of a round, in microseconds of the stopwatch.
 struct RoundTimes {
     started: u64,
     /// When the snapshot was complete.
     snapshot_taken: u64,
+    /// When the scheduler had decided.
     decided: u64,
 }
 
@@ -43,66 +44,68 @@
 }
 
 impl SnapshotSizes {
-    fn of(view: &ClusterSnapshot) -> Self {
-        let waiting = view.jobs.iter().filter(|job| !job.waiting.is_empty());
+    fn of(cluster: &ClusterSnapshot) -> Self {
+        let waiting = cluster.jobs.iter().filter(|job| !job.waiting.is_empty());
         SnapshotSizes {
-            jobs: view.jobs.len(),
+            jobs: cluster.jobs.len(),
             waiting_jobs: waiting.count(),
-            machines: view.machines.len(),
-            running_tasks: view.running.len(),
+            machines: cluster.machines.len(),
+            running_tasks: cluster.running.len(),
         }
     }
 }
 
 impl Leader {
-    /// One round of decisions, carried out.
+    /// Runs one scheduling round and applies its decisions.
     pub(super) fn run_round(&mut self, effects: &mut Effects) {
         let now = effects.now;
         let started = (self.stopwatch)();
-        self.plan_due = false;
+        self.round_due = false;
         self.rounds += 1;
         self.propagate_downstream_demand();
         let snapshot = self.scheduling_snapshot(now);
-        let sizes = SnapshotSizes::of(&snapshot.view);
-        let subjects = RoundSubjects {
-            queues: snapshot.view.jobs.iter().map(JobQueue::of).collect(),
-            jobs: snapshot.jobs,
-            machines: snapshot.machines,
+        let sizes = SnapshotSizes::of(&snapshot.cluster);
+        let names = IndexedNames {
+            job_queues: snapshot.cluster.jobs.iter().map(JobQueue::of).collect(),
+            job_ids: snapshot.job_ids,
+            machine_names: snapshot.machine_names,
         };
         let skipped_jobs = std::mem::take(&mut self.skipped_jobs);
-        let (outcome, times) = self.decide(snapshot.view, &subjects.jobs, &skipped_jobs, started);
+        let (outcome, times) =
+            self.run_scheduler(snapshot.cluster, &names.job_ids, &skipped_jobs, started);
         if !outcome.finished || !skipped_jobs.is_empty() {
-            self.plan_due = true;
+            self.round_due = true;
         }
         if !outcome.finished {
             let blocked = outcome.blocked.iter();
-            self.skipped_jobs = blocked.map(|&job| subjects.jobs[job].clone()).collect();
+            self.skipped_jobs = blocked.map(|&job| names.job_ids[job].clone()).collect();
         }
         log_round(&outcome, &times, &sizes);
-        self.carry_out(outcome.decisions, &subjects, now);
-        // Users and workers are served between rounds, however long those take.
+        self.apply_decisions(outcome.decisions, &names, now);
+        // The pause grows with the length of the round, so that users and workers are served between rounds.
         let took_ms = (self.stopwatch)().saturating_sub(started) / 1000;
-        self.next_round = now.mono + took_ms + ROUND_EVERY_MS.max(took_ms * ROUND_REST);
+        self.next_round_at = now.mono + took_ms + ROUND_EVERY_MS.max(took_ms * ROUND_REST);
         self.has_new_decisions = true;
     }
 
-    /// Decides within the time budget. Jobs for which the last round found no room before it was cut short go last.
-    fn decide(
+    /// Runs the scheduler within the time budget, without the jobs for which the last round found no room before it was
+    /// cut short.
+    fn run_scheduler(
         &self,
-        view: ClusterSnapshot,
-        jobs: &[String],
+        cluster: ClusterSnapshot,
+        job_ids: &[String],
         skipped_jobs: &BTreeSet<String>,
         started: u64,
     ) -> (Outcome, RoundTimes) {
         let policy = self.operator.policy();
         let stopwatch = self.stopwatch;
-        let mut round = Round::new(&policy, view);
-        round.exclude((0..jobs.len()).filter(|&job| skipped_jobs.contains(&jobs[job])));
+        let mut round = Round::new(&policy, cluster);
+        round.exclude((0..job_ids.len()).filter(|&job| skipped_jobs.contains(&job_ids[job])));
         let snapshot_taken = stopwatch();
-        // The budget is for the whole round, but the decisions get their least share in any case.
+        // The budget covers the whole round, but the scheduler gets a minimum of time in any case.
         let budget_end = started + ROUND_BUDGET_MS * 1000;
-        let until = budget_end.max(snapshot_taken + ROUND_LEAST_MS * 1000);
-        let outcome = round.run(|| stopwatch() < until);
+        let deadline = budget_end.max(snapshot_taken + ROUND_LEAST_MS * 1000);
+        let outcome = round.run(|| stopwatch() < deadline);
         let times = RoundTimes {
             started,
             snapshot_taken,
@@ -114,8 +117,8 @@
 
 fn log_round(outcome: &Outcome, times: &RoundTimes, sizes: &SnapshotSizes) {
     let took_us = times.decided - times.started;
-    let is_long = !outcome.finished || took_us > ROUND_LEAST_MS * 1000;
-    let level = match is_long {
+    let is_notable = !outcome.finished || took_us > ROUND_LEAST_MS * 1000;
+    let level = match is_notable {
         true => log::Level::Info,
         false => log::Level::Debug,
     };
--- a/crates/control/src/leader/planning/decisions.rs
+++ b/crates/control/src/leader/planning/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of a round carried out: tasks assigned, tasks preempted, machines reserved.
+//! Application of a round's decisions: assigns tasks, preempts tasks and reserves machines.
 
 use crate::effects::Now;
 use crate::leader::worker_heartbeats::PREEMPTED;
@@ -6,18 +6,20 @@
 use crate::requests::RecordId;
 use sched::{Decision, JobSnapshot};
 
-/// Seconds that a preempted task gets besides the time to save its checkpoint.
+/// Seconds that a preempted task is given in addition to the time for saving its checkpoint.
 const PREEMPTION_EXTRA_GRACE_S: f64 = 1.0;
 
-/// Where a job was queued in a round, for the log.
+/// Queue of a job in a round, for the log.
 #[derive(Clone, Copy)]
 pub(super) struct JobQueue {
+    /// Index of the queue.
     queue: usize,
+    /// Whether the job's size was still being sampled.
     sampling: bool,
 }
 
 impl JobQueue {
-    /// Where the job is queued in this round.
+    /// The queue of a job in its snapshot.
     pub fn of(job: &JobSnapshot) -> Self {
         JobQueue {
             queue: job.queue,
@@ -26,30 +28,31 @@
     }
 }
 
-/// What the numbers in a round's decisions stand for.
-pub(super) struct RoundSubjects {
-    /// Ids of the jobs, by number.
-    pub jobs: Vec<String>,
-    /// Queues of the jobs, by number.
-    pub queues: Vec<JobQueue>,
-    /// Names of the machines, by number.
-    pub machines: Vec<String>,
+/// Names behind the indices in a round's decisions.
+pub(super) struct IndexedNames {
+    /// Ids of the jobs, by index.
+    pub job_ids: Vec<String>,
+    /// Queues of the jobs, by index.
+    pub job_queues: Vec<JobQueue>,
+    /// Names of the machines, by index.
+    pub machine_names: Vec<String>,
 }
 
-/// Tasks of one job to be assigned together.
+/// Tasks of one job that are assigned together.
 struct Placement<'a> {
     job: &'a str,
-    /// Pairs of task and number of the machine.
+    /// Pairs of task number and machine index.
     tasks: Vec<(u32, usize)>,
+    /// Whether the tasks are pilots.
     pilots: bool,
 }
 
 impl Leader {
-    /// Carries out the decisions of a round. Its reservations replace those of the last round.
-    pub(super) fn carry_out(
+    /// Applies the decisions of a round. Its reservations replace those of the previous round.
+    pub(super) fn apply_decisions(
         &mut self,
         decisions: Vec<Decision>,
-        subjects: &RoundSubjects,
+        names: &IndexedNames,
         now: Now,
     ) {
         for job in self.jobs.values_mut() {
@@ -57,7 +60,7 @@
         }
         for decision in decisions {
             match decision {
-                Decision::Reserve { job, machines } => self.reserve(job, &machines, subjects),
+                Decision::Reserve { job, machines } => self.reserve(job, &machines, names),
                 Decision::Place {
                     job,
                     tasks,
@@ -65,24 +68,24 @@
                     entitled,
                 } => {
                     let placement = Placement {
-                        job: &subjects.jobs[job],
+                        job: &names.job_ids[job],
                         tasks,
                         pilots,
                     };
-                    log_placement(&placement, subjects.queues[job], entitled, subjects);
-                    self.assign(&placement, subjects, now);
+                    log_placement(&placement, names.job_queues[job], entitled, names);
+                    self.assign(&placement, names, now);
                 }
                 Decision::Stop { job, task, by } => {
-                    self.preempt(&subjects.jobs[job], task, &subjects.jobs[by], now);
+                    self.preempt(&names.job_ids[job], task, &names.job_ids[by], now);
                 }
             }
         }
     }
 
-    fn reserve(&mut self, job: usize, machines: &[usize], subjects: &RoundSubjects) {
-        if let Some(job) = self.jobs.get_mut(&subjects.jobs[job]) {
-            let names = machines.iter().map(|&m| subjects.machines[m].clone());
-            job.reserved_machines = names.collect();
+    fn reserve(&mut self, job: usize, machines: &[usize], names: &IndexedNames) {
+        if let Some(job) = self.jobs.get_mut(&names.job_ids[job]) {
+            let reserved = machines.iter().map(|&m| names.machine_names[m].clone());
+            job.reserved_machines = reserved.collect();
         }
     }
 
@@ -91,32 +94,32 @@
         let grace_s = job.map_or(0.0, |job| job.spec.save_s + PREEMPTION_EXTRA_GRACE_S);
         log::info!("event=preempt task={id}/{task} by={by}");
         self.stop_task(id, task, grace_s, PREEMPTED, now);
-        self.next_housekeeping = now.mono;
+        self.next_housekeeping_at = now.mono;
     }
 
-    /// Assigns tasks to machines, and queues the record of that: nothing is sent before it is saved.
-    fn assign(&mut self, placement: &Placement, subjects: &RoundSubjects, now: Now) {
+    /// Assigns tasks to machines and queues the job's record. The starts are sent only after it is saved.
+    fn assign(&mut self, placement: &Placement, names: &IndexedNames, now: Now) {
         let id = placement.job;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let highest_attempt = job.highest_attempt();
-        // Missing tasks of a gang that still gathers join its present attempt.
-        let present_attempt = job.assignments().map(|(_, a)| a.attempt).max();
+        // The missing tasks of a gang that is still gathering join its current attempt.
+        let current_attempt = job.assignments().map(|(_, a)| a.attempt).max();
         for &(task, machine) in &placement.tasks {
             let attempt = if job.is_gang() {
-                present_attempt.unwrap_or(highest_attempt + 1)
+                current_attempt.unwrap_or(highest_attempt + 1)
             } else {
                 job.chunk(task).map_or(0, |chunk| chunk.highest_attempt) + 1
             };
-            let name = &subjects.machines[machine];
-            job.put(task, name, attempt, placement.pilots, now.mono);
+            let name = &names.machine_names[machine];
+            job.assign(task, name, attempt, placement.pilots, now.mono);
             if let Some(machine) = self.machines.get_mut(name) {
                 machine.assignments.insert((id.to_string(), task));
             }
         }
         for &(_, machine) in &placement.tasks {
-            self.note_pending_orders(subjects.machines[machine].clone());
+            self.note_pending_orders(names.machine_names[machine].clone());
         }
         self.queue_write(RecordId::Job(id.to_string()));
     }
@@ -126,14 +129,14 @@
     placement: &Placement,
     JobQueue { queue, sampling }: JobQueue,
     entitled: bool,
-    subjects: &RoundSubjects,
+    names: &IndexedNames,
 ) {
     let first = placement.tasks.first();
     log::info!(
         "event=place job={} tasks={} first={:?} pilot={} entitled={entitled} queue={queue} sampling={sampling}",
         placement.job,
         placement.tasks.len(),
-        first.map(|(task, machine)| (*task, &subjects.machines[*machine])),
+        first.map(|(task, machine)| (*task, &names.machine_names[*machine])),
         placement.pilots
     );
 }
--- a/crates/control/src/leader/planning/estimates.rs
+++ b/crates/control/src/leader/planning/estimates.rs
@@ -1,4 +1,4 @@
-//! Estimates: how long tasks and jobs run, and when they must start to meet their objectives.
+//! Estimates of how long tasks and jobs run, and of when they must start to meet their objectives.
 
 use crate::effects::Now;
 use crate::leader::model::Job;
@@ -7,59 +7,60 @@
 use constants::{LONGEST_TASK, MISSED_OBJECTIVE_DELAY_S, START_LAG_S};
 use sched::pilots_of;
 
-/// Seconds that a job is expected to take at most, so that a service's time can be added to a time of day.
-const MOST_EXPECTED_S: f64 = 1e9;
+/// Maximum expected duration of a job in seconds, so that the unbounded duration of a service can be added to a time of
+/// day without overflow.
+const MAX_EXPECTED_S: f64 = 1e9;
 
-/// How long a task of a job is expected to run.
+/// Expected run time of a job's tasks.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::leader) struct TaskEstimate {
-    /// Seconds.
-    pub seconds: f64,
-    /// Whether the job's pilots still run: until they have ended the submitter's own guess serves.
+    /// Expected run time in seconds.
+    pub run_time_s: f64,
+    /// Whether the job's size is still being sampled: until enough pilots have ended, the submitter's guess is used.
     pub sampling: bool,
 }
 
-/// A moment a number of seconds after another, both in milliseconds.
+/// The time that is `seconds` after `start_ms`, in milliseconds.
 fn seconds_after(start_ms: u64, seconds: f64) -> u64 {
     start_ms + (seconds.max(0.0) * 1000.0) as u64
 }
 
 impl Leader {
-    /// The mean run time of a job's completed tasks once enough of them were timed, before that the submitter's guess.
+    /// The mean run time of a job's timed tasks once there are enough of them; until then the submitter's guess.
     pub(in crate::leader) fn task_estimate(&self, job: &Job) -> TaskEstimate {
         let sample = job.run_time_sample();
         if job.is_service() {
             return TaskEstimate {
-                seconds: f64::MAX,
+                run_time_s: f64::MAX,
                 sampling: false,
             };
         }
         let pilots = match job.is_gang() {
             true => 0,
-            false => pilots_of(&self.operator.policy(), job.tasks()),
+            false => pilots_of(&self.operator.policy(), job.task_count()),
         };
         if sample.timed_tasks > 0 && sample.timed_tasks >= pilots {
             return TaskEstimate {
-                seconds: sample.mean_s,
+                run_time_s: sample.mean_s,
                 sampling: false,
             };
         }
         TaskEstimate {
-            seconds: job.spec.guess_s,
+            run_time_s: job.spec.guess_s,
             sampling: pilots > 0,
         }
     }
 
-    /// Milliseconds a job is expected to take from its assignment to its end.
-    pub(in crate::leader) fn expected_ms(&self, job: &Job, task_s: f64) -> u64 {
+    /// Expected time from a job's assignment to its end, in milliseconds.
+    pub(in crate::leader) fn expected_duration_ms(&self, job: &Job, task_s: f64) -> u64 {
         let run_s = match job.is_gang() {
             true => task_s,
             false => task_s * LONGEST_TASK,
         };
-        ((START_LAG_S + run_s).min(MOST_EXPECTED_S) * 1000.0) as u64
+        ((START_LAG_S + run_s).min(MAX_EXPECTED_S) * 1000.0) as u64
     }
 
-    /// The multiple of its own deadline up to which an objective still counts a job, where one says so.
+    /// The multiple of a job's own deadline up to which an objective still counts the job, if an objective sets one.
     pub(in crate::leader) fn deadline_multiple(&self, job: &Job) -> Option<f64> {
         self.objectives_of(job)
             .filter(|objective| objective.kind == "deadline")
@@ -72,22 +73,23 @@
         objectives.filter(|o| o.class.as_deref() == Some(job.spec.class.as_str()))
     }
 
-    /// Latest moment (time of day, ms) at which what is left of a job must start to meet the first of its objectives
-    /// that it still can: its own deadline, that of jobs which depend on it, and those of its class. Those count from
-    /// when it may begin, a deadline from its submission. Nothing if there is no objective at all.
+    /// Latest time (wall clock, milliseconds) at which the rest of a job must start to meet the first of its objectives
+    /// that can still be met: its own deadline, those of the jobs that depend on it, and the objectives of its class.
+    /// Class objectives count from when the job may begin, a deadline counts from its submission. `None` if the job has
+    /// no objective.
     pub(super) fn latest_start(&self, job: &Job, task_s: f64, now: Now) -> Option<u64> {
-        let takes_ms = self.expected_ms(job, task_s);
+        let duration_ms = self.expected_duration_ms(job, task_s);
         let ends = self.deadlines(job).into_iter();
-        let mut starts: Vec<u64> = ends.map(|end| end.saturating_sub(takes_ms)).collect();
-        starts.extend(self.class_starts(job, takes_ms));
+        let mut starts: Vec<u64> = ends.map(|end| end.saturating_sub(duration_ms)).collect();
+        starts.extend(self.class_starts(job, duration_ms));
         starts.sort_unstable();
         let last = (*starts.last()?).max(job.ready_at);
         let next = starts.iter().copied().find(|start| *start >= now.unix);
         Some(next.unwrap_or(seconds_after(last, MISSED_OBJECTIVE_DELAY_S)))
     }
 
-    /// Moments (time of day, ms) by which a job must have ended: its own deadline, the last moment that an objective
-    /// counts for it, and those of jobs that depend on it.
+    /// Times (wall clock, milliseconds) by which a job must have ended: its own deadline, the last moment at which an
+    /// objective still counts the job, and the two that follow from the jobs that depend on it.
     fn deadlines(&self, job: &Job) -> Vec<u64> {
         let mut deadlines = Vec::new();
         if let Some(due_s) = job.spec.due_s {
@@ -95,14 +97,18 @@
             let due = |times: f64| seconds_after(job.submitted_at, due_s * times);
             deadlines.extend(multiples.into_iter().flatten().map(due));
         }
-        if let Some((first, last)) = job.downstream.and_then(|demand| demand.ends) {
+        if let Some((first, last)) = job.downstream_demand.and_then(|demand| demand.deadlines) {
             deadlines.extend([first, last]);
         }
         deadlines
     }
 
-    /// Latest starts (time of day, ms) by the objectives of the job's class.
-    fn class_starts<'a>(&'a self, job: &'a Job, takes_ms: u64) -> impl Iterator<Item = u64> + 'a {
+    /// Latest starts (wall clock, milliseconds) that meet the objectives of the job's class.
+    fn class_starts<'a>(
+        &'a self,
+        job: &'a Job,
+        duration_ms: u64,
+    ) -> impl Iterator<Item = u64> + 'a {
         let start = move |objective: &Objective| match objective.kind.as_str() {
             "wait" => Some(seconds_after(
                 job.ready_at,
@@ -110,7 +116,7 @@
             )),
             "finished" => {
                 let end = seconds_after(job.ready_at, objective.within_s?);
-                Some(end.saturating_sub(takes_ms))
+                Some(end.saturating_sub(duration_ms))
             }
             _ => None,
         };
--- a/crates/control/src/leader/planning/snapshot.rs
+++ b/crates/control/src/leader/planning/snapshot.rs
@@ -1,6 +1,6 @@
-//! The scheduler's snapshot: teams and machines, and its assembly.
+//! Assembly of the scheduler's snapshot, with its teams and machines.
 
-use super::numbering::Numbering;
+use super::interner::Interner;
 use crate::effects::Now;
 use crate::leader::machine_health::MachineHealth;
 use crate::leader::model::{BootTimes, Machine};
@@ -10,21 +10,21 @@
 use std::collections::HashMap;
 use wire::cloud::MachineType;
 
-/// A snapshot, with what its numbers stand for.
+/// A snapshot of the cluster, with the names behind its indices.
 pub(in crate::leader) struct SchedulingSnapshot {
-    /// What the scheduler sees.
-    pub view: ClusterSnapshot,
-    /// Ids of the jobs, by number.
-    pub jobs: Vec<String>,
-    /// Names of the machines, by number.
-    pub machines: Vec<String>,
-    /// Numbers of the machine types.
-    pub kinds: Numbering,
-    /// Numbers of the zones.
-    pub zones: Numbering,
+    /// The cluster as the scheduler sees it.
+    pub cluster: ClusterSnapshot,
+    /// Ids of the jobs, by index.
+    pub job_ids: Vec<String>,
+    /// Names of the machines, by index.
+    pub machine_names: Vec<String>,
+    /// Indices of the machine types.
+    pub machine_types: Interner,
+    /// Indices of the zones.
+    pub zones: Interner,
 }
 
-/// Resources of a machine of the type.
+/// Total resources of a machine of this type.
 pub(in crate::leader) fn type_resources(machine_type: &MachineType) -> Resources {
     Resources {
         cpus: machine_type.cpus,
@@ -33,56 +33,56 @@
     }
 }
 
-/// A snapshot that is being assembled.
+/// A snapshot under construction.
 pub(super) struct SnapshotBuilder<'a> {
-    /// The state that is shown.
+    /// Source of the snapshot.
     pub leader: &'a Leader,
-    /// The moment for which it is shown.
+    /// Time of the snapshot.
     pub now: Now,
     /// The operators' scheduling parameters.
     pub policy: Policy,
-    /// What is complete of the snapshot.
-    pub view: ClusterSnapshot,
-    /// Ids of the jobs, by number.
-    pub jobs: Vec<String>,
-    /// Names of the machines, by number.
-    pub machines: Vec<String>,
-    /// Numbers of the machines.
-    pub machine_numbers: HashMap<&'a str, usize>,
-    /// Numbers of the machine types.
-    pub kinds: Numbering,
-    /// Numbers of the zones.
-    pub zones: Numbering,
-    /// Numbers of the images.
-    pub images: Numbering,
-    /// Numbers of the teams.
-    pub teams: Numbering,
+    /// The part of the snapshot that has been built.
+    pub cluster: ClusterSnapshot,
+    /// Ids of the jobs, by index.
+    pub job_ids: Vec<String>,
+    /// Names of the machines, by index.
+    pub machine_names: Vec<String>,
+    /// Indices of the machines, by name.
+    pub machine_indices: HashMap<&'a str, usize>,
+    /// Indices of the machine types.
+    pub machine_types: Interner,
+    /// Indices of the zones.
+    pub zones: Interner,
+    /// Indices of the images.
+    pub images: Interner,
+    /// Indices of the teams.
+    pub teams: Interner,
 }
 
 impl Leader {
-    /// The present state, for one round of decisions or one plan of the fleet.
+    /// A snapshot of the current state, for one scheduling round or one plan of the fleet.
     pub(in crate::leader) fn scheduling_snapshot(&self, now: Now) -> SchedulingSnapshot {
         let mut builder = SnapshotBuilder::new(self, now);
         builder.add_teams();
         builder.add_machines();
         builder.add_jobs();
         SchedulingSnapshot {
-            view: builder.view,
-            jobs: builder.jobs,
-            machines: builder.machines,
-            kinds: builder.kinds,
+            cluster: builder.cluster,
+            job_ids: builder.job_ids,
+            machine_names: builder.machine_names,
+            machine_types: builder.machine_types,
             zones: builder.zones,
         }
     }
 
-    /// Whether tasks may be sent to a machine.
+    /// Whether new tasks may be placed on a machine.
     fn is_usable(&self, machine: &Machine, health: MachineHealth, now: u64) -> bool {
         let silent_ms = self.silent_ms();
-        machine.known
+        machine.is_described
             && machine.is_reconciled
             && machine.draining.is_none()
             && machine.unreachable_since.is_none()
-            && machine.notice_at.is_none()
+            && machine.reclaim_at.is_none()
             && !machine.failed
             && !machine.returning
             && health != MachineHealth::Faulty
@@ -91,8 +91,8 @@
                 .is_some_and(|at| now <= at + silent_ms)
     }
 
-    /// Seconds until a start can be sent to a machine: at once where a report waits for its answer, else with the
-    /// answer to its next report.
+    /// Seconds until a start can be sent to a machine: 0 if the answer to a heartbeat is deferred, otherwise the time
+    /// until its next heartbeat, whose answer carries the start.
     fn dispatch_delay_s(&self, machine: &Machine, now: u64) -> f64 {
         if machine.has_deferred_answer {
             return 0.0;
@@ -103,14 +103,19 @@
         (report_s - since_ms as f64 / 1000.0).max(0.0)
     }
 
-    /// Seconds until a booting machine is expected to be up; nothing if it is not booting, or takes longer than usual.
+    /// Seconds until a booting machine is expected to be up; `None` if it is not booting or is late.
     fn ready_in_s(&self, machine: &Machine, boot_s: f64, now: u64) -> Option<f64> {
         let age_s = now.saturating_sub(machine.known_since) as f64 / 1000.0;
-        let booting =
-            machine.expected && !machine.is_reconciled && !machine.failed && !machine.returning;
-        let seen_late_s = self.boots.get(&machine.kind).and_then(BootTimes::late_s);
-        let late_s = seen_late_s.unwrap_or(boot_s * BOOT_OVERDUE);
-        let on_time = booting && machine.assignments.is_empty() && age_s < late_s;
+        let booting = machine.confirmed_by_cloud
+            && !machine.is_reconciled
+            && !machine.failed
+            && !machine.returning;
+        let observed_late_after_s = self
+            .boot_times
+            .get(&machine.type_name)
+            .and_then(BootTimes::late_after_s);
+        let late_after_s = observed_late_after_s.unwrap_or(boot_s * BOOT_OVERDUE);
+        let on_time = booting && machine.assignments.is_empty() && age_s < late_after_s;
         on_time.then(|| (boot_s - age_s).max(0.0))
     }
 }
@@ -121,21 +126,21 @@
             leader,
             now,
             policy: leader.operator.policy(),
-            view: ClusterSnapshot::default(),
-            jobs: Vec::new(),
-            machines: Vec::new(),
-            machine_numbers: HashMap::new(),
-            kinds: Numbering::default(),
-            zones: Numbering::default(),
-            images: Numbering::default(),
-            teams: Numbering::default(),
+            cluster: ClusterSnapshot::default(),
+            job_ids: Vec::new(),
+            machine_names: Vec::new(),
+            machine_indices: HashMap::new(),
+            machine_types: Interner::default(),
+            zones: Interner::default(),
+            images: Interner::default(),
+            teams: Interner::default(),
         }
     }
 
     fn add_teams(&mut self) {
         for team in &self.leader.settings.deployment.teams {
-            self.teams.number(&team.name);
-            self.view.teams.push(TeamSnapshot {
+            self.teams.intern(&team.name);
+            self.cluster.teams.push(TeamSnapshot {
                 guarantee: ResourceBounds::from_settings(team.cpus, team.gpus),
                 limit: ResourceBounds::from_settings(team.cpus_max, team.gpus_max),
                 ..TeamSnapshot::default()
@@ -143,23 +148,26 @@
         }
     }
 
-    /// Adds the machines whose type is known.
+    /// Adds the machines whose type, zone and `spot` are known and whose type is offered.
     fn add_machines(&mut self) {
-        let types = self.leader.types.desired.iter().flatten();
+        let types = self.leader.machine_types.desired.iter().flatten();
         let types: HashMap<&str, &MachineType> = types.map(|t| (t.name.as_str(), t)).collect();
         for (name, machine) in &self.leader.machines {
-            let Some(machine_type) = types.get(machine.kind.as_str()).filter(|_| machine.known)
+            let Some(machine_type) = types
+                .get(machine.type_name.as_str())
+                .filter(|_| machine.is_described)
             else {
                 continue;
             };
-            self.machine_numbers.insert(name, self.machines.len());
-            self.machines.push(name.clone());
+            self.machine_indices.insert(name, self.machine_names.len());
+            self.machine_names.push(name.clone());
             let snapshot = self.machine_snapshot(name, machine, machine_type);
-            self.view.machines.push(snapshot);
+            self.cluster.machines.push(snapshot);
         }
     }
 
-    /// A machine as if nothing ran there: running tasks are subtracted with their jobs.
+    /// The snapshot of a machine as if it were empty. The resources of running tasks are subtracted when their jobs are
+    /// added.
     fn machine_snapshot(
         &mut self,
         name: &str,
@@ -170,10 +178,10 @@
         let total = type_resources(machine_type);
         let health = leader.health(name, machine, now);
         let assigned = machine.assignments.len() as u32;
-        let images = machine.images.keys();
+        let images = machine.cached_images.keys();
         MachineSnapshot {
-            kind: self.kinds.number(&machine.kind),
-            zone: self.zones.number(&machine.zone),
+            kind: self.machine_types.intern(&machine.type_name),
+            zone: self.zones.intern(&machine.zone),
             spot: machine.spot,
             free: total,
             free_after_stops: total,
@@ -182,7 +190,7 @@
             free_slots: TASKS_PER_MACHINE.saturating_sub(assigned),
             pilots: 0,
             slow: machine.is_slow() || health == MachineHealth::Suspect,
-            images: images.map(|image| self.images.number(image)).collect(),
+            images: images.map(|image| self.images.intern(image)).collect(),
             busy_s: 0.0,
             dispatch_delay_s: leader.dispatch_delay_s(machine, now),
             ready_in_s: leader.ready_in_s(machine, machine_type.boot_s, now),
--- a/crates/control/src/leader/releases.rs
+++ b/crates/control/src/leader/releases.rs
@@ -1,4 +1,4 @@
-//! Removing assignments of tasks that certainly do not run.
+//! Removal of the assignments of tasks that certainly do not run.
 
 use super::model::Assignment;
 use super::Leader;
@@ -7,7 +7,7 @@
 use wire::workers::TaskPhase;
 
 impl Leader {
-    /// Removes the assignment of a task that certainly does not run there.
+    /// Removes the assignment of a task that certainly does not run on its machine.
     pub(super) fn release_assignment(&mut self, id: &str, task: u32, why: &str, now: Now) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -15,9 +15,9 @@
         let Some(assignment) = job.unassign(task) else {
             return;
         };
-        let has_run = job.started || is_running(&assignment);
-        if job.is_gang() && job.assigned > 0 && has_run && !job.all_done() {
-            job.broken = true;
+        let has_run = job.gang_started || is_running(&assignment);
+        if job.is_gang() && job.assigned_count > 0 && has_run && !job.all_done() {
+            job.gang_broken = true;
         }
         log::info!(
             "event=assignment_released task={id}/{task} try={} machine={} why={why:?}",
@@ -25,7 +25,7 @@
             assignment.machine
         );
         self.remove_from_machine(&assignment.machine, id, task, now);
-        self.plan_due = true;
+        self.round_due = true;
         self.defer_write(RecordId::Job(id.to_string()), now);
     }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Writes a job's final record if the job is over.
+    /// Queues the write of a job's final record if the job is over.
     pub(super) fn queue_write_if_final(&mut self, id: &str) {
         let is_over = self
             .jobs
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -51,7 +51,7 @@
 
     /// Fills a transaction with queued writes; nothing if none of them can be written now.
     fn next_transaction(&mut self) -> Option<PendingTransaction> {
-        let mut builder = TransactionBuilder::new(self.lead_version, &self.limits());
+        let mut builder = TransactionBuilder::new(self.leader_key_version, &self.limits());
         self.add_queued_writes(&mut builder);
         self.add_deferred_writes(&mut builder);
         let drafts = builder.take_drafts();
--- a/crates/control/src/leader/store/conflicts.rs
+++ b/crates/control/src/leader/store/conflicts.rs
@@ -108,7 +108,7 @@
                     refresh_cell(&mut rental.record, item);
                 }
             }
-            RecordId::Types => refresh_cell(&mut self.types, item),
+            RecordId::Types => refresh_cell(&mut self.machine_types, item),
         }
         self.transactions.end_refresh(&record);
         self.set_in_flight(&record, false);
--- a/crates/control/src/leader/store/in_flight.rs
+++ b/crates/control/src/leader/store/in_flight.rs
@@ -7,12 +7,12 @@
     /// Whether a record is being written or read again.
     pub(super) fn is_in_flight(&self, record: &RecordId) -> bool {
         match record {
-            RecordId::Job(id) => self.jobs.get(id).is_some_and(|job| job.in_flight),
+            RecordId::Job(id) => self.jobs.get(id).is_some_and(|job| job.record_in_flight),
             RecordId::Rental(name) => {
                 let rental = self.rentals.get(name);
                 rental.is_some_and(|rental| rental.record.in_flight)
             }
-            RecordId::Types => self.types.in_flight,
+            RecordId::Types => self.machine_types.in_flight,
             RecordId::Page(number) => self.pages.is_in_flight(*number),
         }
     }
@@ -22,7 +22,7 @@
         match record {
             RecordId::Job(id) => {
                 if let Some(job) = self.jobs.get_mut(id) {
-                    job.in_flight = in_flight;
+                    job.record_in_flight = in_flight;
                 }
             }
             RecordId::Rental(name) => {
@@ -30,7 +30,7 @@
                     rental.record.in_flight = in_flight;
                 }
             }
-            RecordId::Types => self.types.in_flight = in_flight,
+            RecordId::Types => self.machine_types.in_flight = in_flight,
             RecordId::Page(number) => self.pages.set_in_flight(*number, in_flight),
         }
     }
--- a/crates/control/src/leader/store/record_write.rs
+++ b/crates/control/src/leader/store/record_write.rs
@@ -72,18 +72,22 @@
     }
 
     fn types_write(&self) -> Option<RecordWrite> {
-        let types = self.types.desired.clone()?;
+        let types = self.machine_types.desired.clone()?;
         // The types recorded last suffice: they are for nodes that start without a leader.
         let bytes = wire::json_bytes(&types);
         if bytes > self.limits().value_bytes {
             log::info!("event=types_too_long bytes={bytes}");
             return None;
         }
-        if !self.types.is_unsaved() {
+        if !self.machine_types.is_unsaved() {
             return None;
         }
         let change = RecordChange::MachineTypes(types);
-        Some(RecordWrite::of_cell(change, &self.types, TYPES_BYTES))
+        Some(RecordWrite::of_cell(
+            change,
+            &self.machine_types,
+            TYPES_BYTES,
+        ))
     }
 
     /// Moves a finished job from the open ones to the final ones.
@@ -94,14 +98,17 @@
             Write::delete(job_key(id)),
             Write::put(final_key(id), &outcome),
         ];
-        writes.extend((1..=job.more).map(|number| Write::delete(job_overflow_key(id, number))));
+        writes.extend(
+            (1..=job.further_record_count)
+                .map(|number| Write::delete(job_overflow_key(id, number))),
+        );
         Some(RecordWrite {
             change: RecordChange::ArchiveJob {
                 id: id.to_string(),
                 outcome,
             },
             compares: vec![
-                Compare::new(job_key(id), job.version),
+                Compare::new(job_key(id), job.record_version),
                 Compare::new(final_key(id), 0),
             ],
             writes,
--- a/crates/control/src/leader/store/saved.rs
+++ b/crates/control/src/leader/store/saved.rs
@@ -52,9 +52,9 @@
     }
 
     fn on_types_saved(&mut self, types: Vec<MachineType>, version: u64) {
-        self.types.version = version;
-        self.types.saved = Some(types);
-        if self.types.is_unsaved() {
+        self.machine_types.version = version;
+        self.machine_types.saved = Some(types);
+        if self.machine_types.is_unsaved() {
             self.queue_write(RecordId::Types);
         }
     }
@@ -75,8 +75,8 @@
         if outcome == Final::Aborted {
             self.forget_failures(id, &job);
         }
-        self.plan_due = true;
-        for dependency in &job.needs {
+        self.round_due = true;
+        for dependency in &job.unmet_dependencies {
             self.remove_dependent(dependency, id);
         }
         self.on_job_archived(id, outcome, effects.now);
@@ -85,7 +85,7 @@
             outcome,
         });
         self.cancellation_notices.remove(id);
-        self.archived.insert(id.to_string(), outcome);
+        self.archived_jobs.insert(id.to_string(), outcome);
     }
 
     fn remove_from_machines(&mut self, id: &str, job: &Job) {
@@ -98,6 +98,6 @@
 
     /// How a job ended that was archived in this term. The watch may still report a change of it.
     pub(in crate::leader) fn archived_outcome(&self, id: &str) -> Option<Final> {
-        self.archived.get(id).copied()
+        self.archived_jobs.get(id).copied()
     }
 }
--- a/crates/control/src/leader/tests.rs
+++ b/crates/control/src/leader/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the leader that need its internals, and what they share.
+//! Tests that need the leader's internals, with their common fixtures.
 
 mod job_watch;
 mod page_writes;
@@ -42,12 +42,12 @@
 "gpus":0,"mem_gb":1,"bundle":"i","pull_gb":1,"same_place":false,"apart":false,"loaners":true,"guess_s":1,
 "stow_every_s":0,"stow_s":0}"#;
 
-/// Effects of a turn at this moment.
+/// Empty effects of a turn at `mono` milliseconds.
 fn at(mono: u64) -> Effects {
     Effects::new(Now { mono, unix: mono })
 }
 
-/// A leader whose records have all been read, and that holds none.
+/// A leader that has finished loading and has no records.
 fn leader() -> Leader {
     let settings: Settings = toml::from_str(SETTINGS).expect("settings");
     let mut leader = Leader::new(&settings, &Operator::default(), || 0, 1, 7, true, at(1).now);
--- a/crates/control/src/leader/tests/job_watch.rs
+++ b/crates/control/src/leader/tests/job_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the open jobs.
+//! Tests of the watch of open jobs.
 
 use super::{at, job_record, leader};
 use crate::effects::Effects;
@@ -6,8 +6,8 @@
 use wire::records::job_key;
 use wire::state::{Item, Page};
 
-/// While all jobs were read again page by page, one on the first page was cancelled before the last page came. A watch
-/// from the last page's revision would never have reported it.
+/// Guards against a missed cancellation: while all jobs are read again page by page, a job on the first page may be
+/// cancelled before the last page arrives. A watch from the last page's revision would never report it.
 #[test]
 fn after_reading_all_jobs_again_the_watch_continues_from_the_first_pages_revision() {
     let mut leader = leader();
@@ -35,17 +35,17 @@
             })
     };
     let mut effects = at(5_000);
-    leader.on_state(
+    leader.handle_state_reply(
         LeaderRequest::Watch(4_000),
         StateReply::TooOld,
         &mut effects,
     );
-    let first = requested(&effects).expect("the first page");
+    let first = requested(&effects).expect("request for the first page");
     let mut effects = at(5_100);
-    leader.on_state(first, page(20, true), &mut effects);
-    let second = requested(&effects).expect("the second page");
+    leader.handle_state_reply(first, page(20, true), &mut effects);
+    let second = requested(&effects).expect("request for the second page");
     let mut effects = at(5_200);
-    leader.on_state(second, page(30, false), &mut effects);
+    leader.handle_state_reply(second, page(30, false), &mut effects);
     let from = effects
         .state_requests
         .iter()
@@ -54,6 +54,6 @@
             _ => None,
         });
     assert_eq!(from, Some(20));
-    // Dated by when the reading began.
+    // The information is as old as the start of the reading.
     assert_eq!(leader.informed_until(), Some(5_000));
 }
--- a/crates/control/src/leader/tests/page_writes.rs
+++ b/crates/control/src/leader/tests/page_writes.rs
@@ -1,4 +1,4 @@
-//! What a round's changes cost the state service, transaction by transaction.
+//! Tests of the transactions that write pages to the state service.
 
 use super::{at, job_record, leader};
 use crate::leader::model::{Chunk, Job};
@@ -9,18 +9,18 @@
 use wire::records::PageRecord;
 use wire::state::{Txn, Write};
 
-/// Adds an open job with assignments for the first so many tasks, none of them recorded yet.
+/// Adds an open job whose first `tasks` tasks are assigned, with no assignment recorded yet.
 fn add_assigned_job(leader: &mut Leader, id: &str, tasks: u32) {
     let mut job = Job::new(job_record(), 5);
-    job.split();
+    job.split_into_dense_chunks();
     for task in 0..tasks {
-        job.put(task, &format!("vm-{task:06}"), 1, false, 0);
+        job.assign(task, &format!("vm-{task:06}"), 1, false, 0);
     }
     leader.jobs.insert(id.to_string(), job);
     leader.queue_write(RecordId::Job(id.to_string()));
 }
 
-/// Flushes, and commits every transaction. Returns the pages they wrote, with their keys.
+/// Flushes and commits all transactions, checking their sizes. Returns the pages that they wrote, with their keys.
 fn flush_and_commit(leader: &mut Leader, now: u64) -> Vec<(String, PageRecord)> {
     let mut pages = Vec::new();
     let mut effects = at(now);
@@ -36,7 +36,7 @@
                 },
             ) = (sent.op, sent.tag)
             else {
-                panic!("only transactions");
+                panic!("not a transaction of the leader");
             };
             assert!(
                 writes.len() <= 4 && compares.len() <= 16,
@@ -51,7 +51,7 @@
                         "{}",
                         wire::json_bytes(&value)
                     );
-                    pages.push((key, value.deserialized().expect("a page")));
+                    pages.push((key, value.deserialized().expect("valid page")));
                 }
             }
             let version = now;
@@ -62,12 +62,12 @@
     pages
 }
 
-/// Jobs that a page holds chunks of.
+/// Jobs whose chunks are on a page.
 fn jobs(page: &PageRecord) -> BTreeSet<&str> {
     page.small.iter().map(|entry| entry.job.as_str()).collect()
 }
 
-/// Half of each page was written again unchanged, and starts waited ten seconds for their records.
+/// Guards against pages of which half is rewritten unchanged, which made starts wait ten seconds for their records.
 #[test]
 fn a_page_with_much_unchanged_content_is_not_written_again_for_something_new() {
     let mut leader = leader();
@@ -81,14 +81,14 @@
         jobs(&second[0].1).into_iter().collect::<Vec<_>>(),
         ["run-2"]
     );
-    // A page with little unchanged content is written again rather than a further page begun.
+    // A page with little unchanged content is rewritten, rather than another page started.
     add_assigned_job(&mut leader, "run-3", 2);
     let third = flush_and_commit(&mut leader, 30);
     assert_eq!(third[0].0, second[0].0);
     assert_eq!(jobs(&third[0].1).len(), 2);
 }
 
-/// The end of a task was written at once, as if somebody waited for its record.
+/// Guards against writing the end of a task at once, although nothing waits for its record.
 #[test]
 fn a_deferred_write_joins_an_urgent_one_and_needs_no_transaction_of_its_own() {
     let mut leader = leader();
@@ -103,14 +103,14 @@
     leader.defer_write(RecordId::Job("run-1".into()), at(20).now);
     assert!(
         flush_and_commit(&mut leader, 20).is_empty(),
-        "nobody waits for it"
+        "nothing waits for the record"
     );
     add_assigned_job(&mut leader, "run-3", 1);
     let pages = flush_and_commit(&mut leader, 30);
     assert_eq!(pages.len(), 1);
     assert!(jobs(&pages[0].1).contains("run-1"));
     assert!(leader.write_queue.has_no_deferred_writes());
-    // If no other write comes, it is written after a while.
+    // Without another write, the deferred one is sent on its own after a delay.
     leader
         .jobs
         .get_mut("run-2")
@@ -124,7 +124,7 @@
     );
 }
 
-/// Of sixteen compares allowed in a transaction, the unchanged jobs of a page used to need more.
+/// Guards against transactions that exceed the limit of sixteen compares because of the unchanged jobs of their pages.
 #[test]
 fn no_transaction_exceeds_the_limits_that_the_state_service_will_have() {
     let mut leader = leader();
@@ -132,17 +132,24 @@
     for n in 0..60 {
         add_assigned_job(&mut leader, &format!("run-{n}"), 1 + n % 50);
         if n % 7 == 0 {
-            // The limits are checked there.
+            // `flush_and_commit` checks the limits.
             written.extend(flush_and_commit(&mut leader, 100 + u64::from(n)));
         }
     }
     written.extend(flush_and_commit(&mut leader, 900));
     let is_unsaved = |job: &Job| job.chunks.values().any(Chunk::is_unsaved);
-    assert!(!leader.jobs.values().any(is_unsaved), "all is recorded");
-    let assignments: usize = leader.jobs.values().map(|job| job.assigned as usize).sum();
+    assert!(
+        !leader.jobs.values().any(is_unsaved),
+        "all chunks are recorded"
+    );
+    let assignments: usize = leader
+        .jobs
+        .values()
+        .map(|job| job.assigned_count as usize)
+        .sum();
     let mut seen: BTreeMap<(String, u32), (u64, usize)> = BTreeMap::new();
     for entry in written.values().flat_map(|page: &PageRecord| &page.small) {
-        let chunk = entry.chunk.read().expect("readable");
+        let chunk = entry.chunk.read().expect("readable chunk");
         let part = seen.entry((entry.job.clone(), entry.part)).or_default();
         *part = (*part).max((entry.seq, chunk.at.len()));
     }
--- a/crates/control/src/leader/timers.rs
+++ b/crates/control/src/leader/timers.rs
@@ -1,12 +1,12 @@
-//! What the leader does at certain times, and when that is.
+//! Time-driven work of the leader, and when it is due.
 
 use super::Leader;
 use crate::effects::Effects;
 use constants::{HOUSEKEEPING_MS, ROUND_AT_LEAST_MS, ROUND_EVERY_MS};
 
 impl Leader {
-    /// Time-driven work. `active` tells whether the leader's lease is valid and the state service answers: without
-    /// that nothing is decided.
+    /// Does the time-driven work that is due. `active` tells whether the leader's lease is valid and the state service
+    /// answers; otherwise no decisions are made.
     pub fn tick(&mut self, active: bool, effects: &mut Effects) {
         if !self.is_ready() {
             return self.request_next_list(effects);
@@ -15,8 +15,8 @@
         self.maintain_pipelines(effects);
         self.run_housekeeping(active, effects);
         let now = effects.now.mono;
-        if active && self.plan_due && now >= self.next_round {
-            self.next_round = now + ROUND_EVERY_MS;
+        if active && self.round_due && now >= self.next_round_at {
+            self.next_round_at = now + ROUND_EVERY_MS;
             self.run_round(effects);
         }
         self.flush(effects);
@@ -24,12 +24,12 @@
 
     fn run_housekeeping(&mut self, active: bool, effects: &mut Effects) {
         let now = effects.now.mono;
-        if now < self.next_housekeeping {
+        if now < self.next_housekeeping_at {
             return;
         }
-        self.next_housekeeping = now + HOUSEKEEPING_MS;
-        // Backoffs and rests end, and what was uncertain becomes certain, without any event.
-        self.plan_due |= now >= self.next_round + ROUND_AT_LEAST_MS;
+        self.next_housekeeping_at = now + HOUSEKEEPING_MS;
+        // Backoffs expire, and uncertain states become certain, without any event, so rounds also run at intervals.
+        self.round_due |= now >= self.next_round_at + ROUND_AT_LEAST_MS;
         self.check_machines_and_gangs(active, effects);
         if active {
             self.maintain_fleet(effects);
@@ -38,19 +38,19 @@
 
     /// When [`Leader::tick`] is to be called next.
     ///
-    /// A round that is due waits for `active`: a leader that was cut off used a whole core by asking for it over and
-    /// over.
+    /// A due round counts only if `active`. Otherwise a leader that is cut off would wake up over and over for a round
+    /// that it cannot run, and use a whole core.
     pub fn next_wake(&self, active: bool) -> u64 {
         if !self.is_ready() {
             return self.loading.wake();
         }
-        let next_round = (active && self.plan_due).then_some(self.next_round);
+        let next_round = (active && self.round_due).then_some(self.next_round_at);
         let next_watch = (!self.job_watch.open).then_some(self.job_watch.retry_at);
         let next_retry = self.transactions.next_retry();
         [next_round, next_watch, next_retry]
             .into_iter()
             .flatten()
-            .chain([self.next_housekeeping, self.pipelines_wake()])
+            .chain([self.next_housekeeping_at, self.pipelines_wake()])
             .min()
             .unwrap_or(u64::MAX)
     }
--- a/crates/control/src/leader/watch.rs
+++ b/crates/control/src/leader/watch.rs
@@ -50,7 +50,7 @@
             let is_expired =
                 !is_delegated && machine.lease_expired(now, expiry_ms, delegated_until);
             if is_expired {
-                machine.ended_incarnation = machine.incarnation;
+                machine.expired_incarnation = machine.incarnation;
             }
             if let Some(why) = reason_to_free(machine, is_expired) {
                 let name = name.clone();
--- a/crates/control/src/leader/watch/direct_orders.rs
+++ b/crates/control/src/leader/watch/direct_orders.rs
@@ -2,7 +2,7 @@
 //! jobs, of gangs, and of preempted tasks.
 
 use crate::effects::{Effects, Output, Target};
-use crate::leader::model::{Assignment, AssignmentStage, Job, Machine, Stop};
+use crate::leader::model::{Assignment, AssignmentStage, Job, Machine, StopRequest};
 use crate::leader::worker_heartbeats::{stop_order, task_name, PREEMPTED};
 use crate::leader::Leader;
 use constants::{DIRECT_STOP_REPEAT_MS, ORDERS_PER_ANSWER, ORDERS_TIMEOUT_MS};
@@ -19,19 +19,19 @@
     task: u32,
     job: &'a Job,
     assignment: &'a Assignment,
-    stop: Stop,
+    stop: StopRequest,
 }
 
 impl StoppingTask<'_> {
     /// Whether the stop should not wait for the next heartbeat.
     fn is_urgent(&self, active: bool, is_heartbeat_overdue: bool, now: u64) -> bool {
-        if self.assignment.stage == AssignmentStage::Ready {
+        if self.assignment.stage == AssignmentStage::Unsent {
             return false;
         }
-        let is_recent = now < self.stop.since + DIRECT_STOP_REPEAT_MS;
-        let is_in_gang = self.job.is_gang() && self.job.tasks() > 1;
+        let is_recent = now < self.stop.requested_at + DIRECT_STOP_REPEAT_MS;
+        let is_in_gang = self.job.is_gang() && self.job.task_count() > 1;
         // Another job waits for the room of a preempted task.
-        let is_preempted = self.stop.why == PREEMPTED;
+        let is_preempted = self.stop.reason == PREEMPTED;
         let is_decided = active && is_recent && (is_in_gang || is_preempted);
         let is_cancelled = self.job.aborted && (is_recent || is_heartbeat_overdue);
         is_decided || is_cancelled
--- a/crates/control/src/leader/watch/draining.rs
+++ b/crates/control/src/leader/watch/draining.rs
@@ -41,7 +41,7 @@
         // It is silent or gone: no worker receives the stops, and the rest of a gang may still be completed.
         return None;
     }
-    match machine.notice_at {
+    match machine.reclaim_at {
         Some(at) => Some(at.saturating_sub(now) as f64 / 1000.0),
         None => machine.draining.map(|_| f64::MAX),
     }
--- a/crates/control/src/leader/watch/gangs.rs
+++ b/crates/control/src/leader/watch/gangs.rs
@@ -29,7 +29,7 @@
 
 /// Seconds that the tasks of a gang get to save if the gang has to stop; `None` if it goes on, or is no gang.
 fn broken_gang_grace_s(job: &Job) -> Option<f64> {
-    if !job.is_gang() || job.assigned == 0 || job.all_done() {
+    if !job.is_gang() || job.assigned_count == 0 || job.all_done() {
         return None;
     }
     let stop = job
@@ -40,7 +40,7 @@
     if job.gathering_timed_out && stop.is_none() && is_fetching(job) {
         return None;
     }
-    if job.broken {
+    if job.gang_broken {
         // After a loss there is nothing left to save.
         return Some(0.0);
     }
--- a/crates/control/src/leader/worker_heartbeats.rs
+++ b/crates/control/src/leader/worker_heartbeats.rs
@@ -44,7 +44,7 @@
         if heartbeat.term > self.term {
             return HeartbeatOutcome::NewerTerm(heartbeat.term);
         }
-        if self.departed.contains_key(&heartbeat.machine) {
+        if self.departed_machines.contains_key(&heartbeat.machine) {
             // Sent before the machine was given back: it changes nothing.
             return self.answer_heartbeat(Vec::new());
         }
@@ -92,14 +92,14 @@
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return;
         };
-        (machine.incarnation, machine.seq) = (heartbeat.incarnation, heartbeat.seq);
+        (machine.incarnation, machine.heartbeat_seq) = (heartbeat.incarnation, heartbeat.seq);
         // A machine that is back from a network cut or a hang counts again in planning.
         let was_silent = machine.last_heartbeat.is_none_or(|at| now > at + silent_ms);
         if !is_watched && was_silent {
-            self.plan_due = true;
+            self.round_due = true;
         }
         machine.last_heartbeat = Some(now);
-        machine.notice_at = heartbeat.notice_s.map(|s| now + milliseconds(s.max(0.0)));
+        machine.reclaim_at = heartbeat.notice_s.map(|s| now + milliseconds(s.max(0.0)));
         machine.fencing_token_seen = true;
         machine.has_deferred_answer = false;
     }
--- a/crates/control/src/leader/worker_heartbeats/deferral.rs
+++ b/crates/control/src/leader/worker_heartbeats/deferral.rs
@@ -99,7 +99,8 @@
         let Some(machine) = machine.filter(|machine| machine.draining.is_none()) else {
             return false;
         };
-        let Some(machine_type) = find_machine_type(&self.types.desired, &machine.kind) else {
+        let Some(machine_type) = find_machine_type(&self.machine_types.desired, &machine.type_name)
+        else {
             return machine.assignments.is_empty();
         };
         let jobs = machine
@@ -124,7 +125,7 @@
         let term = self.term;
         let machine = self.machines.get(&deferred.machine);
         let is_current =
-            |machine: &&Machine| (machine.incarnation, machine.seq) == deferred.numbers;
+            |machine: &&Machine| (machine.incarnation, machine.heartbeat_seq) == deferred.numbers;
         let Some(machine) = machine.filter(is_current) else {
             // The machine is gone, or its worker has given up on this heartbeat.
             let orders = Vec::new();
@@ -145,7 +146,7 @@
         let starts = self.due_starts(machine);
         let is_undecided = deferred
             .freed_in_round
-            .is_some_and(|round| round == self.rounds && self.plan_due);
+            .is_some_and(|round| round == self.rounds && self.round_due);
         if starts.has_unrecorded || is_undecided {
             deferred.decision_deadline.max(deferred.work_deadline)
         } else if machine.draining.is_none() && !starts.has_startable {
@@ -165,7 +166,7 @@
                 continue;
             };
             let assignment = job.assignment(*task);
-            if assignment.is_none_or(|assignment| assignment.stage != AssignmentStage::Ready) {
+            if assignment.is_none_or(|assignment| assignment.stage != AssignmentStage::Unsent) {
                 continue;
             }
             match job.is_startable(*task) {
--- a/crates/control/src/leader/worker_heartbeats/image_cache.rs
+++ b/crates/control/src/leader/worker_heartbeats/image_cache.rs
@@ -19,10 +19,10 @@
         let Some(machine) = self.machines.get_mut(machine) else {
             return;
         };
-        machine.images.insert(image, (now, size_gb));
-        let machine_type = find_machine_type(&self.types.desired, &machine.kind);
+        machine.cached_images.insert(image, (now, size_gb));
+        let machine_type = find_machine_type(&self.machine_types.desired, &machine.type_name);
         let capacity_gb = machine_type.map_or(f64::MAX, |machine_type| machine_type.cache_gb);
-        evict_least_recently_used(&mut machine.images, capacity_gb);
+        evict_least_recently_used(&mut machine.cached_images, capacity_gb);
     }
 }
 
--- a/crates/control/src/leader/worker_heartbeats/orders.rs
+++ b/crates/control/src/leader/worker_heartbeats/orders.rs
@@ -2,7 +2,7 @@
 
 use super::task_names::{parse_task_name, task_name};
 use crate::effects::Now;
-use crate::leader::model::{AssignmentStage, Stop};
+use crate::leader::model::{AssignmentStage, StopRequest};
 use crate::leader::Leader;
 use constants::ORDERS_PER_ANSWER;
 use wire::workers::{Order, TaskPhase, TaskStatus};
@@ -45,7 +45,7 @@
             });
         match (status.phase, assignment) {
             // A worker may forget the result of an ended task only once it is recorded.
-            (TaskPhase::Ended, None) if job.is_none_or(|job| job.is_saved(task)) => {
+            (TaskPhase::Ended, None) if job.is_none_or(|job| job.is_chunk_saved(task)) => {
                 Some(forget_order(status))
             }
             (TaskPhase::Ended, _) => None,
@@ -78,12 +78,12 @@
             return None;
         }
         let assignment = job.assignment_mut(task)?;
-        let latency_ms = now.saturating_sub(assignment.at);
+        let latency_ms = now.saturating_sub(assignment.decided_at);
         self.start_latencies.sent.add(latency_ms);
         log::debug!("event=launch task={id}/{task} machine={name} after_ms={latency_ms}");
         assignment.stage = AssignmentStage::Sent {
             incarnation: machine.incarnation,
-            seq: machine.seq,
+            seq: machine.heartbeat_seq,
         };
         Some(Order::Start {
             task: task_name(id, task),
@@ -124,13 +124,13 @@
         if assignment.stop.is_some() {
             return;
         }
-        if assignment.stage == AssignmentStage::Ready {
+        if assignment.stage == AssignmentStage::Unsent {
             return self.release_assignment(id, task, why, now);
         }
-        assignment.stop = Some(Stop {
-            since: now.mono,
+        assignment.stop = Some(StopRequest {
+            requested_at: now.mono,
             grace_s,
-            why,
+            reason: why,
         });
         let machine = assignment.machine.clone();
         log::info!("event=stop task={id}/{task} machine={machine} grace_s={grace_s} why={why:?}");
@@ -138,7 +138,7 @@
             machine.has_stopping_tasks = true;
         }
         self.note_pending_orders(machine);
-        self.plan_due = true;
+        self.round_due = true;
     }
 }
 
--- a/crates/control/src/leader/worker_heartbeats/orphans.rs
+++ b/crates/control/src/leader/worker_heartbeats/orphans.rs
@@ -47,7 +47,7 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.orphans.remove(&(task, machine.to_string()));
         }
-        self.plan_due = true;
+        self.round_due = true;
         self.queue_write_if_final(id);
     }
 }
--- a/crates/control/src/leader/worker_heartbeats/reachability.rs
+++ b/crates/control/src/leader/worker_heartbeats/reachability.rs
@@ -35,7 +35,7 @@
             machine.unreachable_since = None;
             machine.undelivered_starts = 0;
             machine.early_expiries = 0;
-            self.plan_due = true;
+            self.round_due = true;
             log::info!("event=machine_reachable machine={}", heartbeat.machine);
         }
     }
--- a/crates/control/src/leader/worker_heartbeats/reconciliation.rs
+++ b/crates/control/src/leader/worker_heartbeats/reconciliation.rs
@@ -48,14 +48,17 @@
             return;
         }
         machine.is_reconciled = true;
-        self.plan_due = true;
+        self.round_due = true;
         let boot_s = now.saturating_sub(machine.known_since) as f64 / 1000.0;
-        let machine_type = find_machine_type(&self.types.desired, &machine.kind);
+        let machine_type = find_machine_type(&self.machine_types.desired, &machine.type_name);
         // Boots that take several times as long teach nothing about the usual ones.
         let is_usual =
             machine_type.is_some_and(|machine_type| boot_s < machine_type.boot_s * BOOT_OVERDUE);
-        if machine.rented && is_usual {
-            let boots = self.boots.entry(machine.kind.clone()).or_default();
+        if machine.rented_by_this_leader && is_usual {
+            let boots = self
+                .boot_times
+                .entry(machine.type_name.clone())
+                .or_default();
             boots.add(boot_s);
         }
         log::info!(
@@ -72,14 +75,14 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let Some(notice_at) = machine.notice_at else {
+        let Some(notice_at) = machine.reclaim_at else {
             return;
         };
         if machine.draining.is_none() {
             machine.draining = Some("notice");
             let left_ms = notice_at.saturating_sub(now);
             log::info!("event=preemption_notice machine={name} left_ms={left_ms}");
-            self.plan_due = true;
+            self.round_due = true;
         }
     }
 
--- a/crates/control/src/leader/worker_heartbeats/task_state.rs
+++ b/crates/control/src/leader/worker_heartbeats/task_state.rs
@@ -53,7 +53,7 @@
         let update = update_assignment(assignment, phase, now.mono);
         if update.is_new_phase {
             log_phase(id, task, assignment);
-            self.plan_due = true;
+            self.round_due = true;
         }
         if update.is_running {
             note_job_running(job, id, update.assigned_at, now);
@@ -91,7 +91,7 @@
             return;
         };
         match stage {
-            AssignmentStage::Ready => {}
+            AssignmentStage::Unsent => {}
             AssignmentStage::Sent { incarnation, seq } => {
                 // One heartbeat is in flight at a time, so a later one was written after the answer with the start was
                 // executed or dropped.
@@ -99,10 +99,10 @@
                     self.on_start_not_taken(id, task, incarnation, heartbeat, now);
                 }
             }
-            AssignmentStage::Recorded => {
+            AssignmentStage::Loaded => {
                 self.release_assignment(id, task, "recorded but not on its machine", now)
             }
-            AssignmentStage::Seen => {
+            AssignmentStage::Reported => {
                 self.release_assignment(id, task, "no longer on its machine", now)
             }
         }
@@ -125,7 +125,7 @@
         };
         let is_same_incarnation = incarnation == heartbeat.incarnation;
         if is_same_incarnation && assignment.stop.is_none() && !is_unreachable {
-            assignment.stage = AssignmentStage::Ready;
+            assignment.stage = AssignmentStage::Unsent;
         } else {
             self.release_assignment(id, task, "the start never arrived", now);
         }
@@ -176,7 +176,7 @@
         };
         let ran_s = ended.ran_s(now);
         let sample = job.run_time_sample();
-        job.failures = 0;
+        job.consecutive_failures = 0;
         job.failed_under_earlier_leaders = false;
         job.failed_machines.clear();
         complete_task(job, ended.task, ran_s);
@@ -194,8 +194,8 @@
         let Some(job) = self.jobs.get_mut(ended.job) else {
             return;
         };
-        job.failures += 1;
-        job.pause_until = now + job.error_pause_ms();
+        job.consecutive_failures += 1;
+        job.backoff_until = now + job.failure_backoff_ms();
         job.failed_machines.insert(ended.machine.to_string());
         // A job that fails on one machine after the other is no sign that a machine is faulty.
         if job.seems_to_fail_everywhere() {
@@ -208,7 +208,7 @@
 
     fn on_start_refused(&mut self, ended: &EndedTask, now: u64) {
         if let Some(job) = self.jobs.get_mut(ended.job) {
-            job.pause_until = job.pause_until.max(now + REFUSED_START_PAUSE_MS);
+            job.backoff_until = job.backoff_until.max(now + REFUSED_START_PAUSE_MS);
         }
     }
 
@@ -217,26 +217,26 @@
         let Some(job) = self.jobs.get_mut(ended.job).filter(|job| job.is_gang()) else {
             return;
         };
-        job.gathering_timed_out |= ended.cause == EndCause::Alone && !job.started;
-        job.broken |= job.started || ended.cause != EndCause::NoRoom;
+        job.gathering_timed_out |= ended.cause == EndCause::Alone && !job.gang_started;
+        job.gang_broken |= job.gang_started || ended.cause != EndCause::NoRoom;
     }
 }
 
 /// Updates an assignment by the phase that a heartbeat reports.
 fn update_assignment(assignment: &mut Assignment, phase: TaskPhase, now: u64) -> AssignmentUpdate {
     // A start can be timed only if it was observed from its beginning.
-    let is_timed = assignment.stage != AssignmentStage::Recorded;
+    let is_timed = assignment.stage != AssignmentStage::Loaded;
     let is_start_delivered = matches!(assignment.stage, AssignmentStage::Sent { .. });
     let is_new_phase = assignment.phase != Some(phase);
     let is_running = matches!(phase, TaskPhase::Running | TaskPhase::Saving);
-    assignment.stage = AssignmentStage::Seen;
+    assignment.stage = AssignmentStage::Reported;
     assignment.phase = Some(phase);
     if is_running && assignment.running_since.is_none() && is_timed {
         assignment.running_since = Some(now);
     }
     AssignmentUpdate {
         machine: assignment.machine.clone(),
-        assigned_at: assignment.at,
+        assigned_at: assignment.decided_at,
         is_start_delivered,
         is_new_phase,
         is_running,
@@ -257,11 +257,11 @@
 
 /// Notes that a task of a job is running, and logs the first one.
 fn note_job_running(job: &mut Job, id: &str, assigned_at: u64, now: Now) {
-    job.started = true;
-    if job.first_run.is_some() {
+    job.gang_started = true;
+    if job.first_run_at.is_some() {
         return;
     }
-    job.first_run = Some(now.mono);
+    job.first_run_at = Some(now.mono);
     log::info!(
         "event=job_started job={id} class={} tasks={} waited_s={:.1} placed_ago_s={:.1}",
         job.spec.class,
@@ -277,7 +277,7 @@
         job.complete(task, ran_s);
         return;
     }
-    for member in 0..job.tasks() {
+    for member in 0..job.task_count() {
         job.complete(member, ran_s.filter(|_| member == task));
     }
 }
--- a/crates/control/src/node/dispatch.rs
+++ b/crates/control/src/node/dispatch.rs
@@ -102,7 +102,7 @@
         if let Some((tag, op, reply)) = self.cloud.on_reply(effects.now.mono, call, result) {
             let CloudTag::Leader { term, request } = tag;
             if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) {
-                leader.on_cloud(request, op, reply, effects);
+                leader.handle_cloud_reply(request, op, reply, effects);
             }
         }
     }
@@ -130,7 +130,7 @@
             StateTag::Types => self.machine_types.on_reply(reply, effects),
             StateTag::Leader { term, request } => {
                 if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) {
-                    leader.on_state(request, reply, effects);
+                    leader.handle_state_reply(request, reply, effects);
                 }
             }
         }
--- a/crates/control/src/node/events.rs
+++ b/crates/control/src/node/events.rs
@@ -68,7 +68,7 @@
         let least = self.settings.deployment.state.least();
         self.state.set_rates(least.rps, least.write_rps);
         if let Some(leader) = self.leader.as_mut() {
-            leader.upgraded(effects);
+            leader.on_upgrade_complete(effects);
         }
     }
 }
