--- a/crates/control/src/leader/consolidation/demand.rs
+++ b/crates/control/src/leader/consolidation/demand.rs
@@ -21,8 +21,9 @@
     /// Counts a machine towards this demand if it is of this offer and the demand is not met yet; returns whether it
     /// was counted. Without the count, a few waiting tasks would keep all the machines that they could use.
     pub fn claim(&mut self, machine: &Machine) -> bool {
-        let matches_offer =
-            self.kind == machine.kind && self.zone == machine.zone && self.spot == machine.spot;
+        let matches_offer = self.kind == machine.type_name
+            && self.zone == machine.zone
+            && self.spot == machine.spot;
         let is_claimed = matches_offer && self.count > 0;
         self.count -= usize::from(is_claimed);
         is_claimed
@@ -39,7 +40,7 @@
             |job: &&Job| is_waiting(job, now) && !self.exceeds_team_limit(job, &usage);
         let jobs: Vec<&Job> = self.jobs.values().filter(is_candidate).collect();
         let mut demand = Vec::new();
-        for machine_type in self.types.desired.iter().flatten() {
+        for machine_type in self.machine_types.desired.iter().flatten() {
             for zone in &machine_type.zones {
                 for spot in [false, true] {
                     let suitable = jobs
@@ -64,7 +65,7 @@
     fn usage_by_team(&self) -> HashMap<&str, Resources> {
         let mut usage: HashMap<&str, Resources> = HashMap::new();
         for job in self.jobs.values() {
-            let assigned = job.task_resources().times(f64::from(job.assigned));
+            let assigned = job.task_resources().times(f64::from(job.assigned_count));
             usage.entry(&job.spec.team).or_default().add(&assigned);
         }
         usage
@@ -93,8 +94,8 @@
 fn is_waiting(job: &Job, now: Now) -> bool {
     !job.aborted
         && !job.awaits_dependencies()
-        && u64::from(job.assigned) + job.done < job.spec.tasks
-        && job.failures == 0
+        && u64::from(job.assigned_count) + job.done_count < job.spec.tasks
+        && job.consecutive_failures == 0
         && !job.is_backed_off(now.unix)
 }
 
@@ -114,7 +115,7 @@
 
 /// How many empty machines of the type the waiting tasks of a job need.
 fn machines_needed(job: &Job, machine_type: &MachineType) -> usize {
-    let waiting = (job.spec.tasks - job.done) as u32 - job.assigned;
+    let waiting = (job.spec.tasks - job.done_count) as u32 - job.assigned_count;
     let per_machine = type_resources(machine_type).capacity_for(&job.task_resources(), waiting);
     waiting.div_ceil(per_machine.max(1)) as usize
 }
--- a/crates/control/src/leader/dependencies/demand.rs
+++ b/crates/control/src/leader/dependencies/demand.rs
@@ -72,12 +72,12 @@
         priority: Priority,
     ) {
         let none = DownstreamDemand {
-            ends: None,
+            deadlines: None,
             priority: Priority::Low,
         };
         let demand = self.demands.entry(dependency.to_string()).or_insert(none);
         demand.priority = demand.priority.max(priority);
-        demand.ends = earliest(demand.ends, start_deadlines);
+        demand.deadlines = earliest(demand.deadlines, start_deadlines);
         self.finish_dependent(dependency);
     }
 
@@ -103,7 +103,7 @@
         }
         let mut demands = self.downstream_demands();
         for (id, job) in &mut self.jobs {
-            job.downstream = demands.remove(id);
+            job.downstream_demand = demands.remove(id);
         }
     }
 
@@ -116,9 +116,9 @@
             let demand = propagation.demands.get(id).copied();
             let end_deadlines = earliest(
                 self.own_deadlines(job),
-                demand.and_then(|demand| demand.ends),
+                demand.and_then(|demand| demand.deadlines),
             );
-            let duration_ms = self.expected_ms(job, self.task_estimate(job).seconds);
+            let duration_ms = self.expected_duration_ms(job, self.task_estimate(job).run_time_s);
             let start_deadlines = end_deadlines.map(|(first, last)| {
                 (
                     first.saturating_sub(duration_ms),
@@ -127,7 +127,7 @@
             });
             let own_priority = job.spec.priority;
             let priority = demand.map_or(own_priority, |demand| demand.priority.max(own_priority));
-            for dependency in &job.needs {
+            for dependency in &job.unmet_dependencies {
                 propagation.merge_demand(dependency, start_deadlines, priority);
             }
         }
--- a/crates/control/src/leader/dependencies/lookups.rs
+++ b/crates/control/src/leader/dependencies/lookups.rs
@@ -86,7 +86,7 @@
         };
         match end {
             Some(end) => {
-                self.archived.insert(id.to_string(), end);
+                self.archived_jobs.insert(id.to_string(), end);
                 self.on_job_archived(id, end, effects.now);
             }
             // Either the job was just created and the watch has not reported it yet, or the state service does not
@@ -123,7 +123,7 @@
         effects: &mut Effects,
     ) {
         let partial_jobs = &mut self.dependencies.lookups.partial_jobs;
-        if self.jobs.contains_key(&id) || self.archived.get(&id).is_some() {
+        if self.jobs.contains_key(&id) || self.archived_jobs.get(&id).is_some() {
             partial_jobs.remove(&id);
             return;
         }
--- a/crates/control/src/leader/fleet/renting.rs
+++ b/crates/control/src/leader/fleet/renting.rs
@@ -103,15 +103,15 @@
     /// Plans new rentals and queues the writes of their records.
     pub(super) fn rent_machines(&mut self, effects: &mut Effects) {
         let now = effects.now;
-        let Some(types) = self.types.desired.clone() else {
+        let Some(types) = self.machine_types.desired.clone() else {
             return;
         };
         // A new leader reads the list before it rents. Machines rented before its term may still be missing from
         // the list.
-        if !self.listed_once || now.mono < self.next_rent {
+        if !self.has_complete_listing || now.mono < self.next_rental_at {
             return;
         }
-        self.next_rent = now.mono + HOUSEKEEPING_MS;
+        self.next_rental_at = now.mono + HOUSEKEEPING_MS;
         let mut snapshot = self.scheduling_snapshot(now);
         let offers = self.offers(&types, &mut snapshot, now);
         let expected = self.expected_machines(&offers, now);
@@ -122,7 +122,7 @@
             minimizes_cost: self.settings.minimizes_cost(),
             horizon_s: shortest_boot_s * RENT_HORIZON,
         };
-        let mut requests = VecDeque::from(plan_fleet(&snapshot.view, &fleet));
+        let mut requests = VecDeque::from(plan_fleet(&snapshot.cluster, &fleet));
         requests.retain(|request| !expected.requested[request.offer]);
         self.create_rentals(requests, &offers.keys, now);
     }
@@ -136,8 +136,8 @@
                     let key = OfferKey::new(&machine_type.name, zone, spot);
                     let backoff = self.offer_backoff.get(&key);
                     offers.push(Offer {
-                        machine_type: snapshot.kinds.number(&machine_type.name),
-                        zone: snapshot.zones.number(zone),
+                        machine_type: snapshot.machine_types.intern(&machine_type.name),
+                        zone: snapshot.zones.intern(zone),
                         spot,
                         total: type_resources(machine_type),
                         price_per_hour: match spot {
@@ -161,7 +161,7 @@
         let heartbeat_timeout_ms = self.heartbeat_timeout_ms();
         for machine in self.machines.values() {
             if is_expected(machine, heartbeat_timeout_ms, now.mono) {
-                let key = OfferKey::new(&machine.kind, &machine.zone, machine.spot);
+                let key = OfferKey::new(&machine.type_name, &machine.zone, machine.spot);
                 if let Some(index) = offers.index_of(&key) {
                     counts[index] += 1;
                 }
@@ -215,9 +215,9 @@
             zone,
             spot,
         } = offer.clone();
-        self.next_request += 1;
+        self.last_rental_number += 1;
         // The term makes the name unique across all leaders.
-        let name = format!("t{}-{}", self.term, self.next_request);
+        let name = format!("t{}-{}", self.term, self.last_rental_number);
         log::info!("event=rent request={name} kind={kind} zone={zone} spot={spot} count={count}");
         let mut record = RecordCell::new(None, 0);
         record.desired = Some(RentalRecord {
@@ -241,11 +241,11 @@
 /// Whether a machine without tasks is expected to be up soon: it is booting, or was up and is silent. A silent machine
 /// is most likely cut off from the network or hangs, and recovers before a new machine would be up.
 fn is_expected(machine: &Machine, heartbeat_timeout_ms: u64, now: u64) -> bool {
-    let is_booting = machine.expected && !machine.is_reconciled;
+    let is_booting = machine.confirmed_by_cloud && !machine.is_reconciled;
     let is_silent = machine.is_reconciled
         && machine.assignments.is_empty()
         && machine
             .last_heartbeat
             .is_some_and(|at| now > at + heartbeat_timeout_ms);
-    machine.known && (is_booting || is_silent) && !machine.failed && !machine.returning
+    machine.is_described && (is_booting || is_silent) && !machine.failed && !machine.returning
 }
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -162,7 +162,7 @@
         // over and can be released, and waiting longer gains nothing.
         let is_notice_expired =
             |at: u64| now > at + NOTICE_OVER_MS && now > silence.since + NOTICE_OVER_MS;
-        if machine.notice_at.is_some_and(is_notice_expired) {
+        if machine.reclaim_at.is_some_and(is_notice_expired) {
             return Some(ReturnReason::NoticeExpired);
         }
         if machine.last_heartbeat.is_none() {
@@ -191,7 +191,7 @@
         timeouts: &ReturnTimeouts,
         now: u64,
     ) -> Option<ReturnReason> {
-        if machine.notice_at.is_some() {
+        if machine.reclaim_at.is_some() {
             return Some(ReturnReason::EmptyUnderNotice);
         }
         if machine.draining == Some(CONSOLIDATED) {
@@ -210,8 +210,8 @@
         if !machine.assignments.is_empty() {
             return timeouts.occupied_silence_timeout_ms();
         }
-        let mut types = self.types.desired.iter().flatten();
-        let machine_type = types.find(|t| t.name == machine.kind);
+        let mut types = self.machine_types.desired.iter().flatten();
+        let machine_type = types.find(|t| t.name == machine.type_name);
         let boot_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |t| t.boot_s);
         ((boot_s * BOOT_PATIENCE + BOOT_PATIENCE_S) * 1000.0) as u64
     }
@@ -252,7 +252,7 @@
         let why = reason.as_str();
         log::info!(
             "event=return_machine machine={name} kind={} spot={} places={} why={why:?}",
-            machine.kind,
+            machine.type_name,
             machine.spot,
             machine.assignments.len()
         );
@@ -265,11 +265,11 @@
         let mut names = Vec::new();
         for (name, machine) in &mut self.machines {
             let is_due = machine
-                .return_sent
+                .return_requested_at
                 .is_none_or(|at| now > at + RETURN_RESEND_MS);
-            let is_allowed = names.len() < RETURN_MAX && !self.departed.contains_key(name);
+            let is_allowed = names.len() < RETURN_MAX && !self.departed_machines.contains_key(name);
             if machine.returning && is_due && is_allowed {
-                machine.return_sent = Some(now);
+                machine.return_requested_at = Some(now);
                 names.push(name.clone());
             }
         }
@@ -282,10 +282,10 @@
     /// Handles the cloud's confirmation that a machine is gone: nothing runs on it any more.
     pub(super) fn on_machine_removed(&mut self, name: &str, now: Now) {
         self.release_machine(name, "its machine was returned", now);
-        self.departed.insert(name.to_string(), now.mono);
+        self.departed_machines.insert(name.to_string(), now.mono);
         log::info!("event=machine_gone machine={name}");
         self.machines.remove(name);
-        self.plan_due = true;
+        self.round_due = true;
     }
 
     /// Schedules failed return requests to be sent again after [`RETURN_RETRY_MS`].
@@ -293,7 +293,7 @@
         for name in names {
             if let Some(machine) = self.machines.get_mut(name) {
                 let sent_at = now.mono.saturating_sub(RETURN_RESEND_MS - RETURN_RETRY_MS);
-                machine.return_sent = Some(sent_at);
+                machine.return_requested_at = Some(sent_at);
             }
         }
     }
--- a/crates/control/src/leader/pages.rs
+++ b/crates/control/src/leader/pages.rs
@@ -72,7 +72,7 @@
 
     fn split_all_jobs(&mut self) {
         for job in self.jobs.values_mut() {
-            job.split();
+            job.split_into_dense_chunks();
         }
     }
 
@@ -81,8 +81,8 @@
         self.pages.clear_chunks();
         for (id, job) in &self.jobs {
             for (number, chunk) in &job.chunks {
-                if let Some(page) = chunk.home {
-                    let bytes = chunk.bytes(job.is_dense());
+                if let Some(page) = chunk.page {
+                    let bytes = chunk.estimated_bytes(job.is_dense());
                     self.pages.add_chunk(page, ChunkId::new(id, *number), bytes);
                 }
             }
@@ -107,7 +107,7 @@
         }
         self.apply_dense_copies(dense);
         for job in self.jobs.values_mut() {
-            job.count_chunks();
+            job.recount_tasks();
             job.failed_under_earlier_leaders = job.has_failed_under_earlier_leaders();
         }
         self.rebuild_page_contents();
@@ -151,16 +151,16 @@
         };
         let is_dense = job.is_dense();
         // A wide copy may have been written before the job's chunks were split.
-        for number in job.parts_in(copy.id.number, copy.is_wide) {
+        for number in job.covered_chunks(copy.id.number, copy.is_wide) {
             let Some(chunk) = job.chunks.get_mut(&number) else {
                 continue;
             };
-            if copy.seq < chunk.saved {
+            if copy.seq < chunk.saved_seq {
                 continue;
             }
-            chunk.saved = copy.seq;
-            let bytes = chunk.bytes(is_dense);
-            let previous_page = chunk.home.replace(page);
+            chunk.saved_seq = copy.seq;
+            let bytes = chunk.estimated_bytes(is_dense);
+            let previous_page = chunk.page.replace(page);
             let id = ChunkId::new(&copy.id.job, number);
             if let Some(previous_page) = previous_page.filter(|previous| *previous != page) {
                 self.pages.remove_chunk(previous_page, &id);
@@ -172,7 +172,7 @@
     /// Removes the chunks of a finished job from their pages. Copies that are still recorded there are ignored.
     pub(super) fn remove_from_pages(&mut self, id: &str, job: &Job) {
         for (number, chunk) in &job.chunks {
-            if let Some(page) = chunk.home {
+            if let Some(page) = chunk.page {
                 self.pages.remove_chunk(page, &ChunkId::new(id, *number));
             }
         }
--- a/crates/control/src/leader/store/record_write.rs
+++ b/crates/control/src/leader/store/record_write.rs
@@ -72,7 +72,7 @@
     }
 
     fn types_write(&self) -> Option<RecordWrite> {
-        let types = self.types.desired.clone()?;
+        let types = self.machine_types.desired.clone()?;
         // A list that is too long is not written: the list recorded last suffices for nodes that start without a
         // leader.
         let bytes = wire::json_bytes(&types);
@@ -80,11 +80,15 @@
             log::info!("event=types_too_long bytes={bytes}");
             return None;
         }
-        if !self.types.is_unsaved() {
+        if !self.machine_types.is_unsaved() {
             return None;
         }
         let change = RecordChange::MachineTypes(types);
-        Some(RecordWrite::for_cell(change, &self.types, TYPES_BYTES))
+        Some(RecordWrite::for_cell(
+            change,
+            &self.machine_types,
+            TYPES_BYTES,
+        ))
     }
 
     /// Deletes the open records of a finished job and creates its final record.
@@ -95,14 +99,17 @@
             Write::delete(job_key(id)),
             Write::put(final_key(id), &outcome),
         ];
-        writes.extend((1..=job.more).map(|number| Write::delete(job_overflow_key(id, number))));
+        writes.extend(
+            (1..=job.further_record_count)
+                .map(|number| Write::delete(job_overflow_key(id, number))),
+        );
         Some(RecordWrite {
             change: RecordChange::ArchiveJob {
                 id: id.to_string(),
                 outcome,
             },
             compares: vec![
-                Compare::new(job_key(id), job.version),
+                Compare::new(job_key(id), job.record_version),
                 Compare::new(final_key(id), 0),
             ],
             writes,
--- a/crates/control/src/leader/watch/draining.rs
+++ b/crates/control/src/leader/watch/draining.rs
@@ -42,7 +42,7 @@
         // complete.
         return None;
     }
-    match machine.notice_at {
+    match machine.reclaim_at {
         Some(at) => Some(at.saturating_sub(now) as f64 / 1000.0),
         None => machine.draining.map(|_| f64::MAX),
     }
--- a/crates/control/src/leader/watch/gangs.rs
+++ b/crates/control/src/leader/watch/gangs.rs
@@ -30,7 +30,7 @@
 /// Seconds that the tasks of a gang have to save their progress if the gang must stop. `None` if the gang continues, or
 /// if the job is not a gang.
 fn broken_gang_grace_s(job: &Job) -> Option<f64> {
-    if !job.is_gang() || job.assigned == 0 || job.all_done() {
+    if !job.is_gang() || job.assigned_count == 0 || job.all_done() {
         return None;
     }
     let stop = job
@@ -41,7 +41,7 @@
     if job.gathering_timed_out && stop.is_none() && is_fetching(job) {
         return None;
     }
-    if job.broken {
+    if job.gang_broken {
         // After the loss of a task there is no progress left to save.
         return Some(0.0);
     }
