--- a/crates/constants/src/lib.rs
+++ b/crates/constants/src/lib.rs
@@ -1,7 +1,7 @@
-//! All tunable numbers of vetchmount, each with unit and reason, in one module per subject.
+//! All tunable constants of vetchmount, each with its unit and reason, in one module per subject.
 //!
-//! Nothing here describes a particular deployment: what depends on one is derived from its settings.
-//! Every constant is re-exported here, so that callers name it without its module.
+//! No constant describes a particular deployment: values that depend on one are derived from its
+//! settings. Every constant is re-exported here, so that callers name it without its module.
 
 mod cloud;
 mod election;
--- a/crates/constants/src/messages.rs
+++ b/crates/constants/src/messages.rs
@@ -1,13 +1,14 @@
-//! Sizes of messages and the version of the peer protocol.
+//! Sizes of messages, and the version of the peer protocol.
 
-/// Bytes. The protocol's limit for a request body, and for what we answer users and workers.
+/// Bytes of a request body, and of an answer to users and workers, at most (the protocol's limit).
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Bytes. A request line with headers; ours and our callers' stay far below.
+/// Bytes of a request line with its headers at most. Requests of this program and of its callers
+/// stay far below.
 pub const MAX_HEADER_BYTES: usize = 8 * 1024;
-/// Bytes. Largest reply read from the state service or the cloud; watches have no size limit of
+/// Bytes of a reply from the state service or the cloud at most. Watches have no size limit of
 /// their own.
 pub const MAX_REPLY_BYTES: usize = 4 * 1024 * 1024;
-/// Bytes. Largest frame between controllers: a forwarded request with its envelope.
+/// Bytes of a frame between controllers at most: a forwarded request with its envelope.
 pub const MAX_FRAME_BYTES: usize = MAX_BODY_BYTES + 4096;
 /// Version of the frames between controllers. Frames of a peer with another version are ignored.
 pub const PEER_VERSION: u8 = 2;
--- a/crates/constants/src/rollout.rs
+++ b/crates/constants/src/rollout.rs
@@ -2,24 +2,24 @@
 
 /// Milliseconds between reads of the version that the other nodes run, until all are known to run
 /// this one.
-pub const GENERATION_POLL_MS: u64 = 1_500;
+pub const GENERATION_POLL_INTERVAL_MS: u64 = 1_500;
 /// Milliseconds between reads of the cluster's feature level while no upgrade is under way.
-pub const LEVEL_POLL_MS: u64 = 5_000;
-/// Milliseconds of heartbeats from a new process after which it must be a build that announces no
-/// feature levels. A process that announces them does so within its first second, unless the state
-/// service refuses it.
+pub const LEVEL_POLL_INTERVAL_MS: u64 = 5_000;
+/// Milliseconds of heartbeats from a new process without an announcement after which it counts as
+/// a build that announces no feature levels. A process that announces them does so within its
+/// first second, unless the state service refuses it.
 pub const ANNOUNCE_GRACE_MS: u64 = 10_000;
 /// Milliseconds of the window in which restarts of a controller are counted.
 pub const RESTART_WINDOW_MS: u64 = 120_000;
 /// Restarts of a controller within [`RESTART_WINDOW_MS`] beyond which an upgrade is paused. An
 /// upgrade, its rollback and the next upgrade are three.
-pub const RESTARTS_IN_WINDOW: usize = 3;
-/// Milliseconds without a restart after which the cause that paused an upgrade counts as over.
-pub const CALM_MS: u64 = 30_000;
+pub const RESTARTS_PER_WINDOW_MAX: usize = 3;
+/// Milliseconds without a restart after which the cause that paused an upgrade counts as resolved.
+pub const RESTART_FREE_RESUME_MS: u64 = 30_000;
 /// Milliseconds between two log lines about an upgrade that waits.
-pub const ROLLOUT_LOG_MS: u64 = 60_000;
+pub const ROLLOUT_LOG_INTERVAL_MS: u64 = 60_000;
 /// Seconds for which a level must be active without trouble until it is finalized, unless
 /// operators set another time.
-pub const SOAK_S: f64 = 3_600.0;
+pub const ROLLOUT_SOAK_S: f64 = 3_600.0;
 /// Seconds without progress after which an upgrade is paused, unless operators set another time.
-pub const STALL_S: f64 = 3_600.0;
+pub const ROLLOUT_STALL_S: f64 = 3_600.0;
--- a/crates/control/src/cloud/calls.rs
+++ b/crates/control/src/cloud/calls.rs
@@ -3,7 +3,7 @@
 use super::CallResult;
 use crate::effects::{CallError, CallId, Output, Target};
 use crate::requests::{CloudOp, CloudReply};
-use constants::{CLOUD_TIMEOUT_MS, LIST_MAX};
+use constants::{CLOUD_TIMEOUT_MS, MACHINE_LIST_PAGE_SIZE};
 use wire::cloud::{MachineNames, MachineTypes};
 use wire::DecodeError;
 
@@ -33,8 +33,10 @@
     match op {
         CloudOp::Return(_) => "/hosts/return".to_string(),
         CloudOp::Rent(_) => "/hosts".to_string(),
-        CloudOp::List { from } if from.is_empty() => format!("/hosts?limit={LIST_MAX}"),
-        CloudOp::List { from } => format!("/hosts?from={from}&limit={LIST_MAX}"),
+        CloudOp::List { from } if from.is_empty() => {
+            format!("/hosts?limit={MACHINE_LIST_PAGE_SIZE}")
+        }
+        CloudOp::List { from } => format!("/hosts?from={from}&limit={MACHINE_LIST_PAGE_SIZE}"),
         CloudOp::Types => "/machine_types".to_string(),
     }
 }
--- a/crates/control/src/election/candidacy.rs
+++ b/crates/control/src/election/candidacy.rs
@@ -6,13 +6,14 @@
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{ElectionStep, StateOp, StateReply};
 use constants::{
-    ELECTION_JITTER_MS, ELECTION_STALE_MS, HANDOVER_POLL_MS, LEADER_LEASE_MS, LEADER_POLL_MS,
+    CANDIDACY_TIMEOUT_MS, ELECTION_JITTER_MS, HANDOVER_POLL_INTERVAL_MS, LEADER_LEASE_MS,
+    LEADER_POLL_INTERVAL_MS,
 };
 use wire::records::{LeaderRecord, TermRecord, LEADER, TERM};
 use wire::state::{Compare, Item, Txn, Write};
 
 /// Least milliseconds until the next poll after an attempt that failed.
-const ELECTION_BACKOFF_MS: u64 = LEADER_POLL_MS / 2;
+const ELECTION_BACKOFF_MS: u64 = LEADER_POLL_INTERVAL_MS / 2;
 
 /// The last term as the state service has it.
 struct StoredTerm {
@@ -84,7 +85,7 @@
             return;
         };
         let now = effects.now.mono;
-        if now > candidacy.since + ELECTION_STALE_MS {
+        if now > candidacy.since + CANDIDACY_TIMEOUT_MS {
             return self.back_off(effects);
         }
         candidacy.lease = Some(lease);
@@ -117,7 +118,7 @@
                 self.role = Role::Follower;
                 self.rules.may_stand = false;
                 effects.emit(NodeEvent::LevelChanged);
-                self.next_at = effects.now.mono + HANDOVER_POLL_MS;
+                self.next_at = effects.now.mono + HANDOVER_POLL_INTERVAL_MS;
                 self.busy_until = 0;
             }
             _ => {
--- a/crates/control/src/election/following.rs
+++ b/crates/control/src/election/following.rs
@@ -5,8 +5,8 @@
 use crate::effects::Effects;
 use crate::requests::{ElectionStep, StateOp, StateReply};
 use constants::{
-    ELECTION_JITTER_MS, HANDOVER_MS, HANDOVER_POLL_MS, LEADER_POLL_MS, STATE_RETRY_MS,
-    VACANT_POLL_MS,
+    ELECTION_JITTER_MS, HANDOVER_POLL_DURATION_MS, HANDOVER_POLL_INTERVAL_MS,
+    LEADER_POLL_INTERVAL_MS, STATE_RETRY_MS, VACANT_LEADER_POLL_INTERVAL_MS,
 };
 use wire::records::{LeaderRecord, LEADER};
 use wire::state::Item;
@@ -27,11 +27,11 @@
 
     fn poll_interval_ms(&self, now: u64) -> u64 {
         if self.is_named_successor(now) {
-            HANDOVER_POLL_MS
+            HANDOVER_POLL_INTERVAL_MS
         } else if self.leader_label(now).is_none() {
-            VACANT_POLL_MS
+            VACANT_LEADER_POLL_INTERVAL_MS
         } else {
-            LEADER_POLL_MS
+            LEADER_POLL_INTERVAL_MS
         }
     }
 
@@ -112,7 +112,7 @@
         }
         log::info!("event=named_successor by={from} term={term}");
         let now = effects.now.mono;
-        let until = now + HANDOVER_MS;
+        let until = now + HANDOVER_POLL_DURATION_MS;
         self.handover = Some(Handover { term, until });
         self.round += 1;
         self.busy_until = 0;
--- a/crates/control/src/election/renewal.rs
+++ b/crates/control/src/election/renewal.rs
@@ -4,7 +4,7 @@
 use super::{revoke, Election};
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{ElectionStep, StateOp, StateReply};
-use constants::{LEADER_POLL_MS, LEADER_RENEW_MS, RESIGN_PAUSE_MS};
+use constants::{LEADER_POLL_INTERVAL_MS, LEADER_RENEW_INTERVAL_MS, RESIGN_PAUSE_MS};
 
 impl Election {
     /// Asks the state service to renew the lease.
@@ -12,9 +12,9 @@
         let now = effects.now.mono;
         let step = ElectionStep::Renew { term, sent_at: now };
         self.request(StateOp::Renew(lease), step, effects);
-        self.next_at = now + LEADER_RENEW_MS;
+        self.next_at = now + LEADER_RENEW_INTERVAL_MS;
         // Renewals don't wait for the reply to the one before: the lease would expire meanwhile.
-        self.busy_until = now + LEADER_RENEW_MS;
+        self.busy_until = now + LEADER_RENEW_INTERVAL_MS;
     }
 
     /// The state service has replied to the renewal sent at `sent_at` in `renewed_term`.
@@ -70,7 +70,7 @@
         self.round += 1;
         self.busy_until = 0;
         self.known_leader = None;
-        self.next_at = effects.now.mono + LEADER_POLL_MS;
+        self.next_at = effects.now.mono + LEADER_POLL_INTERVAL_MS;
         effects.emit(NodeEvent::SteppedDown { reason });
     }
 }
--- a/crates/control/src/forwarding.rs
+++ b/crates/control/src/forwarding.rs
@@ -5,7 +5,10 @@
 //! receiver by request ids that differ from those of its own sockets.
 
 use crate::effects::{Effects, Output, RequestId};
-use constants::{DEADLINE_CHECK_MS, REPORT_FORWARD_MS, USER_DEADLINE_MS, USER_REQUESTS_MAX};
+use constants::{
+    DEADLINE_CHECK_INTERVAL_MS, REPORT_FORWARD_TIMEOUT_MS, USER_REQUESTS_IN_FLIGHT_MAX,
+    USER_REQUEST_TIMEOUT_MS,
+};
 use std::collections::HashMap;
 use wire::peers::PeerMessage;
 
@@ -32,9 +35,9 @@
     /// Milliseconds within which a peer must answer it.
     fn timeout_ms(&self) -> u64 {
         if self.target == HEARTBEAT_PATH {
-            REPORT_FORWARD_MS
+            REPORT_FORWARD_TIMEOUT_MS
         } else {
-            USER_DEADLINE_MS
+            USER_REQUEST_TIMEOUT_MS
         }
     }
 }
@@ -86,7 +89,7 @@
 
     /// When [`ForwardedRequests::tick`] is to be called next.
     pub fn next_wake(&self, now: u64) -> Option<u64> {
-        (!self.pending.is_empty()).then_some(now + DEADLINE_CHECK_MS)
+        (!self.pending.is_empty()).then_some(now + DEADLINE_CHECK_INTERVAL_MS)
     }
 
     /// Refuses the requests that peers have not answered in time.
@@ -110,7 +113,7 @@
 
     /// Forwards a request of this node to a peer.
     pub fn forward(&mut self, request: HttpRequest, peer: String, effects: &mut Effects) {
-        self.forward_within(request, peer, USER_REQUESTS_MAX, effects);
+        self.forward_within(request, peer, USER_REQUESTS_IN_FLIGHT_MAX, effects);
     }
 
     /// Forwards a worker's heartbeat that an owner passes on to the leader. As many may be pending as workers are
--- a/crates/control/src/gateway/job_cache.rs
+++ b/crates/control/src/gateway/job_cache.rs
@@ -5,7 +5,7 @@
 //! makes it one.
 
 use crate::recent_map::RecentMap;
-use constants::{FINAL_CACHE, JOB_UPDATES_MAX, VERSION_CACHE};
+use constants::{FINAL_PHASE_CACHE_ENTRIES, JOB_UPDATES_PER_MESSAGE_MAX, VERSION_CACHE_ENTRIES};
 use std::collections::HashMap;
 use std::rc::Rc;
 use wire::peers::JobUpdate;
@@ -86,10 +86,10 @@
     /// An empty cache.
     pub(super) fn new() -> Self {
         JobCache {
-            finals: RecentMap::new(FINAL_CACHE),
-            cancelled: RecentMap::new(FINAL_CACHE),
+            finals: RecentMap::new(FINAL_PHASE_CACHE_ENTRIES),
+            cancelled: RecentMap::new(FINAL_PHASE_CACHE_ENTRIES),
             counts: HashMap::new(),
-            versions: RecentMap::new(VERSION_CACHE),
+            versions: RecentMap::new(VERSION_CACHE_ENTRIES),
         }
     }
 
@@ -163,7 +163,7 @@
     /// Takes over what the leader says of open jobs: only of those for which no job before them is left to wait for.
     pub(super) fn apply_job_updates(&mut self, jobs: &[JobUpdate]) {
         // A full message names some of the jobs, any other names all of them.
-        if jobs.len() < JOB_UPDATES_MAX {
+        if jobs.len() < JOB_UPDATES_PER_MESSAGE_MAX {
             self.counts.clear();
         }
         for job in jobs {
--- a/crates/control/src/gateway/job_records.rs
+++ b/crates/control/src/gateway/job_records.rs
@@ -2,7 +2,7 @@
 
 use super::rejection::Rejection;
 use crate::settings::{Limits, StateLimits};
-use constants::MORE_RECORDS;
+use constants::EXTENSION_RECORDS_MAX;
 use wire::records::{job_key, job_overflow_key, JobOverflowRecord, JobRecord};
 use wire::state::Write;
 use wire::users::Submission;
@@ -91,7 +91,8 @@
         } else {
             Vec::new()
         };
-        let more_records = MORE_RECORDS.min(limits.txn_ops.saturating_sub(WRITES_WITHOUT_MORE));
+        let more_records =
+            EXTENSION_RECORDS_MAX.min(limits.txn_ops.saturating_sub(WRITES_WITHOUT_MORE));
         let own_bytes = wire::json_bytes(&record) + CANCELLATION_MARK_BYTES;
         if more.len() > more_records || own_bytes > limits.value_bytes {
             return Err(Rejection::TooLong {
--- a/crates/control/src/gateway/pending.rs
+++ b/crates/control/src/gateway/pending.rs
@@ -2,7 +2,7 @@
 
 use super::rejection::Rejection;
 use crate::effects::RequestId;
-use constants::{USER_DEADLINE_MS, USER_REQUESTS_MAX, USER_RETRY_MS};
+use constants::{USER_REQUESTS_IN_FLIGHT_MAX, USER_REQUEST_TIMEOUT_MS, USER_RETRY_WINDOW_MS};
 use std::collections::{BTreeMap, HashMap};
 use wire::users::Submission;
 
@@ -124,7 +124,7 @@
 
     /// Whether the time in which it must be decided has passed.
     pub(super) fn is_past_deadline(&self, now: u64) -> bool {
-        now > self.since + USER_DEADLINE_MS
+        now > self.since + USER_REQUEST_TIMEOUT_MS
     }
 }
 
@@ -184,13 +184,13 @@
         } else {
             self.requests.len() - self.changes
         };
-        in_hand >= USER_REQUESTS_MAX
+        in_hand >= USER_REQUESTS_IN_FLIGHT_MAX
     }
 
     /// Whether a step that was turned away may be sent again. After that, the request is refused and the user retries.
     pub(super) fn may_retry(&self, number: u64, now: u64) -> bool {
         self.get(number)
-            .is_some_and(|pending| now < pending.since + USER_RETRY_MS)
+            .is_some_and(|pending| now < pending.since + USER_RETRY_WINDOW_MS)
     }
 
     /// Numbers of the requests whose deadline has passed.
--- a/crates/control/src/gateway/read_validation.rs
+++ b/crates/control/src/gateway/read_validation.rs
@@ -11,7 +11,7 @@
 use super::Gateway;
 use crate::effects::Effects;
 use crate::requests::{Priority, StateReply, StateTag};
-use constants::{STATE_RETRY_MS, VALIDATION_GATHER_MS, VALIDATION_INTERVAL_MS};
+use constants::{STATE_RETRY_MS, VALIDATION_BATCH_DELAY_MS, VALIDATION_INTERVAL_MS};
 use std::collections::VecDeque;
 use wire::records::JOBS;
 
@@ -55,7 +55,7 @@
         let first = self.validation.waiting.front();
         match first.and_then(|number| self.pending.get(*number)) {
             Some(pending) if self.validation.in_flight.is_none() => {
-                let gathered_at = pending.since() + VALIDATION_GATHER_MS;
+                let gathered_at = pending.since() + VALIDATION_BATCH_DELAY_MS;
                 self.validation.next_at.max(gathered_at)
             }
             _ => u64::MAX,
@@ -67,7 +67,7 @@
         let waiting = &self.validation.waiting;
         let first = waiting.front().and_then(|number| self.pending.get(*number));
         waiting.len() >= self.max_compares
-            || first.is_none_or(|pending| now >= pending.since() + VALIDATION_GATHER_MS)
+            || first.is_none_or(|pending| now >= pending.since() + VALIDATION_BATCH_DELAY_MS)
     }
 
     /// Sends one transaction that validates the records of as many waiting requests as it can hold.
--- a/crates/control/src/gateway/unknown_ids.rs
+++ b/crates/control/src/gateway/unknown_ids.rs
@@ -10,7 +10,10 @@
 use super::Gateway;
 use crate::effects::Effects;
 use crate::requests::{Priority, StateReply, StateTag};
-use constants::{ID_SEARCH_BACKLOG, ID_SEARCH_INTERVAL_MS, STATE_RETRY_MS, VALIDATION_GATHER_MS};
+use constants::{
+    STATE_RETRY_MS, UNKNOWN_ID_CHECK_BACKLOG_MAX, UNKNOWN_ID_CHECK_INTERVAL_MS,
+    VALIDATION_BATCH_DELAY_MS,
+};
 use std::collections::{BTreeSet, VecDeque};
 use wire::records::{final_key, job_key};
 
@@ -83,7 +86,7 @@
 
     /// Whether so many requests of a kind wait that another would not be answered in time.
     pub(super) fn is_id_search_full(&self, is_change: bool) -> bool {
-        let limit = ID_SEARCH_BACKLOG * self.ids_per_search();
+        let limit = UNKNOWN_ID_CHECK_BACKLOG_MAX * self.ids_per_search();
         self.unknown_ids.queue(is_change).len() >= limit
     }
 
@@ -95,7 +98,9 @@
                     .pending
                     .get(number)
                     .map_or(0, |pending| pending.since());
-                self.unknown_ids.next_at.max(since + VALIDATION_GATHER_MS)
+                self.unknown_ids
+                    .next_at
+                    .max(since + VALIDATION_BATCH_DELAY_MS)
             }
             _ => u64::MAX,
         }
@@ -115,7 +120,7 @@
             return;
         }
         let op = read_only_txn(ids.iter().flat_map(|id| absent(id)));
-        self.unknown_ids.next_at = now + ID_SEARCH_INTERVAL_MS;
+        self.unknown_ids.next_at = now + UNKNOWN_ID_CHECK_INTERVAL_MS;
         self.unknown_ids.last_number += 1;
         let number = self.unknown_ids.last_number;
         let tag = StateTag::UnknownIds(number);
--- a/crates/control/src/leader/consolidation.rs
+++ b/crates/control/src/leader/consolidation.rs
@@ -12,7 +12,9 @@
 use super::planning::SchedulingSnapshot;
 use super::Leader;
 use crate::effects::Effects;
-use constants::{CONSOLIDATE_LEFT_S, CONSOLIDATE_PART, CONSOLIDATE_S};
+use constants::{
+    CONSOLIDATION_FLEET_DIVISOR, CONSOLIDATION_INTERVAL_S, CONSOLIDATION_REMAINING_MIN_S,
+};
 use sched::{ClusterSnapshot, JobSnapshot, Resources, RunningTask};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -49,7 +51,7 @@
         if !self.settings.minimizes_cost() || now.mono < self.next_consolidation {
             return;
         }
-        self.next_consolidation = now.mono + (CONSOLIDATE_S * 1000.0) as u64;
+        self.next_consolidation = now.mono + (CONSOLIDATION_INTERVAL_S * 1000.0) as u64;
         let snapshot = self.scheduling_snapshot(now);
         let view = &snapshot.view;
         let is_waiting = view.jobs.iter().any(|job| !job.waiting.is_empty());
@@ -57,7 +59,7 @@
         let draining = machines
             .filter(|m| m.draining == Some(CONSOLIDATED) && !m.returning)
             .count();
-        let most = 1 + view.machines.len() / CONSOLIDATE_PART;
+        let most = 1 + view.machines.len() / CONSOLIDATION_FLEET_DIVISOR;
         if is_waiting || draining >= most {
             return;
         }
@@ -159,7 +161,7 @@
             && !self.tasks_by_machine[machine].is_empty()
             && host.free.gpus >= host.total.gpus * LEAST_FREE_GPU_SHARE
             && host.free.cpus >= host.total.cpus * LEAST_FREE_CPU_SHARE
-            && host.busy_s >= CONSOLIDATE_LEFT_S
+            && host.busy_s >= CONSOLIDATION_REMAINING_MIN_S
     }
 
     /// Takes up capacity on other machines for all tasks of a machine; false, with nothing taken up, if some don't fit.
--- a/crates/control/src/leader/delegation.rs
+++ b/crates/control/src/leader/delegation.rs
@@ -3,7 +3,7 @@
 
 use super::model::{AssignmentStage, Machine, OwnerPermit};
 use super::Leader;
-use constants::REDIRECT_LEASE_PART;
+use constants::REDIRECT_LEASE_DIVISOR;
 use partitions::{Delegation, RequestError};
 use std::collections::BTreeMap;
 use wire::partitions::{Grant, GrantRequest, PartitionEpoch, PartitionId, Permit, RecalledPermit};
@@ -69,8 +69,8 @@
         let Some(delegation) = &mut self.delegation else {
             return Ok(None);
         };
-        let grant = delegation.grant(owner, request, entitled, valid_ms, now);
-        for ended in delegation.take_ended() {
+        let grant = delegation.issue_grant(owner, request, entitled, valid_ms, now);
+        for ended in delegation.take_ended_permits() {
             if let Some(machine) = self.machines.get_mut(&ended) {
                 machine.permit = None;
             }
@@ -91,7 +91,7 @@
         }
         let numbers = (heartbeat.incarnation, heartbeat.seq);
         let delegation = self.delegation.as_mut()?;
-        let (process, permit) = delegation.permit(owner, &heartbeat.machine, numbers, now)?;
+        let (process, permit) = delegation.issue_permit(owner, &heartbeat.machine, numbers, now)?;
         let watched_until = now + delegation.refresh_overdue_ms();
         if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
             machine.has_pending_orders = false;
@@ -151,7 +151,7 @@
             return;
         };
         for name in &names {
-            delegation.withdraw(name);
+            delegation.withdraw_permit(name);
         }
     }
 
@@ -159,7 +159,7 @@
     pub fn urgent_recalls(&mut self) -> BTreeMap<(String, u64), Vec<RecalledPermit>> {
         self.withdraw_permits_with_orders();
         let delegation = self.delegation.as_mut();
-        delegation.map_or_else(BTreeMap::new, Delegation::urgent_recalls)
+        delegation.map_or_else(BTreeMap::new, Delegation::take_urgent_recalls)
     }
 
     /// Checks all permits again, since machines also change without a decision, and forgets answers from long ago.
@@ -167,21 +167,21 @@
         let machines = &self.machines;
         let is_steady = |name: &str| machines.get(name).is_some_and(Machine::stays_steady);
         if let Some(delegation) = &mut self.delegation {
-            delegation.withdraw_unless(is_steady);
-            delegation.prune(now);
+            delegation.withdraw_unsteady_permits(is_steady);
+            delegation.prune_answers(now);
         }
     }
 
     /// The owner that will hold the grant of a partition at a moment, as far as is known now.
     pub fn grant_holder_at(&self, partition: PartitionId, moment: u64) -> Option<&str> {
-        self.delegation.as_ref()?.holder(partition, moment)
+        self.delegation.as_ref()?.grant_holder(partition, moment)
     }
 
     /// Whether a worker that reports to the leader may be redirected to its owner: nothing is pending for it, and
     /// enough of its lease is left.
     pub fn may_be_redirected(&self, machine: &str, now: u64) -> bool {
         let lease_ms = (self.settings.deployment.workers.lease_s * 1000.0) as u64;
-        let is_recent = |at: u64| now < at + lease_ms / REDIRECT_LEASE_PART;
+        let is_recent = |at: u64| now < at + lease_ms / REDIRECT_LEASE_DIVISOR;
         let has_nothing_pending = |(id, task): &(String, u32)| self.is_unchanging(id, *task);
         self.machines.get(machine).is_some_and(|machine| {
             machine.is_reconciled
--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -15,7 +15,7 @@
 
 use super::Leader;
 use crate::effects::{Effects, Now};
-use constants::CASCADE_A_TURN;
+use constants::CASCADED_CANCELLATIONS_PER_TURN_MAX;
 use lookups::Lookups;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use wire::records::Final;
@@ -148,7 +148,7 @@
 
     /// Cancels some dependents of cancelled jobs, so that a cascade of any size leaves time for all else.
     fn continue_cascade(&mut self, now: Now) {
-        let mut left = CASCADE_A_TURN;
+        let mut left = CASCADED_CANCELLATIONS_PER_TURN_MAX;
         while left > 0 {
             let Some(id) = self.dependencies.cascade.front().cloned() else {
                 break;
--- a/crates/control/src/leader/dependencies/lookups.rs
+++ b/crates/control/src/leader/dependencies/lookups.rs
@@ -4,7 +4,7 @@
 use crate::effects::Effects;
 use crate::leader::Leader;
 use crate::requests::{LeaderRequest, Priority, StateOp, StateReply};
-use constants::{LOOKUPS, LOOKUP_RETRY_MS};
+use constants::{FINAL_RECORD_LOOKUPS_MAX, FINAL_RECORD_LOOKUP_RETRY_MS};
 use std::collections::{HashMap, HashSet, VecDeque};
 use wire::records::{final_key, job_overflow_key, Final, JobOverflowRecord, JobRecord};
 
@@ -41,7 +41,7 @@
 
     /// When the next lookup may be sent.
     pub fn wake(&self) -> u64 {
-        if self.in_flight.len() >= LOOKUPS {
+        if self.in_flight.len() >= FINAL_RECORD_LOOKUPS_MAX {
             return u64::MAX;
         }
         self.queue.front().map_or(u64::MAX, |next| next.not_before)
@@ -91,7 +91,7 @@
             }
             // It was just created, and the watch is still to report it; or the state service does not answer.
             None => {
-                let not_before = effects.now.mono + LOOKUP_RETRY_MS;
+                let not_before = effects.now.mono + FINAL_RECORD_LOOKUP_RETRY_MS;
                 self.dependencies.lookups.push(not_before, id);
             }
         }
--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -22,7 +22,7 @@
 use super::{Leader, StartLatencies};
 use crate::effects::{Effects, Now};
 use crate::requests::{CloudOp, CloudRequest};
-use constants::{CLOUD_TYPES_S, REMOVED_MACHINE_RETENTION_MS, SILENT_EXTRA_MS};
+use constants::{MACHINE_TYPES_INTERVAL_S, REMOVED_MACHINE_RETENTION_MS, SILENCE_MARGIN_MS};
 
 /// Milliseconds between two summaries in the log.
 const SUMMARY_EVERY_MS: u64 = 15_000;
@@ -58,13 +58,13 @@
     /// Milliseconds without a report after which a machine is silent.
     pub(super) fn silent_ms(&self) -> u64 {
         let report_s = self.settings.deployment.workers.report_s;
-        (report_s * SILENT_MS_PER_REPORT_S) as u64 + SILENT_EXTRA_MS
+        (report_s * SILENT_MS_PER_REPORT_S) as u64 + SILENCE_MARGIN_MS
     }
 
     fn request_types(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
         if now >= self.next_types {
-            self.next_types = now + (CLOUD_TYPES_S * 1000.0) as u64;
+            self.next_types = now + (MACHINE_TYPES_INTERVAL_S * 1000.0) as u64;
             self.send_cloud_request(CloudOp::Types, CloudRequest::Types, effects);
         }
     }
--- a/crates/control/src/leader/fleet/costs.rs
+++ b/crates/control/src/leader/fleet/costs.rs
@@ -3,7 +3,7 @@
 use crate::effects::Now;
 use crate::leader::model::{Job, Machine};
 use crate::leader::Leader;
-use constants::ACCOUNT_MS;
+use constants::COST_UPDATE_INTERVAL_MS;
 use std::collections::{BTreeMap, HashMap};
 use wire::cloud::MachineType;
 use wire::workers::TaskPhase;
@@ -88,9 +88,12 @@
         if now.mono < self.next_account {
             return;
         }
-        self.next_account = now.mono + ACCOUNT_MS;
+        self.next_account = now.mono + COST_UPDATE_INTERVAL_MS;
         // After a standstill only a bounded time counts.
-        let elapsed_ms = now.mono.saturating_sub(self.costs.at).min(2 * ACCOUNT_MS);
+        let elapsed_ms = now
+            .mono
+            .saturating_sub(self.costs.at)
+            .min(2 * COST_UPDATE_INTERVAL_MS);
         let hours = elapsed_ms as f64 / MS_PER_HOUR;
         self.costs.at = now.mono;
         let types = self.types.desired.iter().flatten();
--- a/crates/control/src/leader/fleet/listing.rs
+++ b/crates/control/src/leader/fleet/listing.rs
@@ -4,7 +4,7 @@
 use crate::leader::model::Machine;
 use crate::leader::Leader;
 use crate::requests::{CloudOp, CloudRequest};
-use constants::{CLOUD_LIST_S, CLOUD_LIST_SHARE, LIST_MAX};
+use constants::{MACHINE_LIST_INTERVAL_S, MACHINE_LIST_PAGE_SIZE, MACHINE_LIST_RATE_SHARE};
 use wire::cloud::{ListedMachine, MachineList, MachinePhase};
 
 /// Milliseconds, for each second that the cloud's list may lag, after which a machine must be listed: two lags.
@@ -31,9 +31,9 @@
     /// Seconds between two listings. Pages are estimated by the machines known, so that the lists of a large fleet
     /// leave room for other calls.
     fn listing_interval_s(&self) -> f64 {
-        let pages = 1.0 + (self.machines.len() / LIST_MAX) as f64;
+        let pages = 1.0 + (self.machines.len() / MACHINE_LIST_PAGE_SIZE) as f64;
         let calls_per_s = self.settings.deployment.cloud.rps;
-        CLOUD_LIST_S.max(pages / calls_per_s / CLOUD_LIST_SHARE)
+        MACHINE_LIST_INTERVAL_S.max(pages / calls_per_s / MACHINE_LIST_RATE_SHARE)
     }
 
     /// Takes in a page of the list that was begun at `asked`, and requests the next page if there is one.
--- a/crates/control/src/leader/fleet/renting.rs
+++ b/crates/control/src/leader/fleet/renting.rs
@@ -5,7 +5,10 @@
 use crate::leader::planning::{type_resources, SchedulingSnapshot};
 use crate::leader::{Leader, OfferKey, Rental};
 use crate::requests::{CloudOp, CloudRequest, RecordId};
-use constants::{HOUSEKEEPING_MS, RENTALS_OPEN, RENT_HORIZON, RENT_MAX};
+use constants::{
+    HOUSEKEEPING_INTERVAL_MS, MACHINES_PER_RENTAL_MAX, RENTALS_IN_FLIGHT_MAX,
+    RENT_HORIZON_BOOT_FACTOR,
+};
 use sched::{plan_fleet, FleetSnapshot, Offer, RentRequest};
 use std::collections::VecDeque;
 use wire::cloud::{MachineType, Rent};
@@ -105,7 +108,7 @@
         if !self.listed_once || now.mono < self.next_rent {
             return;
         }
-        self.next_rent = now.mono + HOUSEKEEPING_MS;
+        self.next_rent = now.mono + HOUSEKEEPING_INTERVAL_MS;
         let mut snapshot = self.scheduling_snapshot(now);
         let offers = self.offers(&types, &mut snapshot, now);
         let expected = self.expected_machines(&offers, now);
@@ -114,7 +117,7 @@
             offers: offers.offers,
             expected: expected.counts,
             minimizes_cost: self.settings.minimizes_cost(),
-            horizon_s: shortest_boot_s * RENT_HORIZON,
+            horizon_s: shortest_boot_s * RENT_HORIZON_BOOT_FACTOR,
         };
         let mut requests = VecDeque::from(plan_fleet(&snapshot.view, &fleet));
         requests.retain(|request| !expected.requested[request.offer]);
@@ -187,12 +190,12 @@
     ) {
         let mut under_way = self.unanswered_rentals().count();
         while let Some(mut request) = requests.pop_front() {
-            if under_way >= RENTALS_OPEN {
+            if under_way >= RENTALS_IN_FLIGHT_MAX {
                 break;
             }
             under_way += 1;
             let offer = &offers[request.offer];
-            let count = request.count.min(RENT_MAX);
+            let count = request.count.min(MACHINES_PER_RENTAL_MAX);
             request.count -= count;
             if request.count > 0 && self.filled_offers.contains(offer) {
                 requests.push_back(request);
--- a/crates/control/src/leader/fleet/replies.rs
+++ b/crates/control/src/leader/fleet/replies.rs
@@ -4,7 +4,7 @@
 use crate::leader::model::Machine;
 use crate::leader::{Leader, OfferBackoff, OfferKey};
 use crate::requests::{CloudOp, CloudReply, CloudRequest, RecordId};
-use constants::{NO_CAPACITY_MAX_MS, NO_CAPACITY_MS};
+use constants::{NO_CAPACITY_BACKOFF_MAX_MS, NO_CAPACITY_BACKOFF_MS};
 use wire::cloud::{MachineType, Rent};
 
 /// Milliseconds until the machine types are requested again after a failure, while none are known.
@@ -129,7 +129,8 @@
             .offer_backoff
             .get(&offer)
             .map_or(0, |backoff| backoff.pause_ms);
-        let pause_ms = (last_pause_ms * 2).clamp(NO_CAPACITY_MS, NO_CAPACITY_MAX_MS);
+        let pause_ms =
+            (last_pause_ms * 2).clamp(NO_CAPACITY_BACKOFF_MS, NO_CAPACITY_BACKOFF_MAX_MS);
         let OfferKey {
             machine_type: kind,
             zone,
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -9,9 +9,10 @@
 use crate::leader::Leader;
 use crate::requests::{CloudOp, CloudRequest};
 use constants::{
-    BOOT_PATIENCE, BOOT_PATIENCE_S, CLOUD_TIMEOUT_MS, IDLE_LEAST, IDLE_ORDINARY, IDLE_PART,
-    IDLE_SPOT, IDLE_SURPLUS_MS, NOTICE_OVER_MS, RETURN_MAX, SILENT_LEASES, SILENT_UNSURE_MS,
-    UNREACHABLE_LEASES,
+    BOOT_TIMEOUT_EXTRA_S, BOOT_TIMEOUT_FACTOR, CLOUD_TIMEOUT_MS, IDLE_RESERVE_FLEET_DIVISOR,
+    IDLE_RESERVE_MIN, IDLE_SURPLUS_RETURN_MS, MACHINES_PER_RETURN_MAX,
+    ON_DEMAND_IDLE_SURPLUS_FACTOR, SILENT_MACHINE_RETURN_LEASES, SILENT_WITH_TASKS_RETURN_DELAY_MS,
+    SPOT_IDLE_SURPLUS_FACTOR, SPOT_NOTICE_RETURN_DELAY_MS, UNREACHABLE_RETURN_LEASES,
 };
 use reason::ReturnReason;
 
@@ -47,8 +48,8 @@
             lease_expiry_ms: leader.lease_expiry_ms(),
             silent_ms: leader.silent_ms(),
             unlisted_ms: (report_s * UNLISTED_MS_PER_REPORT_S) as u64 + UNLISTED_EXTRA_MS,
-            idle_spot_ms: idle_ms(IDLE_SPOT),
-            idle_ordinary_ms: idle_ms(IDLE_ORDINARY),
+            idle_spot_ms: idle_ms(SPOT_IDLE_SURPLUS_FACTOR),
+            idle_ordinary_ms: idle_ms(ON_DEMAND_IDLE_SURPLUS_FACTOR),
         }
     }
 
@@ -57,14 +58,14 @@
     /// where nothing runs on it, it has time.
     fn silence_ms(&self, machine: &Machine) -> u64 {
         match is_empty(machine) {
-            true => (self.lease_expiry_ms as f64 * SILENT_LEASES) as u64,
+            true => (self.lease_expiry_ms as f64 * SILENT_MACHINE_RETURN_LEASES) as u64,
             false => self.unsure_ms(),
         }
     }
 
     /// Silence after which a machine is returned on which tasks may still run.
     fn unsure_ms(&self) -> u64 {
-        self.lease_expiry_ms + SILENT_UNSURE_MS
+        self.lease_expiry_ms + SILENT_WITH_TASKS_RETURN_DELAY_MS
     }
 
     fn idle_ms(&self, machine: &Machine) -> u64 {
@@ -121,7 +122,7 @@
 
     fn idle_machines(&self, now: Now) -> IdleMachines {
         let is_idle = |m: &&Machine| m.is_reconciled && m.assignments.is_empty() && !m.returning;
-        let may_idle = IDLE_LEAST + self.machines.len() / IDLE_PART;
+        let may_idle = IDLE_RESERVE_MIN + self.machines.len() / IDLE_RESERVE_FLEET_DIVISOR;
         let idle = self.machines.values().filter(is_idle).count();
         IdleMachines {
             wanted: self.wanted_machines(now),
@@ -157,8 +158,10 @@
             return Some(ReturnReason::Unlisted);
         }
         // Whether it is gone or not: the answer frees its tasks for sure, and nothing is left to wait for.
-        let notice_over =
-            |at: u64| now > at + NOTICE_OVER_MS && now > contact.last_heartbeat_at + NOTICE_OVER_MS;
+        let notice_over = |at: u64| {
+            now > at + SPOT_NOTICE_RETURN_DELAY_MS
+                && now > contact.last_heartbeat_at + SPOT_NOTICE_RETURN_DELAY_MS
+        };
         if machine.notice_at.is_some_and(notice_over) {
             return Some(ReturnReason::NoticeOver);
         }
@@ -197,7 +200,7 @@
         if self.health(name, machine, now) == MachineHealth::Faulty {
             return Some(ReturnReason::Faulty);
         }
-        let unreachable_ms = UNREACHABLE_LEASES * limits.lease_expiry_ms;
+        let unreachable_ms = UNREACHABLE_RETURN_LEASES * limits.lease_expiry_ms;
         let unreachable_since = machine.unreachable_since?;
         (now > unreachable_since + unreachable_ms).then_some(ReturnReason::Unreachable)
     }
@@ -210,7 +213,7 @@
         let mut types = self.types.desired.iter().flatten();
         let machine_type = types.find(|t| t.name == machine.kind);
         let boot_s = machine_type.map_or(UNKNOWN_BOOT_S, |t| t.boot_s);
-        ((boot_s * BOOT_PATIENCE + BOOT_PATIENCE_S) * 1000.0) as u64
+        ((boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_EXTRA_S) * 1000.0) as u64
     }
 
     /// Whether an empty machine has been idle for too long and waiting work can't use it. Such a machine, or one that
@@ -228,7 +231,7 @@
             return false;
         }
         let limit = match idle.surplus > 0 {
-            true => IDLE_SURPLUS_MS,
+            true => IDLE_SURPLUS_RETURN_MS,
             false => limits.idle_ms(machine),
         };
         if now <= machine.idle_since + limit {
@@ -263,7 +266,8 @@
             let due = machine
                 .return_sent
                 .is_none_or(|at| now > at + RETURN_RESEND_MS);
-            let may_send = names.len() < RETURN_MAX && !self.departed.contains_key(name);
+            let may_send =
+                names.len() < MACHINES_PER_RETURN_MAX && !self.departed.contains_key(name);
             if machine.returning && due && may_send {
                 machine.return_sent = Some(now);
                 names.push(name.clone());
--- a/crates/control/src/leader/job_updates.rs
+++ b/crates/control/src/leader/job_updates.rs
@@ -2,7 +2,7 @@
 
 use super::model::Job;
 use super::Leader;
-use constants::JOB_UPDATES_MAX;
+use constants::JOB_UPDATES_PER_MESSAGE_MAX;
 use std::ops::Bound;
 use wire::peers::JobUpdate;
 use wire::workers::TaskPhase;
@@ -20,8 +20,8 @@
         let after = (Bound::Excluded(last.as_str()), Bound::Unbounded);
         let up_to = (Bound::Unbounded, Bound::Included(last.as_str()));
         let all = self.job_updates(after).chain(self.job_updates(up_to));
-        let updates: Vec<JobUpdate> = all.take(JOB_UPDATES_MAX).collect();
-        if updates.len() == JOB_UPDATES_MAX {
+        let updates: Vec<JobUpdate> = all.take(JOB_UPDATES_PER_MESSAGE_MAX).collect();
+        if updates.len() == JOB_UPDATES_PER_MESSAGE_MAX {
             if let Some(last) = updates.last() {
                 self.last_updated_job = last.id.clone();
             }
--- a/crates/control/src/leader/job_watch.rs
+++ b/crates/control/src/leader/job_watch.rs
@@ -6,7 +6,7 @@
 use crate::effects::Effects;
 use crate::requests::{LeaderRequest, Priority, Reread, StateOp, StateReply};
 use ciborium::Value;
-use constants::{STATE_RETRY_MS, WATCH_EVERY_MS, WATCH_TRIES};
+use constants::{STATE_RETRY_MS, WATCH_FAILURES_MAX, WATCH_INTERVAL_MIN_MS};
 use wire::records::{JobRecord, JOBS};
 use wire::state::{Change, Changes, Page};
 
@@ -67,7 +67,7 @@
             self.on_change(change, effects);
         }
         self.job_watch.advance(changes.revision, sent);
-        self.job_watch.retry_at = effects.now.mono + WATCH_EVERY_MS;
+        self.job_watch.retry_at = effects.now.mono + WATCH_INTERVAL_MIN_MS;
         self.tick(false, effects);
     }
 
@@ -75,7 +75,7 @@
         self.job_watch.failures += 1;
         self.job_watch.retry_at = effects.now.mono + STATE_RETRY_MS;
         // A watch's answer has no size limit: one too large to be read would come again and again.
-        if self.job_watch.failures >= WATCH_TRIES {
+        if self.job_watch.failures >= WATCH_FAILURES_MAX {
             self.reread_jobs(effects);
         }
     }
--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -8,7 +8,7 @@
 use super::Leader;
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{LeaderRequest, Priority, StateOp, StateReply};
-use constants::{HOUSEKEEPING_MS, STATE_RETRY_MS};
+use constants::{HOUSEKEEPING_INTERVAL_MS, STATE_RETRY_MS};
 use wire::cloud::MachineType;
 use wire::records::{
     JobOverflowRecord, JobRecord, PageRecord, RentalRecord, JOBS, MORE, PAGES, RENTALS, TYPES,
@@ -194,7 +194,7 @@
         let now = effects.now.mono;
         self.loading.stage = Stage::Complete;
         self.ready_at = now;
-        self.next_housekeeping = now + HOUSEKEEPING_MS;
+        self.next_housekeeping = now + HOUSEKEEPING_INTERVAL_MS;
         if let Some(types) = &self.types.saved {
             effects.emit(NodeEvent::MachineTypesRead(types.clone()));
         }
--- a/crates/control/src/leader/machine_health.rs
+++ b/crates/control/src/leader/machine_health.rs
@@ -2,7 +2,7 @@
 
 use super::model::{Job, Machine};
 use super::Leader;
-use constants::FAULTY_JOBS;
+use constants::FAULTY_MACHINE_FAILED_JOBS;
 
 /// What the failed tasks of a machine say about it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,12 +23,12 @@
     /// submitted at the same time, made each machine count as faulty before any of them had been tried on a third one,
     /// and the whole fleet was given back.
     pub(super) fn health(&self, name: &str, machine: &Machine, now: u64) -> MachineHealth {
-        if machine.failed_jobs.len() < FAULTY_JOBS {
+        if machine.failed_jobs.len() < FAULTY_MACHINE_FAILED_JOBS {
             return MachineHealth::Trusted;
         }
         let is_sound = |id: &String| self.is_sound_elsewhere(id, name, now);
         let is_evidence = |id: &&String| is_sound(id) || self.has_failed_only_on(id, name);
-        if machine.failed_jobs.iter().filter(is_evidence).count() < FAULTY_JOBS {
+        if machine.failed_jobs.iter().filter(is_evidence).count() < FAULTY_MACHINE_FAILED_JOBS {
             MachineHealth::Trusted
         } else if machine.failed_jobs.iter().any(is_sound) {
             MachineHealth::Faulty
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -40,7 +40,7 @@
 };
 use crate::settings::{Operator, Settings};
 use crate::token_bucket::TokenBucket;
-use constants::FINAL_CACHE;
+use constants::FINAL_PHASE_CACHE_ENTRIES;
 use job_watch::JobWatch;
 use loading::Loading;
 use model::{BootTimes, Job, Machine, RecordCell};
@@ -174,8 +174,8 @@
             jobs: BTreeMap::new(),
             job_watch: JobWatch::default(),
             dependencies: dependencies::Dependencies::default(),
-            archived: RecentMap::new(FINAL_CACHE),
-            cancellation_notices: RecentMap::new(FINAL_CACHE),
+            archived: RecentMap::new(FINAL_PHASE_CACHE_ENTRIES),
+            cancellation_notices: RecentMap::new(FINAL_PHASE_CACHE_ENTRIES),
             last_updated_job: String::new(),
             machines: BTreeMap::new(),
             departed: HashMap::new(),
--- a/crates/control/src/leader/model/boot_times.rs
+++ b/crates/control/src/leader/model/boot_times.rs
@@ -30,6 +30,6 @@
     pub fn late_s(&self) -> Option<f64> {
         let deviation = (self.squared_deviations / self.count.max(1.0)).sqrt();
         let late_s = self.mean_s + LATE_DEVIATIONS * deviation + LATE_MARGIN_S;
-        (self.count >= constants::BOOTS_SEEN).then_some(late_s)
+        (self.count >= constants::BOOT_SAMPLES_MIN).then_some(late_s)
     }
 }
--- a/crates/control/src/leader/model/job.rs
+++ b/crates/control/src/leader/model/job.rs
@@ -87,7 +87,7 @@
             version,
             aborted: record.aborted,
             recorded_abort: record.aborted,
-            tasks_per_chunk: constants::CHUNK_TASKS,
+            tasks_per_chunk: constants::WIDE_CHUNK_TASKS,
             chunks: BTreeMap::new(),
             needs: BTreeSet::new(),
             ready_at: record.at,
--- a/crates/control/src/leader/model/job/dense_form.rs
+++ b/crates/control/src/leader/model/job/dense_form.rs
@@ -14,13 +14,13 @@
 
     /// Whether the job is in the dense form.
     pub fn is_dense(&self) -> bool {
-        self.tasks_per_chunk == constants::SMALL_TASKS
+        self.tasks_per_chunk == constants::DENSE_CHUNK_TASKS
     }
 
     /// Chunks that a recorded copy covers: a wide one, written before the split, covers several.
     pub fn parts_in(&self, part: u32, wide: bool) -> Range<u32> {
         let covered = match wide {
-            true => constants::CHUNK_TASKS / self.tasks_per_chunk,
+            true => constants::WIDE_CHUNK_TASKS / self.tasks_per_chunk,
             false => 1,
         };
         part * covered..(part + 1) * covered
@@ -34,7 +34,7 @@
         if self.is_dense() {
             return;
         }
-        self.tasks_per_chunk = constants::SMALL_TASKS;
+        self.tasks_per_chunk = constants::DENSE_CHUNK_TASKS;
         for (wide_number, wide_chunk) in std::mem::take(&mut self.chunks) {
             let numbers = self.parts_in(wide_number, true);
             for number in numbers.clone() {
--- a/crates/control/src/leader/model/job/failures.rs
+++ b/crates/control/src/leader/model/job/failures.rs
@@ -17,13 +17,15 @@
         let waited_s = now_unix.saturating_sub(self.ready_at) / 1000;
         // A gang that was assigned before, perhaps by an earlier leader, can be again.
         let never_assigned = self.is_gang() && self.highest_attempt() == 0;
-        never_assigned && waited_s % (2 * constants::GANG_TRY_S) >= constants::GANG_TRY_S
+        never_assigned
+            && waited_s % (2 * constants::GANG_ATTEMPT_TIMEOUT_S)
+                >= constants::GANG_ATTEMPT_TIMEOUT_S
     }
 
     /// Whether one of its tasks has completed, or has been running for a while on one of the machines that count.
     pub fn is_sound(&self, now: u64, counts: impl Fn(&Assignment) -> bool) -> bool {
         let runs_on = |assignment: &Assignment| {
-            counts(assignment) && assignment.has_run_for(constants::SOUND_RUN_MS, now)
+            counts(assignment) && assignment.has_run_for(constants::HEALTHY_TASK_RUN_MS, now)
         };
         self.done > 0
             || self
@@ -33,7 +35,8 @@
 
     /// Whether it has failed on so many machines that it most likely fails on all of them.
     pub fn seems_to_fail_everywhere(&self) -> bool {
-        self.failed_under_earlier_leaders || self.failed_machines.len() > constants::FAULTY_JOBS
+        self.failed_under_earlier_leaders
+            || self.failed_machines.len() > constants::FAULTY_MACHINE_FAILED_JOBS
     }
 
     /// Whether its records show several attempts that have ended and nothing that is done.
@@ -47,7 +50,7 @@
         };
         let ended = attempts.saturating_sub(present);
         let is_idle = self.is_gang() || self.assigned <= IDLE_ASSIGNMENTS_MAX;
-        self.done == 0 && is_idle && ended >= constants::FAILED_ATTEMPTS_SUSPECT
+        self.done == 0 && is_idle && ended >= constants::FAILING_JOB_ATTEMPTS_MIN
     }
 
     fn sum_of_highest_attempts(&self) -> u64 {
@@ -60,9 +63,10 @@
     /// Milliseconds of backoff after a failure.
     pub fn error_pause_ms(&self) -> u64 {
         if self.failed_under_earlier_leaders {
-            return constants::ERROR_PAUSE_MAX_MS;
+            return constants::JOB_FAILURE_BACKOFF_MAX_MS;
         }
-        let pause_ms = constants::ERROR_PAUSE_MS << self.failures.min(BACKOFF_DOUBLINGS_MAX);
-        pause_ms.min(constants::ERROR_PAUSE_MAX_MS)
+        let pause_ms =
+            constants::JOB_FAILURE_BACKOFF_MS << self.failures.min(BACKOFF_DOUBLINGS_MAX);
+        pause_ms.min(constants::JOB_FAILURE_BACKOFF_MAX_MS)
     }
 }
--- a/crates/control/src/leader/model/machine.rs
+++ b/crates/control/src/leader/model/machine.rs
@@ -197,6 +197,6 @@
     /// Whether its tasks take much longer than those of the same jobs elsewhere.
     pub fn is_slow(&self) -> bool {
         let (sum, count) = self.relative_run_times;
-        count >= PACE_SAMPLES_MIN && sum / f64::from(count) > constants::SLOW_FACTOR
+        count >= PACE_SAMPLES_MIN && sum / f64::from(count) > constants::SLOW_MACHINE_FACTOR
     }
 }
--- a/crates/control/src/leader/pages/limits.rs
+++ b/crates/control/src/leader/pages/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::leader::Leader;
 use crate::settings::Limits;
-use constants::{DENSE_PAGE_FILL, PAGE_BYTES, REWRITTEN_PART};
+use constants::{DENSE_PAGE_MAX_BYTES, DENSE_PAGE_UNCHANGED_DIVISOR, DENSE_PAGE_VALUE_SHARE};
 use wire::state::{Txn, Write};
 
 /// Compares that the state service allows for each write that a transaction may have.
@@ -50,7 +50,7 @@
     pub(super) fn page_bytes(&self) -> usize {
         let value_bytes = self.limits().value_bytes;
         if self.pages.is_dense() {
-            ((value_bytes as f64 * DENSE_PAGE_FILL) as usize).min(PAGE_BYTES)
+            ((value_bytes as f64 * DENSE_PAGE_VALUE_SHARE) as usize).min(DENSE_PAGE_MAX_BYTES)
         } else {
             value_bytes / WIDE_LAYOUT_SHARE
         }
@@ -59,7 +59,7 @@
     /// Bytes that a page may already have for new parts to be added to it.
     pub(super) fn max_rewritten_bytes(&self) -> usize {
         if self.pages.is_dense() {
-            self.page_bytes() / REWRITTEN_PART
+            self.page_bytes() / DENSE_PAGE_UNCHANGED_DIVISOR
         } else {
             self.page_bytes() / WIDE_LAYOUT_SHARE
         }
--- a/crates/control/src/leader/planning.rs
+++ b/crates/control/src/leader/planning.rs
@@ -21,7 +21,9 @@
 
 use super::Leader;
 use crate::effects::Effects;
-use constants::{ROUND_BUDGET_MS, ROUND_EVERY_MS, ROUND_LEAST_MS, ROUND_REST};
+use constants::{
+    ROUND_BUDGET_MS, ROUND_DECISIONS_MIN_MS, ROUND_INTERVAL_MIN_MS, ROUND_PAUSE_FACTOR,
+};
 use decisions::{JobQueue, RoundSubjects};
 use sched::{ClusterSnapshot, Outcome, Round};
 use std::collections::BTreeSet;
@@ -82,7 +84,8 @@
         self.carry_out(outcome.decisions, &subjects, now);
         // Users and workers are served between rounds, however long those take.
         let took_ms = (self.stopwatch)().saturating_sub(started) / 1000;
-        self.next_round = now.mono + took_ms + ROUND_EVERY_MS.max(took_ms * ROUND_REST);
+        self.next_round =
+            now.mono + took_ms + ROUND_INTERVAL_MIN_MS.max(took_ms * ROUND_PAUSE_FACTOR);
         self.has_new_decisions = true;
     }
 
@@ -101,7 +104,7 @@
         let snapshot_taken = stopwatch();
         // The budget is for the whole round, but the decisions get their least share in any case.
         let budget_end = started + ROUND_BUDGET_MS * 1000;
-        let until = budget_end.max(snapshot_taken + ROUND_LEAST_MS * 1000);
+        let until = budget_end.max(snapshot_taken + ROUND_DECISIONS_MIN_MS * 1000);
         let outcome = round.run(|| stopwatch() < until);
         let times = RoundTimes {
             started,
@@ -114,7 +117,7 @@
 
 fn log_round(outcome: &Outcome, times: &RoundTimes, sizes: &SnapshotSizes) {
     let took_us = times.decided - times.started;
-    let is_long = !outcome.finished || took_us > ROUND_LEAST_MS * 1000;
+    let is_long = !outcome.finished || took_us > ROUND_DECISIONS_MIN_MS * 1000;
     let level = match is_long {
         true => log::Level::Info,
         false => log::Level::Debug,
--- a/crates/control/src/leader/planning/estimates.rs
+++ b/crates/control/src/leader/planning/estimates.rs
@@ -4,7 +4,7 @@
 use crate::leader::model::Job;
 use crate::leader::Leader;
 use crate::settings::Objective;
-use constants::{LONGEST_TASK, MISSED_OBJECTIVE_DELAY_S, START_LAG_S};
+use constants::{LONGEST_TASK_FACTOR, MISSED_OBJECTIVE_DELAY_S, TASK_START_DELAY_S};
 use sched::pilots_of;
 
 /// Seconds that a job is expected to take at most, so that a service's time can be added to a time of day.
@@ -54,9 +54,9 @@
     pub(in crate::leader) fn expected_ms(&self, job: &Job, task_s: f64) -> u64 {
         let run_s = match job.is_gang() {
             true => task_s,
-            false => task_s * LONGEST_TASK,
+            false => task_s * LONGEST_TASK_FACTOR,
         };
-        ((START_LAG_S + run_s).min(MOST_EXPECTED_S) * 1000.0) as u64
+        ((TASK_START_DELAY_S + run_s).min(MOST_EXPECTED_S) * 1000.0) as u64
     }
 
     /// The multiple of its own deadline up to which an objective still counts a job, where one says so.
@@ -106,7 +106,7 @@
         let start = move |objective: &Objective| match objective.kind.as_str() {
             "wait" => Some(seconds_after(
                 job.ready_at,
-                objective.within_s? - START_LAG_S,
+                objective.within_s? - TASK_START_DELAY_S,
             )),
             "finished" => {
                 let end = seconds_after(job.ready_at, objective.within_s?);
--- a/crates/control/src/leader/planning/job_snapshots.rs
+++ b/crates/control/src/leader/planning/job_snapshots.rs
@@ -4,7 +4,9 @@
 use super::snapshot::SnapshotBuilder;
 use super::waiting_tasks::unassigned_tasks;
 use crate::leader::model::{Assignment, AssignmentStage, Job};
-use constants::{AGED_S, QUOTA_RESERVATION_PAUSE_S, QUOTA_RESERVATION_S, URGENT_S};
+use constants::{
+    AGING_THRESHOLD_S, DEADLINE_URGENT_SLACK_S, QUOTA_RESERVATION_PAUSE_S, QUOTA_RESERVATION_S,
+};
 use sched::{pilots_of, queue_of, JobSnapshot, Resources, RunningTask, TeamSnapshot, UNKNOWN_ZONE};
 
 /// Share of its estimate that a task is expected to go on for at least: one that has outrun it may run on for a while.
@@ -238,13 +240,13 @@
     /// longer count. A job without an objective is never urgent: it would go before all that have one.
     fn is_urgent(&self, job: &Job, latest_start: Option<u64>) -> bool {
         let now = self.now.unix;
-        let soon = now + (URGENT_S * 1000.0) as u64;
+        let soon = now + (DEADLINE_URGENT_SLACK_S * 1000.0) as u64;
         if latest_start.is_some_and(|latest| soon >= latest) {
             return true;
         }
         let begun = job.first_run.is_some() || job.assigned > 0 || job.done > 0;
         let age_s = now.saturating_sub(job.ready_at) as f64 / 1000.0;
-        !begun && age_s > AGED_S
+        !begun && age_s > AGING_THRESHOLD_S
     }
 
     /// Machines on which tasks of the job have failed, unless it seems to fail everywhere.
--- a/crates/control/src/leader/planning/snapshot.rs
+++ b/crates/control/src/leader/planning/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::leader::machine_health::MachineHealth;
 use crate::leader::model::{BootTimes, Machine};
 use crate::leader::Leader;
-use constants::{BOOT_OVERDUE, TASKS_PER_MACHINE};
+use constants::{BOOT_OVERDUE_FACTOR, TASKS_PER_MACHINE_MAX};
 use sched::{ClusterSnapshot, MachineSnapshot, Policy, ResourceBounds, Resources, TeamSnapshot};
 use std::collections::HashMap;
 use wire::cloud::MachineType;
@@ -109,7 +109,7 @@
         let booting =
             machine.expected && !machine.is_reconciled && !machine.failed && !machine.returning;
         let seen_late_s = self.boots.get(&machine.kind).and_then(BootTimes::late_s);
-        let late_s = seen_late_s.unwrap_or(boot_s * BOOT_OVERDUE);
+        let late_s = seen_late_s.unwrap_or(boot_s * BOOT_OVERDUE_FACTOR);
         let on_time = booting && machine.assignments.is_empty() && age_s < late_s;
         on_time.then(|| (boot_s - age_s).max(0.0))
     }
@@ -179,7 +179,7 @@
             free_after_stops: total,
             total,
             usable: leader.is_usable(machine, health, now),
-            free_slots: TASKS_PER_MACHINE.saturating_sub(assigned),
+            free_slots: TASKS_PER_MACHINE_MAX.saturating_sub(assigned),
             pilots: 0,
             slow: machine.is_slow() || health == MachineHealth::Suspect,
             images: images.map(|image| self.images.number(image)).collect(),
--- a/crates/control/src/leader/store/builder.rs
+++ b/crates/control/src/leader/store/builder.rs
@@ -4,7 +4,7 @@
 use super::transaction::{PendingTransaction, RecordChange};
 use crate::leader::pages::{max_compares, NoRoom, PageDrafts, PageRoom, PageWrite};
 use crate::settings::Limits;
-use constants::TXN_BYTES;
+use constants::TXN_MAX_BYTES;
 use wire::records::{page_key, LEADER};
 use wire::state::{Compare, Txn, Write};
 
@@ -42,7 +42,7 @@
         let writes = self.txn.writes.len() + self.drafts.len() + write.writes.len();
         let compares = self.txn.compares.len() + self.drafts.compares() + write.compares.len();
         let bytes = self.bytes + self.drafts.bytes();
-        let exceeds_bytes = bytes > 0 && bytes + write.bytes > TXN_BYTES;
+        let exceeds_bytes = bytes > 0 && bytes + write.bytes > TXN_MAX_BYTES;
         if writes > self.max_writes || compares > self.max_compares || exceeds_bytes {
             return Err(NoRoom);
         }
@@ -58,7 +58,7 @@
         PageRoom {
             writes: self.max_writes - self.txn.writes.len(),
             compares: self.max_compares - self.txn.compares.len(),
-            bytes: TXN_BYTES.saturating_sub(self.bytes),
+            bytes: TXN_MAX_BYTES.saturating_sub(self.bytes),
         }
     }
 
@@ -67,7 +67,7 @@
         (!self.drafts.is_empty()).then(|| PageRoom {
             writes: self.drafts.len(),
             compares: self.max_compares - self.txn.compares.len(),
-            bytes: TXN_BYTES,
+            bytes: TXN_MAX_BYTES,
         })
     }
 
--- a/crates/control/src/leader/store/pending_transactions.rs
+++ b/crates/control/src/leader/store/pending_transactions.rs
@@ -2,7 +2,7 @@
 
 use super::transaction::PendingTransaction;
 use crate::requests::RecordId;
-use constants::{INVALID_RETRY_MS, STATE_RETRY_MS, TXN_PARALLEL};
+use constants::{INVALID_TXN_RETRY_MS, STATE_RETRY_MS, TXNS_IN_FLIGHT_MAX};
 use std::collections::{BTreeSet, HashMap};
 
 /// A transaction that is to be sent again.
@@ -33,7 +33,7 @@
 
     /// Whether one more transaction may be sent meanwhile.
     pub(super) fn has_room(&self) -> bool {
-        self.transactions.len() < TXN_PARALLEL
+        self.transactions.len() < TXNS_IN_FLIGHT_MAX
     }
 
     /// Adds a transaction, and returns its number.
@@ -91,7 +91,7 @@
 
     /// Writes nothing for a while, after a transaction that the state service called invalid.
     pub(super) fn pause(&mut self, now: u64) {
-        self.paused_until = now + INVALID_RETRY_MS;
+        self.paused_until = now + INVALID_TXN_RETRY_MS;
     }
 
     /// Whether nothing is written for the time being.
--- a/crates/control/src/leader/store/record_write.rs
+++ b/crates/control/src/leader/store/record_write.rs
@@ -4,7 +4,7 @@
 use crate::leader::model::RecordCell;
 use crate::leader::Leader;
 use crate::requests::RecordId;
-use constants::TXN_BYTES;
+use constants::TXN_MAX_BYTES;
 use wire::records::{final_key, job_key, job_overflow_key};
 use wire::state::{Compare, Write};
 
@@ -13,7 +13,7 @@
 /// Estimated bytes of what archiving a job takes.
 const ARCHIVE_BYTES: usize = 400;
 /// Estimated bytes of the list of machine types. It is long, so that little else goes with it.
-const TYPES_BYTES: usize = TXN_BYTES / 2;
+const TYPES_BYTES: usize = TXN_MAX_BYTES / 2;
 
 /// Compares, writes and an estimate of the bytes that the change of one record needs.
 pub(super) struct RecordWrite {
--- a/crates/control/src/leader/store/write_queue.rs
+++ b/crates/control/src/leader/store/write_queue.rs
@@ -1,7 +1,7 @@
 //! Which records have to be written, in which order, and which may wait.
 
 use crate::requests::RecordId;
-use constants::{DEFERRED_WRITE_MAX_MS, DEFERRED_WRITE_MS, HOUSEKEEPING_MS};
+use constants::{DEFERRED_WRITE_MAX_MS, DEFERRED_WRITE_MS, HOUSEKEEPING_INTERVAL_MS};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Records whose write is wanted.
@@ -101,7 +101,7 @@
         if now < self.next_deferred_check {
             return Vec::new();
         }
-        self.next_deferred_check = now + HOUSEKEEPING_MS;
+        self.next_deferred_check = now + HOUSEKEEPING_INTERVAL_MS;
         // Starts and ends go first: deferred writes would take half of what a small state service accepts.
         let extra_delay_ms = if self.is_empty() {
             0
--- a/crates/control/src/leader/timers.rs
+++ b/crates/control/src/leader/timers.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::effects::Effects;
-use constants::{HOUSEKEEPING_MS, ROUND_AT_LEAST_MS, ROUND_EVERY_MS};
+use constants::{HOUSEKEEPING_INTERVAL_MS, ROUND_INTERVAL_MAX_MS, ROUND_INTERVAL_MIN_MS};
 
 impl Leader {
     /// Time-driven work. `active` tells whether the leader's lease is valid and the state service answers: without
@@ -16,7 +16,7 @@
         self.run_housekeeping(active, effects);
         let now = effects.now.mono;
         if active && self.plan_due && now >= self.next_round {
-            self.next_round = now + ROUND_EVERY_MS;
+            self.next_round = now + ROUND_INTERVAL_MIN_MS;
             self.run_round(effects);
         }
         self.flush(effects);
@@ -27,9 +27,9 @@
         if now < self.next_housekeeping {
             return;
         }
-        self.next_housekeeping = now + HOUSEKEEPING_MS;
+        self.next_housekeeping = now + HOUSEKEEPING_INTERVAL_MS;
         // Backoffs and rests end, and what was uncertain becomes certain, without any event.
-        self.plan_due |= now >= self.next_round + ROUND_AT_LEAST_MS;
+        self.plan_due |= now >= self.next_round + ROUND_INTERVAL_MAX_MS;
         self.check_machines_and_gangs(active, effects);
         if active {
             self.maintain_fleet(effects);
--- a/crates/control/src/leader/watch.rs
+++ b/crates/control/src/leader/watch.rs
@@ -46,7 +46,7 @@
             let is_delegated = machine.permit.is_some_and(|permit| {
                 delegation.is_some_and(|d| d.is_granted(permit.partition, now))
             });
-            let delegated_until = || delegation.and_then(|d| d.answers_until(name));
+            let delegated_until = || delegation.and_then(|d| d.latest_possible_answer(name));
             let is_expired =
                 !is_delegated && machine.lease_expired(now, expiry_ms, delegated_until);
             if is_expired {
--- a/crates/control/src/leader/watch/direct_orders.rs
+++ b/crates/control/src/leader/watch/direct_orders.rs
@@ -5,7 +5,7 @@
 use crate::leader::model::{Assignment, AssignmentStage, Job, Machine, Stop};
 use crate::leader::worker_heartbeats::{stop_order, task_name, PREEMPTED};
 use crate::leader::Leader;
-use constants::{DIRECT_STOP_REPEAT_MS, ORDERS_PER_ANSWER, ORDERS_TIMEOUT_MS};
+use constants::{DIRECT_ORDERS_TIMEOUT_MS, DIRECT_STOP_REPEAT_INTERVAL_MS, ORDERS_PER_ANSWER_MAX};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::workers::{DirectOrders, Order};
 
@@ -28,7 +28,7 @@
         if self.assignment.stage == AssignmentStage::Ready {
             return false;
         }
-        let is_recent = now < self.stop.since + DIRECT_STOP_REPEAT_MS;
+        let is_recent = now < self.stop.since + DIRECT_STOP_REPEAT_INTERVAL_MS;
         let is_in_gang = self.job.is_gang() && self.job.tasks() > 1;
         // Another job waits for the room of a preempted task.
         let is_preempted = self.stop.why == PREEMPTED;
@@ -63,7 +63,7 @@
             let Some(addr) = &machine.addr else {
                 continue;
             };
-            if now <= machine.last_direct_order_at + DIRECT_STOP_REPEAT_MS {
+            if now <= machine.last_direct_order_at + DIRECT_STOP_REPEAT_INTERVAL_MS {
                 continue;
             }
             let is_overdue = is_heartbeat_overdue(machine, overdue_ms, now);
@@ -76,7 +76,7 @@
             if orders.is_empty() || !self.direct_order_budget.take(now, 1.0) {
                 continue;
             }
-            orders.truncate(ORDERS_PER_ANSWER);
+            orders.truncate(ORDERS_PER_ANSWER_MAX);
             machine.last_direct_order_at = now;
             let body = wire::encode(&DirectOrders {
                 term: self.term,
@@ -121,6 +121,6 @@
         method: "POST",
         path: "/orders".into(),
         body,
-        timeout_ms: ORDERS_TIMEOUT_MS,
+        timeout_ms: DIRECT_ORDERS_TIMEOUT_MS,
     }
 }
--- a/crates/control/src/leader/worker_heartbeats/deferral.rs
+++ b/crates/control/src/leader/worker_heartbeats/deferral.rs
@@ -6,7 +6,7 @@
 use crate::effects::Now;
 use crate::leader::model::{AssignmentStage, Machine};
 use crate::leader::Leader;
-use constants::{DECISION_WAIT_MS, WORK_WAIT_LEASE_SHARE, WORK_WAIT_MS};
+use constants::{DECISION_WAIT_MS, WORK_LONG_POLL_LEASE_SHARE, WORK_LONG_POLL_MS};
 use wire::workers::{HeartbeatResponse, TaskStatus, WorkerHeartbeat};
 
 /// A heartbeat whose answer waits for a decision.
@@ -88,9 +88,9 @@
         let workers = &self.settings.deployment.workers;
         let limit_ms = match is_idle {
             true => milliseconds(workers.report_s),
-            false => (workers.lease_s * 1000.0 * WORK_WAIT_LEASE_SHARE) as u64,
+            false => (workers.lease_s * 1000.0 * WORK_LONG_POLL_LEASE_SHARE) as u64,
         };
-        WORK_WAIT_MS.min(limit_ms)
+        WORK_LONG_POLL_MS.min(limit_ms)
     }
 
     /// Whether a machine has room for what its type is rented for: one GPU, or else one CPU.
--- a/crates/control/src/leader/worker_heartbeats/orders.rs
+++ b/crates/control/src/leader/worker_heartbeats/orders.rs
@@ -4,7 +4,7 @@
 use crate::effects::Now;
 use crate::leader::model::{AssignmentStage, Stop};
 use crate::leader::Leader;
-use constants::ORDERS_PER_ANSWER;
+use constants::ORDERS_PER_ANSWER_MAX;
 use wire::workers::{Order, TaskPhase, TaskStatus};
 
 /// Reason of a stop that frees room for another job which is entitled to it.
@@ -26,7 +26,7 @@
         let mut orders: Vec<Order> = listed
             .iter()
             .filter_map(|status| self.order_for_listed_task(name, status))
-            .take(ORDERS_PER_ANSWER)
+            .take(ORDERS_PER_ANSWER_MAX)
             .collect();
         if may_start {
             self.add_start_orders(name, &mut orders, now.mono);
@@ -62,7 +62,7 @@
     /// Adds the starts that may be sent to a machine, as far as the answer has room for them.
     fn add_start_orders(&mut self, machine: &str, orders: &mut Vec<Order>, now: u64) {
         for (id, task) in self.assigned_tasks_on_machine(machine) {
-            if orders.len() >= ORDERS_PER_ANSWER {
+            if orders.len() >= ORDERS_PER_ANSWER_MAX {
                 return;
             }
             orders.extend(self.start_order(machine, &id, task, now));
@@ -97,7 +97,7 @@
         listed
             .iter()
             .filter(|status| status.phase != TaskPhase::Ended && self.is_job_over(&status.task))
-            .take(ORDERS_PER_ANSWER)
+            .take(ORDERS_PER_ANSWER_MAX)
             .map(|status| stop_order(&status.task, status.attempt, 0.0))
             .collect()
     }
--- a/crates/control/src/leader/worker_heartbeats/reachability.rs
+++ b/crates/control/src/leader/worker_heartbeats/reachability.rs
@@ -4,14 +4,16 @@
 use super::milliseconds;
 use crate::leader::model::Machine;
 use crate::leader::Leader;
-use constants::{DRIFT, EARLY_EXPIRIES_MAX, LEASE_MARGIN_MS, UNDELIVERED_STARTS_MAX};
+use constants::{
+    CLOCK_DRIFT_FACTOR, EARLY_EXPIRIES_MAX, LEASE_EXPIRY_MARGIN_MS, UNDELIVERED_STARTS_MAX,
+};
 use wire::workers::WorkerHeartbeat;
 
 impl Leader {
     /// Milliseconds after our last answer at which a worker's lease has certainly expired.
     pub(in crate::leader) fn lease_expiry_ms(&self) -> u64 {
         let lease_s = self.settings.deployment.workers.lease_s;
-        milliseconds_with_drift(lease_s) + LEASE_MARGIN_MS
+        milliseconds_with_drift(lease_s) + LEASE_EXPIRY_MARGIN_MS
     }
 
     /// Concludes from a heartbeat's incarnation whether our answers reach its worker. `previous_answer` is when the
@@ -23,7 +25,8 @@
         now: u64,
     ) {
         let expiry_ms = self.lease_expiry_ms();
-        let worker_lease_ms = milliseconds(self.settings.deployment.workers.lease_s / DRIFT);
+        let worker_lease_ms =
+            milliseconds(self.settings.deployment.workers.lease_s / CLOCK_DRIFT_FACTOR);
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return;
         };
@@ -79,5 +82,5 @@
 
 /// Milliseconds on our clock within which a number of seconds has passed on another machine's clock.
 fn milliseconds_with_drift(seconds: f64) -> u64 {
-    (seconds * 1000.0 * DRIFT) as u64
+    (seconds * 1000.0 * CLOCK_DRIFT_FACTOR) as u64
 }
--- a/crates/control/src/leader/worker_heartbeats/reconciliation.rs
+++ b/crates/control/src/leader/worker_heartbeats/reconciliation.rs
@@ -4,7 +4,7 @@
 use super::task_names::parse_task_name;
 use crate::effects::Now;
 use crate::leader::Leader;
-use constants::BOOT_OVERDUE;
+use constants::BOOT_OVERDUE_FACTOR;
 use std::collections::BTreeMap;
 use wire::workers::{EndCause, TaskPhase, TaskStatus, WorkerHeartbeat};
 
@@ -52,8 +52,8 @@
         let boot_s = now.saturating_sub(machine.known_since) as f64 / 1000.0;
         let machine_type = find_machine_type(&self.types.desired, &machine.kind);
         // Boots that take several times as long teach nothing about the usual ones.
-        let is_usual =
-            machine_type.is_some_and(|machine_type| boot_s < machine_type.boot_s * BOOT_OVERDUE);
+        let is_usual = machine_type
+            .is_some_and(|machine_type| boot_s < machine_type.boot_s * BOOT_OVERDUE_FACTOR);
         if machine.rented && is_usual {
             let boots = self.boots.entry(machine.kind.clone()).or_default();
             boots.add(boot_s);
--- a/crates/control/src/leader/worker_heartbeats/task_state.rs
+++ b/crates/control/src/leader/worker_heartbeats/task_state.rs
@@ -3,12 +3,12 @@
 use crate::effects::Now;
 use crate::leader::model::{Assignment, AssignmentStage, Job};
 use crate::leader::Leader;
-use constants::ERROR_PAUSE_MS;
+use constants::JOB_FAILURE_BACKOFF_MS;
 use wire::workers::{EndCause, TaskPhase, WorkerHeartbeat};
 
 /// Milliseconds for which a job pauses after a worker refused one of its starts. Nothing failed, so the pause is
 /// shorter than after an error.
-const REFUSED_START_PAUSE_MS: u64 = ERROR_PAUSE_MS / 2;
+const REFUSED_START_PAUSE_MS: u64 = JOB_FAILURE_BACKOFF_MS / 2;
 
 /// What a heartbeat changed in an assignment.
 struct AssignmentUpdate {
--- a/crates/control/src/leadership_watch.rs
+++ b/crates/control/src/leadership_watch.rs
@@ -5,8 +5,8 @@
 use crate::peers::Peers;
 use crate::state::StateClient;
 use constants::{
-    LEADER_LEASE_MS, PROBE_MS, RESIGN_WITHOUT_PEER_NOTICE_MS, STATE_DOWN_MS,
-    UNCERTAIN_RESIGN_INTERVAL_MS, WITHOUT_WORKERS_MS,
+    LEADER_LEASE_MS, LEADER_PROBE_INTERVAL_MS, RESIGN_WITHOUT_PEER_NOTICE_MS,
+    RESIGN_WITHOUT_REPORTS_MS, STATE_UNAVAILABLE_MS, UNCERTAIN_RESIGN_INTERVAL_MS,
 };
 
 /// Why a leader resigns.
@@ -98,7 +98,7 @@
         // After an outage of the state service a peer may simply be the first to notice its end.
         if self
             .without_state
-            .exceeds(STATE_DOWN_MS, is_without_state, now)
+            .exceeds(STATE_UNAVAILABLE_MS, is_without_state, now)
         {
             return Some(ResignReason::PeerReachesState);
         }
@@ -119,13 +119,13 @@
         let is_without_workers = none_reports && workers_reach_peer;
         if self
             .without_workers
-            .exceeds(WITHOUT_WORKERS_MS, is_without_workers, now)
+            .exceeds(RESIGN_WITHOUT_REPORTS_MS, is_without_workers, now)
         {
             return Some(ResignReason::WorkersReachPeer);
         }
         let cut_off_ms = self.cut_off.update(none_reports || none_receives, now)?;
         // Workers that move from one node to the next reach a peer only now and then.
-        let may_peer_lead = workers_reach_peer && cut_off_ms > WITHOUT_WORKERS_MS;
+        let may_peer_lead = workers_reach_peer && cut_off_ms > RESIGN_WITHOUT_REPORTS_MS;
         // The peer that workers reach may be the one that can't tell this node.
         let is_no_peer_known =
             none_reports && leader.knows_machines() && cut_off_ms > RESIGN_WITHOUT_PEER_NOTICE_MS;
@@ -154,7 +154,7 @@
     /// The first probe is due a while after `now`.
     pub fn new(now: u64) -> Self {
         LeaderProbe {
-            next_probe: now + PROBE_MS,
+            next_probe: now + LEADER_PROBE_INTERVAL_MS,
         }
     }
 
@@ -162,7 +162,7 @@
     pub fn take_due(&mut self, now: u64) -> bool {
         let is_due = now >= self.next_probe;
         if is_due {
-            self.next_probe = now + PROBE_MS;
+            self.next_probe = now + LEADER_PROBE_INTERVAL_MS;
         }
         is_due
     }
--- a/crates/control/src/machine_types.rs
+++ b/crates/control/src/machine_types.rs
@@ -4,7 +4,7 @@
 
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
-use constants::LEADER_POLL_MS;
+use constants::LEADER_POLL_INTERVAL_MS;
 use wire::records::TYPES;
 
 /// Reads the record of machine types until it has been found.
@@ -37,7 +37,7 @@
     /// Reports the types to the node if the read found them. Otherwise it is repeated after a while.
     pub fn on_reply(&mut self, reply: StateReply, effects: &mut Effects) {
         self.reading = false;
-        self.next_read = effects.now.mono + LEADER_POLL_MS;
+        self.next_read = effects.now.mono + LEADER_POLL_INTERVAL_MS;
         let StateReply::Item(item) = reply else {
             return;
         };
--- a/crates/control/src/node/answering_rights.rs
+++ b/crates/control/src/node/answering_rights.rs
@@ -1,7 +1,7 @@
 //! What this node may decide, and whom it may answer, by its lease and by what it knows of cancellations.
 
 use super::Node;
-use constants::{CANCELLATIONS_KNOWN_MS, CUT_OFF_MS};
+use constants::{CANCELLATION_KNOWLEDGE_MAX_AGE_MS, ISOLATION_NOT_READY_MS};
 
 impl Node {
     /// Whether neither the state service nor a peer, through which users could be served, has been reached
@@ -19,7 +19,7 @@
             .started_at()
             .max(peer_contact_at)
             .max(self.state.last_good());
-        !self.state.is_up(now) && now > last_contact + CUT_OFF_MS
+        !self.state.is_up(now) && now > last_contact + ISOLATION_NOT_READY_MS
     }
 
     /// The moment up to which every cancellation that was confirmed to a user is known to the leader: by
@@ -35,7 +35,7 @@
     pub(super) fn active(&self, now: u64) -> bool {
         self.planned_stop.is_none()
             && self.election.is_lease_valid(now)
-            && self.is_informed_within(CANCELLATIONS_KNOWN_MS, now)
+            && self.is_informed_within(CANCELLATION_KNOWLEDGE_MAX_AGE_MS, now)
     }
 
     /// Whether the leader may answer workers, that is renew their leases.
--- a/crates/control/src/node/partition_view.rs
+++ b/crates/control/src/node/partition_view.rs
@@ -4,7 +4,7 @@
 use crate::effects::{Effects, Now};
 use crate::partitions::{Partitions, PartitionsStatus, View};
 use crate::settings::{Operator, Settings};
-use constants::{DRIFT, GRANT_MS};
+use constants::{CLOCK_DRIFT_FACTOR, GRANT_DURATION_MS};
 use wire::partitions::{PartitionId, PartitionMessage};
 
 impl Node {
@@ -28,8 +28,8 @@
             return 0;
         };
         let answers_until = informed_until + self.settings.keepalive_ms();
-        let left_ms = answers_until.saturating_sub(now) as f64 / DRIFT;
-        GRANT_MS.min(left_ms as u64)
+        let left_ms = answers_until.saturating_sub(now) as f64 / CLOCK_DRIFT_FACTOR;
+        GRANT_DURATION_MS.min(left_ms as u64)
     }
 
     /// Lets the actor for partitions do what is due.
--- a/crates/control/src/node/planned_stop.rs
+++ b/crates/control/src/node/planned_stop.rs
@@ -3,11 +3,11 @@
 use super::Node;
 use crate::effects::{Effects, Now, Output};
 use crate::leader::Leader;
-use constants::{HANDOVER_DRAIN_MS, STOP_MS};
+use constants::{HANDOVER_DRAIN_TIMEOUT_MS, SHUTDOWN_TIMEOUT_MS};
 use wire::peers::PeerMessage;
 
 /// Milliseconds between checks whether the leader's transactions have completed: a small part of the time they have.
-const STOP_CHECK_MS: u64 = HANDOVER_DRAIN_MS / 10;
+const STOP_CHECK_MS: u64 = HANDOVER_DRAIN_TIMEOUT_MS / 10;
 
 /// A planned stop under way.
 #[derive(Debug, Clone, Copy)]
@@ -35,7 +35,7 @@
             && self.deferred_answers.is_empty()
             && self.pending_heartbeats.is_empty()
             && now > stop.since;
-        is_idle || now >= stop.since + STOP_MS
+        is_idle || now >= stop.since + SHUTDOWN_TIMEOUT_MS
     }
 
     /// Hands leadership over once no transaction of ours is under way, or has been for too long.
@@ -50,7 +50,7 @@
         let now = effects.now.mono;
         let leader = self.leader.as_ref();
         let is_busy = leader.is_some_and(Leader::has_writes_in_flight);
-        if is_busy && now < stop.since + HANDOVER_DRAIN_MS {
+        if is_busy && now < stop.since + HANDOVER_DRAIN_TIMEOUT_MS {
             return;
         }
         let successor = self.rollout.successor(&self.peers, now);
--- a/crates/control/src/node/stall.rs
+++ b/crates/control/src/node/stall.rs
@@ -4,7 +4,7 @@
 
 use super::Node;
 use crate::effects::{Effects, Now};
-use constants::STALL_MS;
+use constants::PROCESS_STALL_MS;
 
 /// Reason for refusing the requests that waited through a stall.
 const STALLED: &str = "this node stood still";
@@ -19,7 +19,7 @@
     pub(super) fn check_for_stall(&mut self, now: Now, effects: &mut Effects) {
         let stalled_ms = now.mono.saturating_sub(self.last_now.mono);
         self.last_now = now;
-        if stalled_ms <= STALL_MS {
+        if stalled_ms <= PROCESS_STALL_MS {
             return;
         }
         log::info!("event=process_stalled stalled_ms={stalled_ms}");
--- a/crates/control/src/node/wakeup.rs
+++ b/crates/control/src/node/wakeup.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::leader::Leader;
 use crate::partitions::Partitions;
-use constants::GATEWAY_WAKE_MS;
+use constants::GATEWAY_WAKE_INTERVAL_MS;
 
 impl Node {
     /// When [`Node::tick`] wants to be called, on the steady clock.
@@ -17,7 +17,7 @@
             leader.map(|leader| leader.next_wake(self.active(now))),
             self.state.next_wake(),
             self.cloud.next_wake(),
-            (!self.gateway.is_idle()).then_some(now + GATEWAY_WAKE_MS),
+            (!self.gateway.is_idle()).then_some(now + GATEWAY_WAKE_INTERVAL_MS),
             Some(self.gateway.next_wake()),
             Some(self.rollout.next_wake()),
             self.partitions.as_ref().map(Partitions::next_wake),
--- a/crates/control/src/node/worker_heartbeats.rs
+++ b/crates/control/src/node/worker_heartbeats.rs
@@ -6,7 +6,7 @@
 use crate::forwarding::{ForwardedRequests, HttpRequest, HEARTBEAT_PATH};
 use crate::leader::{AnsweredHeartbeat, HeartbeatOutcome};
 use crate::pending_heartbeats::LeaderStatus;
-use constants::{PEER_HEARTBEAT_MS, REPORT_DROP_MS};
+use constants::{PEER_HEARTBEAT_INTERVAL_MS, WORKER_REPORT_TIMEOUT_MS};
 use partitions::Decision;
 use wire::workers::{HeartbeatResponse, Redirect, WorkerHeartbeat};
 
@@ -206,8 +206,8 @@
     /// The leader, if it has led for long enough to be reached by workers, and is alive, but no worker reaches it.
     fn leader_unreached_by_workers(&self, now: u64) -> Option<String> {
         let report_s = self.settings.deployment.workers.report_s;
-        let unreached_ms = (report_s * UNREACHED_MS_PER_S) as u64 + PEER_HEARTBEAT_MS;
-        if now <= self.election.known_since() + 2 * REPORT_DROP_MS {
+        let unreached_ms = (report_s * UNREACHED_MS_PER_S) as u64 + PEER_HEARTBEAT_INTERVAL_MS;
+        if now <= self.election.known_since() + 2 * WORKER_REPORT_TIMEOUT_MS {
             return None;
         }
         let leader = self.election.leader_label(now)?;
--- a/crates/control/src/partitions/leading.rs
+++ b/crates/control/src/partitions/leading.rs
@@ -11,8 +11,8 @@
 use crate::effects::Effects;
 use crate::leader::Leader;
 use ::partitions::rebalance::{Pins, Rebalancer};
-use ::partitions::Handover;
-use constants::{HOUSEKEEPING_MS, PERMITS_REVIEW_MS};
+use ::partitions::PartitionMover;
+use constants::{HOUSEKEEPING_INTERVAL_MS, PERMIT_REVIEW_INTERVAL_MS};
 use std::collections::BTreeMap;
 use wire::partitions::{ControllerLoad, Permit};
 
@@ -39,7 +39,7 @@
     leader_version: u64,
     /// When the term began.
     since: u64,
-    handover: Handover,
+    handover: PartitionMover,
     rebalancer: Rebalancer,
     redirects: Redirects,
     owners: BTreeMap<String, ReportingOwner>,
@@ -63,7 +63,7 @@
     /// A controller that has just been elected, with the version of its leader key.
     pub fn new(label: String, pins: Pins, term: u64, leader_version: u64, now: u64) -> Self {
         Leading {
-            handover: Handover::new(&label),
+            handover: PartitionMover::new(&label),
             rebalancer: Rebalancer::new(pins),
             redirects: Redirects::new(),
             label,
@@ -102,7 +102,7 @@
         status.table = rows
             .map(|(_, row)| (row.owner.clone(), row.epoch))
             .collect();
-        status.moving = self.handover.moves();
+        status.moving = self.handover.move_count();
     }
 
     /// The number of partitions of each controller, for the log.
@@ -117,7 +117,7 @@
         format!(
             "owners={} moving={}",
             owners.collect::<Vec<String>>().join(","),
-            self.handover.moves()
+            self.handover.move_count()
         )
     }
 
@@ -139,9 +139,9 @@
         if now < self.next_check {
             return;
         }
-        self.next_check = now + HOUSEKEEPING_MS;
+        self.next_check = now + HOUSEKEEPING_INTERVAL_MS;
         if now >= self.next_review {
-            self.next_review = now + PERMITS_REVIEW_MS;
+            self.next_review = now + PERMIT_REVIEW_INTERVAL_MS;
             leader.review_delegation(now);
         }
         if !view.rollout.has_partitions() || self.is_unusable {
--- a/crates/control/src/partitions/leading/grants.rs
+++ b/crates/control/src/partitions/leading/grants.rs
@@ -6,7 +6,7 @@
 use crate::partitions::{send, View};
 use crate::peers::Peers;
 use ::partitions::partition_of;
-use constants::{PEER_FRESH_MS, REDIRECT_GRANT_MS};
+use constants::{PEER_HEARTBEAT_FRESH_MS, REDIRECT_GRANT_REMAINING_MIN_MS};
 use wire::partitions::{GrantRequest, PartitionBody};
 use wire::workers::WorkerHeartbeat;
 
@@ -30,7 +30,7 @@
         if !view.rollout.has_partitions() || self.is_unusable || view.grant_ms == 0 {
             return;
         }
-        let entitled = self.handover.entitled(from);
+        let entitled = self.handover.grantable_partitions(from);
         let grant = leader.on_grant_request(from, request, &entitled, view.grant_ms, now);
         match grant {
             Ok(Some(grant)) => send(from, self.term, PartitionBody::Grant(grant), effects),
@@ -75,10 +75,10 @@
     ) -> Option<String> {
         let partition = partition_of(&report.machine);
         let owner = leader
-            .grant_holder_at(partition, now + REDIRECT_GRANT_MS)?
+            .grant_holder_at(partition, now + REDIRECT_GRANT_REMAINING_MIN_MS)?
             .to_string();
         let heard = self.owners.get(&owner)?;
-        let is_fresh = now < heard.at + PEER_FRESH_MS;
+        let is_fresh = now < heard.at + PEER_HEARTBEAT_FRESH_MS;
         let is_current = is_fresh && report.term == self.term;
         let may_redirect = is_current && leader.may_be_redirected(&report.machine, now);
         let redirected = may_redirect && self.redirects.try_redirect(&report.machine, &owner, now);
--- a/crates/control/src/partitions/leading/moves.rs
+++ b/crates/control/src/partitions/leading/moves.rs
@@ -19,7 +19,7 @@
             let partition = planned.partition;
             let begun = self
                 .handover
-                .begin(partition, &planned.to, planned.pinned, now);
+                .begin_move(partition, &planned.to, planned.pinned, now);
             if begun {
                 log::info!(
                     "event=partition_moves partition={partition} to={}",
@@ -34,7 +34,7 @@
         let row = self.handover.table().row(partition);
         let is_free = row.is_some_and(|row| !row.pinned);
         let is_known = to == self.label || self.owners.contains_key(to);
-        is_free && is_known && self.handover.begin(partition, to, false, now)
+        is_free && is_known && self.handover.begin_move(partition, to, false, now)
     }
 
     /// The leader itself, the controllers heard in this term, and those that own partitions.
--- a/crates/control/src/partitions/leading/permits.rs
+++ b/crates/control/src/partitions/leading/permits.rs
@@ -4,7 +4,7 @@
 use crate::effects::Effects;
 use crate::leader::{AnsweredHeartbeat, Leader};
 use crate::partitions::send;
-use constants::{PERMITS_A_FRAME, PERMITS_WAIT_MS};
+use constants::{PERMITS_PER_FRAME_MAX, PERMIT_BATCH_DELAY_MS};
 use wire::partitions::PartitionBody;
 
 impl Leading {
@@ -21,7 +21,7 @@
             return;
         };
         if self.permits.is_empty() {
-            self.next_permits = now + PERMITS_WAIT_MS;
+            self.next_permits = now + PERMIT_BATCH_DELAY_MS;
         }
         let key = (peer.to_string(), boot);
         self.permits.entry(key).or_default().push(permit);
@@ -33,7 +33,7 @@
             return;
         }
         for ((owner, boot), permits) in std::mem::take(&mut self.permits) {
-            for permits in permits.chunks(PERMITS_A_FRAME) {
+            for permits in permits.chunks(PERMITS_PER_FRAME_MAX) {
                 let permits = permits.to_vec();
                 let body = PartitionBody::Permits { boot, permits };
                 send(&owner, self.term, body, effects);
@@ -47,7 +47,7 @@
             // Permits that have not been sent yet must not arrive after their recall.
             self.next_permits = 0;
             self.send_permits(effects);
-            for permits in recalled.chunks(PERMITS_A_FRAME) {
+            for permits in recalled.chunks(PERMITS_PER_FRAME_MAX) {
                 let permits = permits.to_vec();
                 let body = PartitionBody::Recall { boot, permits };
                 send(&owner, self.term, body, effects);
--- a/crates/control/src/partitions/leading/table.rs
+++ b/crates/control/src/partitions/leading/table.rs
@@ -3,7 +3,7 @@
 use super::{Leading, Pending};
 use crate::effects::Effects;
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
-use constants::TABLE_RETRY_MS;
+use constants::OWNERSHIP_TABLE_RETRY_MS;
 use wire::partitions::PartitionId;
 use wire::records::{PartitionsRecord, PARTITIONS};
 use wire::state::Page;
@@ -53,19 +53,19 @@
         match (pending, reply) {
             (Some(Pending::Read), StateReply::Page(page)) => self.on_table(page),
             (Some(Pending::Write), StateReply::Committed { version }) => {
-                for partition in self.handover.committed(version) {
+                for partition in self.handover.on_write_committed(version) {
                     self.log_move(partition);
                 }
             }
             (Some(Pending::Write), StateReply::Refused) => {
-                self.handover.refused();
-                self.next_request = now + TABLE_RETRY_MS;
+                self.handover.on_write_rejected();
+                self.next_request = now + OWNERSHIP_TABLE_RETRY_MS;
             }
             (Some(Pending::Write), _) => {
-                self.handover.unknown();
-                self.next_request = now + TABLE_RETRY_MS;
+                self.handover.on_write_unknown();
+                self.next_request = now + OWNERSHIP_TABLE_RETRY_MS;
             }
-            _ => self.next_request = now + TABLE_RETRY_MS,
+            _ => self.next_request = now + OWNERSHIP_TABLE_RETRY_MS,
         }
         self.next_check = now;
     }
@@ -75,7 +75,7 @@
         for item in page.items {
             let record = item.value.deserialized::<PartitionsRecord>();
             let read = record.map_err(|why| why.to_string()).and_then(|record| {
-                let loaded = self.handover.load(&item.key, record, item.version);
+                let loaded = self.handover.load_record(&item.key, record, item.version);
                 loaded.map_err(|why| why.to_string())
             });
             if let Err(why) = read {
@@ -83,7 +83,7 @@
                 log::error!("event=partitions_unusable key={} why={why:?}", item.key);
             }
         }
-        self.handover.loaded();
+        self.handover.on_loaded();
     }
 
     fn log_move(&self, partition: PartitionId) {
--- a/crates/control/src/partitions/load.rs
+++ b/crates/control/src/partitions/load.rs
@@ -1,6 +1,6 @@
 //! The load of this process, for the rebalancing of partitions.
 
-use constants::GRANT_RENEW_MS;
+use constants::GRANT_RENEW_INTERVAL_MS;
 use wire::partitions::ControllerLoad;
 
 /// Share of the last measurement that the next one replaces.
@@ -47,7 +47,7 @@
     /// The load, smoothed over some seconds.
     pub fn measure(&mut self, now: u64) -> ControllerLoad {
         let passed_ms = now.saturating_sub(self.since);
-        if passed_ms >= GRANT_RENEW_MS {
+        if passed_ms >= GRANT_RENEW_INTERVAL_MS {
             let share = self.turns_us as f64 / (passed_ms as f64 * 1000.0);
             self.processor += NEW_SHARE * (share.min(1.0) - self.processor);
             (self.since, self.turns_us) = (now, 0);
--- a/crates/control/src/partitions/mod.rs
+++ b/crates/control/src/partitions/mod.rs
@@ -17,7 +17,7 @@
 use crate::settings::Settings;
 use ::partitions::rebalance::Pins;
 use ::partitions::{Decision, Owner};
-use constants::PARTITIONS_LOG_MS;
+use constants::PARTITIONS_LOG_INTERVAL_MS;
 use leading::Leading;
 use load::LoadMeter;
 use wire::partitions::{PartitionBody, PartitionId, PartitionMessage};
@@ -99,7 +99,7 @@
             load: LoadMeter::new(now),
             leading: None,
             granted_by: None,
-            next_status_log: now + PARTITIONS_LOG_MS,
+            next_status_log: now + PARTITIONS_LOG_INTERVAL_MS,
         }
     }
 
@@ -111,8 +111,8 @@
     /// What this controller knows of partitions.
     pub fn status(&self, now: u64) -> PartitionsStatus {
         let mut status = PartitionsStatus {
-            granted: self.owner.partitions_held(now),
-            steady: self.owner.steady_machines(),
+            granted: self.owner.held_partition_count(now),
+            steady: self.owner.steady_machine_count(),
             ..PartitionsStatus::default()
         };
         if let Some(leading) = &self.leading {
@@ -124,7 +124,7 @@
     /// When [`Partitions::tick`] is to be called next.
     pub fn next_wake(&self) -> u64 {
         let leading = self.leading.as_ref().map(Leading::next_wake);
-        let wake = leading.unwrap_or(self.owner.next_wake());
+        let wake = leading.unwrap_or(self.owner.next_request_at());
         wake.min(self.next_status_log)
     }
 
@@ -207,7 +207,7 @@
     fn request_grant(&mut self, view: &View, effects: &mut Effects) {
         let now = effects.now.mono;
         let load = self.load.measure(now);
-        let Some(request) = self.owner.request(load, now) else {
+        let Some(request) = self.owner.next_request(load, now) else {
             return;
         };
         let leader = view.leader.or(self.granting_leader(view.term));
@@ -267,11 +267,11 @@
         if now < self.next_status_log {
             return;
         }
-        self.next_status_log = now + PARTITIONS_LOG_MS;
+        self.next_status_log = now + PARTITIONS_LOG_INTERVAL_MS;
         log::info!(
             "event=partitions_status granted={} steady={} {}",
-            self.owner.partitions_held(now),
-            self.owner.steady_machines(),
+            self.owner.held_partition_count(now),
+            self.owner.steady_machine_count(),
             self.leading
                 .as_ref()
                 .map_or_else(String::new, Leading::summary)
--- a/crates/control/src/partitions/redirects.rs
+++ b/crates/control/src/partitions/redirects.rs
@@ -3,7 +3,8 @@
 
 use crate::token_bucket::TokenBucket;
 use constants::{
-    REDIRECTED_MAX, REDIRECTS_A_SECOND, REDIRECTS_FAILED, REDIRECT_DOUBLINGS, REDIRECT_PAUSE_MS,
+    REDIRECTED_WORKERS_MAX, REDIRECTS_PER_S, REDIRECT_BACKOFF_DOUBLINGS_MAX, REDIRECT_BACKOFF_MS,
+    UNREACHABLE_OWNER_FAILED_REDIRECTS,
 };
 use std::collections::HashMap;
 
@@ -37,7 +38,7 @@
     /// Nothing has been redirected in this term.
     pub fn new() -> Self {
         Redirects {
-            rate: TokenBucket::new(REDIRECTS_A_SECOND, REDIRECTS_A_SECOND),
+            rate: TokenBucket::new(REDIRECTS_PER_S, REDIRECTS_PER_S),
             workers: HashMap::new(),
             failures: HashMap::new(),
         }
@@ -55,7 +56,8 @@
                 failures.count += 1;
                 failures.last_at = now;
             }
-            let pause_ms = REDIRECT_PAUSE_MS << (last.returns - 1).min(REDIRECT_DOUBLINGS);
+            let pause_ms =
+                REDIRECT_BACKOFF_MS << (last.returns - 1).min(REDIRECT_BACKOFF_DOUBLINGS_MAX);
             if now < last.at + pause_ms {
                 return false;
             }
@@ -64,7 +66,7 @@
         if !self.rate.take(now, 1.0) {
             return false;
         }
-        if self.workers.len() >= REDIRECTED_MAX {
+        if self.workers.len() >= REDIRECTED_WORKERS_MAX {
             self.workers.clear();
         }
         let redirected = Redirected {
@@ -91,7 +93,8 @@
     /// Whether workers that were recently redirected to an owner came back.
     pub fn is_unreachable(&self, owner: &str, now: u64) -> bool {
         self.failures.get(owner).is_some_and(|failures| {
-            failures.count >= REDIRECTS_FAILED && now < failures.last_at + REDIRECT_PAUSE_MS
+            failures.count >= UNREACHABLE_OWNER_FAILED_REDIRECTS
+                && now < failures.last_at + REDIRECT_BACKOFF_MS
         })
     }
 }
--- a/crates/control/src/peer_heartbeats.rs
+++ b/crates/control/src/peer_heartbeats.rs
@@ -11,7 +11,9 @@
 use crate::leader::Leader;
 use crate::peers::Peers;
 use crate::state::StateClient;
-use constants::{COUNTS_MS, JOB_UPDATES_MAX, PEER_HEARTBEAT_MS};
+use constants::{
+    JOB_UPDATES_PER_MESSAGE_MAX, OPEN_JOB_COUNTS_INTERVAL_MS, PEER_HEARTBEAT_INTERVAL_MS,
+};
 use wire::peers::PeerMessage;
 use wire::records::Final;
 
@@ -104,7 +106,7 @@
         if now < self.next_heartbeat {
             return;
         }
-        self.next_heartbeat = now + PEER_HEARTBEAT_MS;
+        self.next_heartbeat = now + PEER_HEARTBEAT_INTERVAL_MS;
         self.send_heartbeats(election, state, peers, effects);
         if let Some(leader) = leader.filter(|leader| leader.is_ready()) {
             self.send_open_jobs(leader, gateway, effects);
@@ -151,7 +153,7 @@
         if now < self.next_open_jobs {
             return;
         }
-        self.next_open_jobs = now + COUNTS_MS;
+        self.next_open_jobs = now + OPEN_JOB_COUNTS_INTERVAL_MS;
         let jobs = leader.next_job_updates();
         gateway.on_job_updates(&jobs);
         let term = leader.term;
@@ -161,7 +163,7 @@
     fn send_ended_jobs(&mut self, effects: &mut Effects) {
         let ended = std::mem::take(&mut self.ended_jobs);
         // A message beyond the size of a frame would not be sent at all.
-        for jobs in ended.chunks(JOB_UPDATES_MAX) {
+        for jobs in ended.chunks(JOB_UPDATES_PER_MESSAGE_MAX) {
             let is_done = |job: &EndedJob| job.end == Final::Done;
             let jobs = jobs.iter().map(|job| (job.id.clone(), is_done(job)));
             effects.send_to_all_peers(PeerMessage::Over {
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -3,7 +3,7 @@
 mod cancellations;
 
 use cancellations::ConfirmedCancellations;
-use constants::PEER_FRESH_MS;
+use constants::PEER_HEARTBEAT_FRESH_MS;
 use std::collections::BTreeMap;
 
 /// A peer's last heartbeat.
@@ -29,12 +29,13 @@
 impl PeerHeartbeat {
     /// Whether the state service answers the peer.
     fn reaches_state(&self) -> bool {
-        self.state_ago_ms < PEER_FRESH_MS
+        self.state_ago_ms < PEER_HEARTBEAT_FRESH_MS
     }
 
     /// Whether a worker reported to the peer directly in the last moments.
     fn is_reached_by_workers(&self) -> bool {
-        self.worker_ago_ms.is_some_and(|ms| ms < PEER_FRESH_MS)
+        self.worker_ago_ms
+            .is_some_and(|ms| ms < PEER_HEARTBEAT_FRESH_MS)
     }
 }
 
@@ -98,7 +99,7 @@
     fn recent_peers(&self, now: u64) -> impl Iterator<Item = (&str, &PeerHeartbeat)> {
         self.known
             .iter()
-            .filter(move |(_, peer)| peer.at > 0 && now < peer.at + PEER_FRESH_MS)
+            .filter(move |(_, peer)| peer.at > 0 && now < peer.at + PEER_HEARTBEAT_FRESH_MS)
             .map(|(label, peer)| (label.as_str(), peer))
     }
 
--- a/crates/control/src/pending_heartbeats.rs
+++ b/crates/control/src/pending_heartbeats.rs
@@ -9,8 +9,8 @@
 
 use crate::effects::RequestId;
 use constants::{
-    PENDING_HEARTBEATS_CHECK_MS, PENDING_HEARTBEATS_PER_TURN, PENDING_HEARTBEAT_LOADING_MS,
-    PENDING_HEARTBEAT_MS, PENDING_WAKE_MS,
+    LEADER_LOADING_DEFERRAL_MS, NO_LEADER_DEFERRAL_MS, PENDING_HEARTBEATS_CHECK_INTERVAL_MS,
+    PENDING_HEARTBEATS_PER_TURN_MAX, PENDING_HEARTBEATS_WAKE_INTERVAL_MS,
 };
 
 /// What a node knows of the leader, as far as pending heartbeats are concerned.
@@ -30,8 +30,8 @@
     /// Milliseconds for which a heartbeat may be pending.
     fn heartbeat_timeout_ms(self) -> u64 {
         match self {
-            LeaderStatus::Loading => PENDING_HEARTBEAT_LOADING_MS,
-            _ => PENDING_HEARTBEAT_MS,
+            LeaderStatus::Loading => LEADER_LOADING_DEFERRAL_MS,
+            _ => NO_LEADER_DEFERRAL_MS,
         }
     }
 }
@@ -86,13 +86,13 @@
         match (self.is_empty(), leader_is_ready) {
             (true, _) => None,
             (false, true) => Some(now),
-            (false, false) => Some(now + PENDING_WAKE_MS),
+            (false, false) => Some(now + PENDING_HEARTBEATS_WAKE_INTERVAL_MS),
         }
     }
 
     /// Removes the next heartbeats for a leader that is ready: a few at a time, the oldest first.
     pub fn take_batch(&mut self) -> Vec<PendingHeartbeat> {
-        let count = PENDING_HEARTBEATS_PER_TURN.min(self.heartbeats.len());
+        let count = PENDING_HEARTBEATS_PER_TURN_MAX.min(self.heartbeats.len());
         self.heartbeats.drain(..count).collect()
     }
 
@@ -103,7 +103,7 @@
         if !is_elsewhere && now < self.next_check {
             return Vec::new();
         }
-        self.next_check = now + PENDING_HEARTBEATS_CHECK_MS;
+        self.next_check = now + PENDING_HEARTBEATS_CHECK_INTERVAL_MS;
         let timeout_ms = leader.heartbeat_timeout_ms();
         let mut redirected = Vec::new();
         self.heartbeats.retain(|heartbeat| {
--- a/crates/control/src/pending_heartbeats/deferred_answers.rs
+++ b/crates/control/src/pending_heartbeats/deferred_answers.rs
@@ -3,7 +3,7 @@
 
 use crate::effects::{Effects, RequestId};
 use crate::leader::{DeferredAnswer, Leader};
-use constants::RELEASE_MS;
+use constants::DEFERRED_ANSWERS_CHECK_INTERVAL_MS;
 
 /// A request whose answer is deferred.
 struct DeferredRequest {
@@ -56,7 +56,7 @@
         effects: &mut Effects,
     ) {
         let now = effects.now;
-        self.next_check = now.mono + RELEASE_MS;
+        self.next_check = now.mono + DEFERRED_ANSWERS_CHECK_INTERVAL_MS;
         self.requests.retain(|request| {
             let Some(leader) = leader.as_mut() else {
                 effects.refuse(request.id, 503, "not entitled to answer workers");
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -7,7 +7,7 @@
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use crate::settings::{Finalization, RolloutSettings, Settings};
-use constants::ROLLOUT_LOG_MS;
+use constants::ROLLOUT_LOG_INTERVAL_MS;
 use rollout::{
     Gates, GenerationMachine, Identity, LevelRange, Output, Policy, Reply, Request, RolloutMachine,
     RolloutStatus,
@@ -60,7 +60,7 @@
             machine,
             request: 0,
             small_values_announced: false,
-            next_status_log: now + ROLLOUT_LOG_MS,
+            next_status_log: now + ROLLOUT_LOG_INTERVAL_MS,
         }
     }
 
@@ -184,7 +184,7 @@
         if now < self.next_status_log {
             return;
         }
-        self.next_status_log = now + ROLLOUT_LOG_MS;
+        self.next_status_log = now + ROLLOUT_LOG_INTERVAL_MS;
         let Some(status) = self.status(now) else {
             return;
         };
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -9,7 +9,7 @@
 pub use operator::{Finalization, Operator, PartitionSettings, PinSettings, RolloutSettings};
 pub use state_limits::{Limits, NextLimits, StateLimits};
 
-use constants::{DRIFT, KEEPALIVE_MARGIN_MS};
+use constants::{CLOCK_DRIFT_FACTOR, KEEPALIVE_MARGIN_MS};
 use serde::Deserialize;
 
 /// Milliseconds in a second.
@@ -60,7 +60,8 @@
     pub fn keepalive_ms(&self) -> u64 {
         let workers = &self.deployment.workers;
         // Either clock may drift: ours by which the answer is timed, the worker's by which its lease runs.
-        let keepalive_s = workers.cancel_s / DRIFT - workers.lease_s * DRIFT;
+        let keepalive_s =
+            workers.cancel_s / CLOCK_DRIFT_FACTOR - workers.lease_s * CLOCK_DRIFT_FACTOR;
         let keepalive_ms = keepalive_s * MS_PER_SECOND;
         (keepalive_ms as u64).saturating_sub(KEEPALIVE_MARGIN_MS)
     }
--- a/crates/control/src/settings/operator.rs
+++ b/crates/control/src/settings/operator.rs
@@ -39,11 +39,11 @@
 impl Default for Operator {
     fn default() -> Self {
         Operator {
-            thin_tasks: constants::THIN_TASKS,
+            thin_tasks: constants::THIN_ARRAY_TASKS_MAX,
             pilot_share: constants::PILOT_SHARE,
-            first_bound_s: constants::FIRST_BOUND,
-            queue_growth: constants::QUEUE_GROWTH,
-            queues: constants::QUEUES,
+            first_bound_s: constants::FIRST_QUEUE_BOUND_TASK_S,
+            queue_growth: constants::QUEUE_GROWTH_FACTOR,
+            queues: constants::QUEUE_COUNT,
             idle_return_s: constants::IDLE_RETURN_S,
             rollout: None,
             partitions: None,
@@ -124,8 +124,8 @@
             oldest_level: rollout::LevelRange::BUILD.oldest(),
             newest_level: rollout::LevelRange::BUILD.newest(),
             finalize: Finalization::default(),
-            soak_s: constants::SOAK_S,
-            stall_s: constants::STALL_S,
+            soak_s: constants::ROLLOUT_SOAK_S,
+            stall_s: constants::ROLLOUT_STALL_S,
         }
     }
 }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -10,7 +10,9 @@
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use budget::RequestBudget;
 use calls::encode_call;
-use constants::{RATE_RETRY_MS, STATE_DOWN_MS, STATE_RETRY_MS, USER_DEADLINE_MS};
+use constants::{
+    RATE_LIMIT_RETRY_MS, STATE_RETRY_MS, STATE_UNAVAILABLE_MS, USER_REQUEST_TIMEOUT_MS,
+};
 use replies::decode_reply;
 use std::collections::{HashMap, VecDeque};
 
@@ -71,7 +73,8 @@
     /// Whether requests have lately been answered well.
     pub fn is_up(&self, now: u64) -> bool {
         let last_succeeded = self.last_success_at >= self.last_failure_at;
-        self.last_success_at > 0 && (last_succeeded || now < self.last_success_at + STATE_DOWN_MS)
+        self.last_success_at > 0
+            && (last_succeeded || now < self.last_success_at + STATE_UNAVAILABLE_MS)
     }
 
     /// Moment of the last good answer, 0 if there was none.
@@ -116,7 +119,7 @@
         let now = effects.now.mono;
         let queue = priority as usize;
         while let Some(first) = self.queues[queue].front() {
-            if priority.is_for_user() && now > first.since + USER_DEADLINE_MS {
+            if priority.is_for_user() && now > first.since + USER_REQUEST_TIMEOUT_MS {
                 if let Some(queued) = self.queues[queue].pop_front() {
                     expired.push((queued.request.tag, StateReply::Refused));
                 }
@@ -194,7 +197,7 @@
             if write_count(op) > 0.0 {
                 self.budget.throttle_leader_writes(now);
             }
-            self.paused_until = now + RATE_RETRY_MS;
+            self.paused_until = now + RATE_LIMIT_RETRY_MS;
             return;
         }
         // A watch that breaks says little: it may just have been open when the connection was lost.
--- a/crates/control/src/state/budget.rs
+++ b/crates/control/src/state/budget.rs
@@ -3,9 +3,9 @@
 use crate::requests::Priority;
 use crate::token_bucket::TokenBucket;
 use constants::{
-    CHANGE_READ_BURST_S, CHANGE_READ_SHARE, LEADER_THROTTLE_FACTOR, LEADER_THROTTLE_MIN,
-    LEADER_THROTTLE_RECOVERY_PER_S, QUESTION_BURST_S, QUESTION_SHARE, RATE_RETRY_MS,
-    STATE_RPS_SHARE, STATE_WRITE_SHARE, USER_WRITE_BURST, USER_WRITE_SHARE,
+    CHANGE_READ_BURST_S, CHANGE_READ_RPS_SHARE, LEADER_THROTTLE_FACTOR, LEADER_THROTTLE_MIN,
+    LEADER_THROTTLE_RECOVERY_PER_S, LEADER_WRITE_SHARE, NODE_RPS_SHARE_MAX, RATE_LIMIT_RETRY_MS,
+    STATUS_QUERY_BURST_S, STATUS_QUERY_RPS_SHARE, USER_WRITE_BURST_S, USER_WRITE_SHARE,
 };
 
 /// Seconds' worth of their rate that all requests, and the leader's writes, may take at once.
@@ -38,10 +38,10 @@
 impl NodeLimits {
     /// The limits of one of `nodes` that share these rates of requests and writes a second.
     fn new(rps: f64, write_rps: f64, nodes: usize) -> Self {
-        let requests = rps * STATE_RPS_SHARE;
-        let change_reads = rps * CHANGE_READ_SHARE / nodes as f64;
-        let questions = rps * QUESTION_SHARE / nodes as f64;
-        let leader_writes = write_rps * STATE_WRITE_SHARE;
+        let requests = rps * NODE_RPS_SHARE_MAX;
+        let change_reads = rps * CHANGE_READ_RPS_SHARE / nodes as f64;
+        let questions = rps * STATUS_QUERY_RPS_SHARE / nodes as f64;
+        let leader_writes = write_rps * LEADER_WRITE_SHARE;
         NodeLimits {
             requests: RateLimit {
                 rate: requests,
@@ -53,11 +53,11 @@
             },
             questions: RateLimit {
                 rate: questions,
-                burst: questions * QUESTION_BURST_S,
+                burst: questions * STATUS_QUERY_BURST_S,
             },
             user_writes: RateLimit {
                 rate: write_rps * USER_WRITE_SHARE,
-                burst: write_rps * USER_WRITE_BURST,
+                burst: write_rps * USER_WRITE_BURST_S,
             },
             leader_writes: RateLimit {
                 rate: leader_writes,
@@ -140,7 +140,7 @@
     /// The rate limit was hit, which nodes share and which may have fallen without notice: the leader's writes take
     /// less for a while.
     pub fn throttle_leader_writes(&mut self, now: u64) {
-        if now < self.throttle.at + RATE_RETRY_MS {
+        if now < self.throttle.at + RATE_LIMIT_RETRY_MS {
             return;
         }
         let share =
--- a/crates/control/src/state/calls.rs
+++ b/crates/control/src/state/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::effects::{CallId, Output, Target};
 use crate::requests::StateOp;
-use constants::{LIST_PAGE, STATE_TIMEOUT_MS, WATCH_HOLD_MS};
+use constants::{RECORD_LIST_PAGE_SIZE, STATE_TIMEOUT_MS, WATCH_HOLD_MS};
 use wire::state::LeaseRequest;
 
 /// The HTTP call of a request.
@@ -29,10 +29,10 @@
     match op {
         StateOp::Get(key) => format!("/kv/{key}"),
         StateOp::List { prefix, from } if from.is_empty() => {
-            format!("/kv?under={prefix}&limit={LIST_PAGE}")
+            format!("/kv?under={prefix}&limit={RECORD_LIST_PAGE_SIZE}")
         }
         StateOp::List { prefix, from } => {
-            format!("/kv?under={prefix}&from={from}&limit={LIST_PAGE}")
+            format!("/kv?under={prefix}&from={from}&limit={RECORD_LIST_PAGE_SIZE}")
         }
         StateOp::Txn(_) => "/multi".to_string(),
         StateOp::Grant { .. } => "/leases".to_string(),
--- a/crates/control/src/state/tests.rs
+++ b/crates/control/src/state/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::effects::Output;
-use constants::{STATE_WRITE_SHARE, USER_WRITE_SHARE};
+use constants::{LEADER_WRITE_SHARE, USER_WRITE_SHARE};
 use wire::state::{Txn, Write};
 
 /// At a limit that was lowered without notice, the leader and users would go on displacing each other.
@@ -78,7 +78,7 @@
     for (rps, write_rps) in [(150.0, 50.0), (100.0, 25.0)] {
         let mut client = StateClient::new(rps, write_rps, 3);
         let sent = sent_in_a_second(&mut client, &waiting);
-        let leader_rate = write_rps * STATE_WRITE_SHARE;
+        let leader_rate = write_rps * LEADER_WRITE_SHARE;
         assert!(sent[2] as f64 >= leader_rate, "{rps}: {sent:?}");
         assert!(sent[0] as f64 >= write_rps * USER_WRITE_SHARE, "{sent:?}");
         assert!(sent[1] > 0 && sent[3] > 0, "{sent:?}");
--- a/crates/partitions/src/delegation/permits.rs
+++ b/crates/partitions/src/delegation/permits.rs
@@ -1,4 +1,5 @@
-//! Permits: which steady machines an owner may answer by itself, and how permits are withdrawn and recalled.
+//! Permits: the steady machines that an owner may answer by itself. A permit that is no longer valid is withdrawn by
+//! the leader and recalled from the owner.
 
 use super::{Delegation, IssuedPermit, Process};
 use crate::hash::partition_of;
@@ -6,27 +7,29 @@
 use wire::partitions::{PartitionEpoch, Permit, RecalledPermit};
 
 impl Delegation {
-    /// Withdraws the permit of a machine that is no longer steady, if it has one.
-    pub fn withdraw(&mut self, machine: &str) {
+    /// Withdraws the permit for a machine that is no longer steady, if there is one.
+    pub fn withdraw_permit(&mut self, machine: &str) {
         let state = &mut self.partitions[usize::from(partition_of(machine))];
         if state.permits.contains_key(machine) && state.withdrawn.insert(machine.to_string()) {
-            self.urgent.push(machine.to_string());
+            self.urgent_recalls.push(machine.to_string());
         }
     }
 
-    /// Withdraws the permits of all machines that are not steady.
-    pub fn withdraw_unless(&mut self, is_steady: impl Fn(&str) -> bool) {
+    /// Withdraws the permits for all machines that are not steady.
+    pub fn withdraw_unsteady_permits(&mut self, is_steady: impl Fn(&str) -> bool) {
         let permitted = self
             .partitions
             .iter()
             .flat_map(|state| state.permits.keys());
         let unsteady = permitted.filter(|machine| !is_steady(machine));
         let unsteady: Vec<String> = unsteady.cloned().collect();
-        unsteady.iter().for_each(|machine| self.withdraw(machine));
+        unsteady
+            .iter()
+            .for_each(|machine| self.withdraw_permit(machine));
     }
 
-    /// Permits that a grant of this number has to recall: those withdrawn, and those that the owner does not seem to
-    /// know.
+    /// Permits that the grant with this number has to recall: those that are withdrawn, and those that are overdue for
+    /// a refresh, since the owner does not seem to know them.
     pub(super) fn recalls_for(
         &mut self,
         process: Process<'_>,
@@ -57,11 +60,11 @@
         recalled
     }
 
-    /// Recalls of permits that were just withdrawn, by owner and process. They are sent ahead of the next grant, which
-    /// repeats them.
-    pub fn urgent_recalls(&mut self) -> BTreeMap<(String, u64), Vec<RecalledPermit>> {
+    /// Returns the recalls of permits that were withdrawn since the last call, by label and process number of the
+    /// owner. They are sent ahead of the next grant, which repeats them.
+    pub fn take_urgent_recalls(&mut self) -> BTreeMap<(String, u64), Vec<RecalledPermit>> {
         let mut recalls: BTreeMap<(String, u64), Vec<RecalledPermit>> = BTreeMap::new();
-        for machine in std::mem::take(&mut self.urgent) {
+        for machine in std::mem::take(&mut self.urgent_recalls) {
             let state = &self.partitions[usize::from(partition_of(&machine))];
             let permit = state.permits.get(&machine).map(|permit| permit.number);
             let (Some(grant), Some(permit)) = (&state.grant, permit) else {
@@ -74,9 +77,9 @@
         recalls
     }
 
-    /// Permits the owner to answer a machine that was found steady, if `owner` forwarded its report and holds the
-    /// grant. Returns the permit with the boot number of the process that it is for.
-    pub fn permit(
+    /// Issues a permit for a steady machine to `owner`, which has forwarded the machine's report, if `owner` holds the
+    /// grant. Returns the permit with the random number of the process that it is for.
+    pub fn issue_permit(
         &mut self,
         owner: &str,
         machine: &str,
@@ -86,7 +89,7 @@
         let partition = partition_of(machine);
         let state = &mut self.partitions[usize::from(partition)];
         let grant = state.grant.as_ref()?;
-        if grant.holder.owner != owner || now >= grant.until || grant.withheld_in.is_some() {
+        if grant.holder.owner != owner || now >= grant.expires_at || grant.omitted_in.is_some() {
             return None;
         }
         self.last_permit += 1;
--- a/crates/partitions/src/delegation/requests.rs
+++ b/crates/partitions/src/delegation/requests.rs
@@ -1,33 +1,33 @@
-//! Owners' requests: what they relinquish, and which grants they have applied.
+//! Owners' requests: which permits they relinquish, and which grants they have applied.
 
 use super::{Delegation, Process};
 use crate::hash::{partition_of, PARTITION_COUNT};
-use constants::DRIFT;
+use constants::CLOCK_DRIFT_FACTOR;
 use wire::partitions::{GrantRequest, Relinquished};
 
-/// Why the leader rejects a request.
+/// Reason why the leader rejects a request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// Its sender knows another number of partitions.
-    #[error("it knows {theirs} partitions, this build {PARTITION_COUNT}")]
+    /// The sender's table has another number of partitions.
+    #[error("the sender has {theirs} partitions, this build has {PARTITION_COUNT}")]
     PartitionCount {
-        /// Number that the sender knows.
+        /// Number of partitions of the sender.
         theirs: u16,
     },
 }
 
-/// A machine that an owner no longer answers, as the owner last heard it.
+/// A machine that an owner no longer answers, and when the owner last received a report from it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RelinquishedMachine {
-    /// Machine.
+    /// Name of the machine.
     pub machine: String,
-    /// Moment at which the owner last heard it, or somewhat later.
+    /// Time at which the owner last received a report from the machine, or slightly later.
     pub heard_at: u64,
 }
 
 impl Delegation {
-    /// Takes in what an owner says about permits and grants that are over. Returns the machines that it no longer
-    /// answers, with the moments at which it last heard them.
+    /// Handles the part of an owner's request that says which permits and grants have ended. Returns the machines that
+    /// the owner no longer answers.
     pub fn on_request(
         &mut self,
         owner: &str,
@@ -38,55 +38,56 @@
             let theirs = request.partition_count;
             return Err(RequestError::PartitionCount { theirs });
         }
-        let mut heard = Vec::new();
+        let mut machines = Vec::new();
         let process = Process {
             label: owner,
             boot: request.boot,
         };
         for relinquished in &request.relinquished {
-            heard.push(self.on_relinquished(process, relinquished, now));
+            machines.push(self.on_relinquished(process, relinquished, now));
         }
-        self.apply_confirmed(process, request.applied, now);
-        Ok(heard)
+        self.end_confirmed(process, request.applied, now);
+        Ok(machines)
     }
 
-    /// Ends the grants and permits whose end the owner has confirmed by applying a grant of this number.
-    fn apply_confirmed(&mut self, process: Process<'_>, applied: u64, now: u64) {
+    /// Ends the grants and permits whose end the owner has confirmed by applying the grant with this number.
+    fn end_confirmed(&mut self, process: Process<'_>, applied: u64, now: u64) {
         let is_applied = |number: Option<u64>| number.is_some_and(|number| number <= applied);
         for state in &mut self.partitions {
             let grant = state.grant.as_mut();
             let Some(grant) = grant.filter(|grant| grant.holder.process() == process) else {
                 continue;
             };
-            if is_applied(grant.withheld_in) {
-                grant.until = grant.until.min(now);
+            if is_applied(grant.omitted_in) {
+                grant.expires_at = grant.expires_at.min(now);
             }
-            let (permits, answered) = (&mut state.permits, &mut self.answered);
-            let ended = &mut self.ended;
+            let (permits, last_answers) = (&mut state.permits, &mut self.last_answers);
+            let ended_permits = &mut self.ended_permits;
             state.withdrawn.retain(|machine| {
                 let recalled_in = permits.get(machine).and_then(|permit| permit.recalled_in);
                 let is_confirmed = is_applied(recalled_in);
                 if is_confirmed {
                     permits.remove(machine);
-                    answered.note(machine, now);
-                    ended.push(machine.clone());
+                    last_answers.record(machine, now);
+                    ended_permits.push(machine.clone());
                 }
                 !is_confirmed
             });
         }
     }
 
-    /// An owner no longer uses a permit.
+    /// Ends a permit that an owner no longer uses, and records the owner's last answer under it.
     fn on_relinquished(
         &mut self,
         process: Process<'_>,
         relinquished: &Relinquished,
         now: u64,
     ) -> RelinquishedMachine {
-        // The interval is by the owner's clock. By ours it may be slightly shorter.
-        let ago = |ms: u64| now.saturating_sub((ms as f64 / DRIFT) as u64);
+        // The interval is by the owner's clock. By the leader's clock it may be slightly shorter.
+        let time_ago = |ms: u64| now.saturating_sub((ms as f64 / CLOCK_DRIFT_FACTOR) as u64);
         if let Some(ms) = relinquished.answered_ago_ms {
-            self.answered.note(&relinquished.machine, ago(ms));
+            self.last_answers
+                .record(&relinquished.machine, time_ago(ms));
         }
         let state = &mut self.partitions[usize::from(partition_of(&relinquished.machine))];
         let is_holder = state.is_held_by(process);
@@ -94,11 +95,11 @@
         if is_holder && permit.is_some_and(|permit| permit.number <= relinquished.permit) {
             state.permits.remove(&relinquished.machine);
             state.withdrawn.remove(&relinquished.machine);
-            self.ended.push(relinquished.machine.clone());
+            self.ended_permits.push(relinquished.machine.clone());
         }
         RelinquishedMachine {
             machine: relinquished.machine.clone(),
-            heard_at: ago(relinquished.heard_ago_ms),
+            heard_at: time_ago(relinquished.heard_ago_ms),
         }
     }
 }
--- a/crates/partitions/src/hash.rs
+++ b/crates/partitions/src/hash.rs
@@ -1,4 +1,4 @@
-//! The mapping of machines to partitions. It must be the same in every build that may run beside this one.
+//! The mapping of machines to partitions. It must be the same in every build that may run at the same time.
 
 use wire::partitions::PartitionId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -6,8 +6,8 @@
 /// Number of partitions: some twelve for each of five controllers, so that a move shifts a small part of a share.
 pub const PARTITION_COUNT: PartitionId = 64;
 
-/// Name of the mapping, as the ownership table records it.
-pub const HASH: &str = "xxh3-64/1";
+/// Name of the mapping, as it is recorded in the ownership table.
+pub const PARTITION_HASH_NAME: &str = "xxh3-64/1";
 
 /// Seed of the hash.
 const SEED: u64 = 1;
--- a/crates/partitions/src/handover.rs
+++ b/crates/partitions/src/mover.rs
@@ -1,8 +1,8 @@
-//! Moves of partitions: the leader's copy of the ownership table, the moves under way, and the writes that commit
-//! them.
+//! Moves of partitions between owners: the leader's copy of the ownership table, the moves under way, and the writes
+//! that commit them.
 
 use crate::table::{OwnershipTable, TableError};
-use constants::MOVE_TIMEOUT_MS;
+use constants::PARTITION_MOVE_TIMEOUT_MS;
 use std::collections::BTreeMap;
 use wire::partitions::{PartitionEpoch, PartitionId};
 use wire::records::{PartitionsRecord, LEADER};
@@ -13,10 +13,10 @@
 struct Move {
     to: String,
     pinned: bool,
-    since: u64,
+    begun_at: u64,
 }
 
-/// A write under way: the table after it, and the moves that it commits.
+/// A write in flight: its record, the table after it, and the moves that it commits.
 #[derive(Debug)]
 struct PendingWrite {
     record: u16,
@@ -26,22 +26,22 @@
 
 /// The leader's copy of the ownership table, and the moves under way.
 ///
-/// A partition that moves is granted to nobody. The write that commits a move is fenced by the leader key and by the
-/// version of the record, so that of two leaders, or of two attempts, one succeeds.
+/// While a partition is moving, it is granted to no controller. The write that commits a move is conditional on the
+/// versions of the leader key and of the record, so that of two leaders, or of two attempts, only one succeeds.
 #[derive(Debug)]
-pub struct Handover {
+pub struct PartitionMover {
     table: OwnershipTable,
     moves: BTreeMap<PartitionId, Move>,
     pending: Option<PendingWrite>,
     is_loaded: bool,
-    /// The outcome of a write is unknown, or the stored record differs from the copy.
+    /// Whether the outcome of a write is unknown, or a stored record may differ from the copy.
     must_reload: bool,
 }
 
-impl Handover {
-    /// The table of a new leader, which has not read it yet.
+impl PartitionMover {
+    /// Creates the mover of a new leader, which has not read the table yet.
     pub fn new(leader: &str) -> Self {
-        Handover {
+        PartitionMover {
             table: OwnershipTable::new(leader),
             moves: BTreeMap::new(),
             pending: None,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The table as it was last read or written.
+    /// The ownership table as it was last read or written.
     pub fn table(&self) -> &OwnershipTable {
         &self.table
     }
@@ -60,18 +60,19 @@
         self.must_reload && self.pending.is_none()
     }
 
-    /// Takes in a record that was read.
-    pub fn load(
+    /// Loads a record that was read under the given key.
+    pub fn load_record(
         &mut self,
         key: &str,
         record: PartitionsRecord,
         version: u64,
     ) -> Result<(), TableError> {
-        self.table.load(key, record, version)
+        self.table.load_record(key, record, version)
     }
 
-    /// All records have been read. Moves that were committed by a write of unknown outcome are complete.
-    pub fn loaded(&mut self) {
+    /// Handles the end of a reload of all records. Moves that were committed by a write of unknown outcome are
+    /// complete.
+    pub fn on_loaded(&mut self) {
         self.is_loaded = true;
         self.must_reload = false;
         let table = &self.table;
@@ -87,47 +88,49 @@
     }
 
     /// Number of moves under way.
-    pub fn moves(&self) -> usize {
+    pub fn move_count(&self) -> usize {
         self.moves.len()
     }
 
-    /// Begins to move a partition. Returns false if it is moving already or is owned and pinned as requested.
-    pub fn begin(&mut self, partition: PartitionId, to: &str, pinned: bool, now: u64) -> bool {
+    /// Begins to move a partition. Returns false if the table has not been loaded, or the partition is moving already
+    /// or is owned and pinned as requested.
+    pub fn begin_move(&mut self, partition: PartitionId, to: &str, pinned: bool, now: u64) -> bool {
         let row = self.table.row(partition);
-        let is_there = row.is_none_or(|row| row.owner == to && row.pinned == pinned);
-        if !self.is_loaded || is_there || self.is_moving(partition) {
+        let is_unchanged = row.is_none_or(|row| row.owner == to && row.pinned == pinned);
+        if !self.is_loaded || is_unchanged || self.is_moving(partition) {
             return false;
         }
         let moved = Move {
             to: to.to_string(),
             pinned,
-            since: now,
+            begun_at: now,
         };
         self.moves.insert(partition, moved);
         true
     }
 
-    /// Partitions that an owner may be granted: those it owns in the recorded table, without those that are moving.
-    pub fn entitled(&self, owner: &str) -> Vec<PartitionEpoch> {
+    /// Partitions that may be granted to an owner: those that it owns in the recorded table and that are not moving.
+    pub fn grantable_partitions(&self, owner: &str) -> Vec<PartitionEpoch> {
         if !self.is_loaded || !self.table.is_recorded() {
             return Vec::new();
         }
         let owned = self.table.rows().filter(|(_, row)| row.owner == owner);
         let stationary = owned.filter(|(partition, _)| !self.is_moving(*partition));
-        let entitled = stationary.map(|(partition, row)| PartitionEpoch {
+        let grantable = stationary.map(|(partition, row)| PartitionEpoch {
             partition,
             epoch: row.epoch,
         });
-        entitled.collect()
+        grantable.collect()
     }
 
-    /// The next write, if there is one to make and none under way. Moves that have waited for too long are abandoned.
+    /// The next write, if one is needed and none is in flight. Abandons moves that have waited for
+    /// [`PARTITION_MOVE_TIMEOUT_MS`].
     pub fn next_write(&mut self, leader_version: u64, now: u64) -> Option<Txn> {
         if !self.is_loaded || self.must_reload || self.pending.is_some() {
             return None;
         }
         self.moves
-            .retain(|_, moved| now < moved.since + MOVE_TIMEOUT_MS);
+            .retain(|_, moved| now < moved.begun_at + PARTITION_MOVE_TIMEOUT_MS);
         let missing = self.table.missing_records().first().copied();
         let changed = OwnershipTable::records_of(self.moves.keys().copied());
         let record = missing.or(changed.first().copied())?;
@@ -154,26 +157,26 @@
         })
     }
 
-    /// The write was committed under this version. Returns the partitions that have moved.
-    pub fn committed(&mut self, version: u64) -> Vec<PartitionId> {
+    /// Handles the commit of the write under the given version. Returns the partitions that have moved.
+    pub fn on_write_committed(&mut self, version: u64) -> Vec<PartitionId> {
         let Some(pending) = self.pending.take() else {
             return Vec::new();
         };
         self.table = pending.table;
-        self.table.recorded(pending.record, version);
+        self.table.set_record_version(pending.record, version);
         for partition in &pending.moves {
             self.moves.remove(partition);
         }
         pending.moves
     }
 
-    /// The write was certainly not executed and may be retried.
-    pub fn refused(&mut self) {
+    /// Handles a write that was certainly not executed. It may be retried.
+    pub fn on_write_rejected(&mut self) {
         self.pending = None;
     }
 
-    /// The write failed on a condition, or its outcome is unknown: the records are read again.
-    pub fn unknown(&mut self) {
+    /// Handles a write that failed on a condition or whose outcome is unknown. The records have to be read again.
+    pub fn on_write_unknown(&mut self) {
         self.pending = None;
         self.must_reload = true;
     }
--- a/crates/partitions/src/owner.rs
+++ b/crates/partitions/src/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of partitions: which workers' reports it answers by itself, and what it reports to the leader.
+//! The owner's side of partitions: which workers' reports it answers by itself, and what it tells the leader.
 
 mod decisions;
 mod grants;
@@ -6,17 +6,18 @@
 
 pub use decisions::Decision;
 
-use constants::OWNER_RELAY_MS;
+use constants::EXPIRED_GRANT_FORWARD_MS;
 use std::collections::{BTreeMap, HashMap};
 use wire::partitions::{PartitionEpoch, PartitionId};
 use wire::workers::WorkerHeartbeat;
 
-/// A grant that was applied.
+/// The grant that was applied last.
 #[derive(Debug, Clone)]
 struct AppliedGrant {
     number: u64,
-    /// End by our own clock.
+    /// End of the grant, by this process's clock.
     ends_at: u64,
+    /// Epochs of the granted partitions.
     partitions: BTreeMap<PartitionId, u64>,
 }
 
@@ -25,70 +26,71 @@
 struct SteadyMachine {
     partition: PartitionEpoch,
     permit: u64,
-    since: u64,
-    /// The report that later ones must repeat. Its sequence number is that of the last one answered.
+    permitted_at: u64,
+    /// The report that later ones must repeat. Its sequence number is that of the last report answered.
     report: WorkerHeartbeat,
     heard_at: u64,
     answered_at: Option<u64>,
 }
 
-/// A permit that this owner no longer uses, until the leader has confirmed that it knows.
+/// A permit that this owner no longer uses. It is kept until the leader has confirmed that it knows.
 #[derive(Debug, Clone)]
 struct RelinquishedPermit {
     permit: u64,
     answered_at: Option<u64>,
     heard_at: u64,
-    /// Number of the first request that reported it.
+    /// Number of the first request that contained it.
     reported_in: Option<u64>,
 }
 
-/// The owner's side of one controller.
+/// State of one process of a controller as an owner of partitions.
 pub struct Owner {
     boot: u64,
     term: u64,
     grant: Option<AppliedGrant>,
-    /// Until when reports of the partitions in `relayed` are forwarded although their grant has ended.
-    relay_until: u64,
-    relayed: BTreeMap<PartitionId, u64>,
-    /// Highest number of a permit that was accepted or recalled. Lower ones arrive out of order.
-    permit_floor: u64,
+    /// Time until which reports of `formerly_granted` partitions are forwarded although their grant has ended.
+    forward_until: u64,
+    formerly_granted: BTreeMap<PartitionId, u64>,
+    /// Highest number of a permit that was accepted or recalled. Permits with lower numbers arrive out of order.
+    highest_permit: u64,
     steady: HashMap<String, SteadyMachine>,
     relinquished: BTreeMap<String, RelinquishedPermit>,
     /// The last forwarded report of each machine, for the permit that may follow.
-    forwarded: HashMap<String, WorkerHeartbeat>,
-    /// Owners of partitions that the leader has granted to others.
+    forwarded_reports: HashMap<String, WorkerHeartbeat>,
+    /// Owners of the partitions that the leader has granted to other controllers.
     other_owners: HashMap<PartitionId, String>,
-    /// When machines were last redirected to another owner.
-    redirected: HashMap<String, u64>,
+    /// Times at which machines were last redirected to another owner.
+    redirected_at: HashMap<String, u64>,
     last_request: u64,
     next_request_at: u64,
-    report_ms: u64,
-    next_silence_check: u64,
+    report_interval_ms: u64,
+    next_silence_check_at: u64,
 }
 
 impl Owner {
-    /// The owner's side of a process, for workers that report every `report_ms`.
-    pub fn new(boot: u64, report_ms: u64) -> Self {
+    /// Creates the owner of the process with the random number `boot`, for workers that report every
+    /// `report_interval_ms`.
+    pub fn new(boot: u64, report_interval_ms: u64) -> Self {
         Owner {
             boot,
             term: 0,
             grant: None,
-            relay_until: 0,
-            relayed: BTreeMap::new(),
-            permit_floor: 0,
+            forward_until: 0,
+            formerly_granted: BTreeMap::new(),
+            highest_permit: 0,
             steady: HashMap::new(),
             relinquished: BTreeMap::new(),
-            forwarded: HashMap::new(),
+            forwarded_reports: HashMap::new(),
             other_owners: HashMap::new(),
-            redirected: HashMap::new(),
+            redirected_at: HashMap::new(),
             last_request: 0,
             next_request_at: 0,
-            report_ms,
-            next_silence_check: 0,
+            report_interval_ms,
+            next_silence_check_at: 0,
         }
     }
 
-    /// A term became known. A newer one invalidates the grants and permits of the one before.
+    /// Handles the number of a term. A newer term invalidates the grant and permits of the previous one.
     pub fn on_term(&mut self, term: u64, now: u64) {
         if term <= self.term {
             return;
@@ -98,15 +100,15 @@
         self.steady.clear();
         self.relinquished.clear();
         self.other_owners.clear();
-        self.permit_floor = 0;
+        self.highest_permit = 0;
         self.next_request_at = now;
     }
 
-    /// Ends the grant, after which reports are forwarded for a while.
+    /// Ends the grant. Reports of its partitions are still forwarded for [`EXPIRED_GRANT_FORWARD_MS`].
     fn end_grant(&mut self, now: u64) {
         if let Some(grant) = self.grant.take() {
-            self.relayed = grant.partitions;
-            self.relay_until = now.min(grant.ends_at) + OWNER_RELAY_MS;
+            self.formerly_granted = grant.partitions;
+            self.forward_until = now.min(grant.ends_at) + EXPIRED_GRANT_FORWARD_MS;
         }
     }
 
@@ -115,25 +117,25 @@
         self.grant.as_ref().filter(|grant| now < grant.ends_at)
     }
 
-    /// When [`Owner::request`] is next due.
-    pub fn next_wake(&self) -> u64 {
+    /// Time at which [`Owner::next_request`] is next due.
+    pub fn next_request_at(&self) -> u64 {
         self.next_request_at
     }
 
-    /// Whether a valid grant names a partition.
-    pub fn holds(&self, partition: PartitionId, now: u64) -> bool {
+    /// Whether this owner has a valid grant for a partition.
+    pub fn holds_grant(&self, partition: PartitionId, now: u64) -> bool {
         let grant = self.valid_grant(now);
         grant.is_some_and(|grant| grant.partitions.contains_key(&partition))
     }
 
-    /// Number of partitions under a valid grant.
-    pub fn partitions_held(&self, now: u64) -> usize {
+    /// Number of partitions for which this owner has a valid grant.
+    pub fn held_partition_count(&self, now: u64) -> usize {
         let grant = self.valid_grant(now);
         grant.map_or(0, |grant| grant.partitions.len())
     }
 
-    /// Number of machines that are answered here.
-    pub fn steady_machines(&self) -> usize {
+    /// Number of machines for which this owner has a permit.
+    pub fn steady_machine_count(&self) -> usize {
         self.steady.len()
     }
 }
--- a/crates/partitions/src/owner/decisions.rs
+++ b/crates/partitions/src/owner/decisions.rs
@@ -1,29 +1,32 @@
-//! What an owner does with a worker's report.
+//! The decision whether an owner answers, forwards or redirects a worker's report.
 
 use super::Owner;
 use crate::hash::partition_of;
-use constants::{OWNER_RELAY_MS, REDIRECTED_MAX, REDIRECT_REPEAT_MS, STEADY_REPORTS};
+use constants::{
+    EXPIRED_GRANT_FORWARD_MS, REDIRECTED_WORKERS_MAX, REDIRECT_REPEAT_INTERVAL_MS,
+    STEADY_REPORTS_PER_FORWARD,
+};
 use wire::partitions::{PartitionEpoch, PartitionId};
 use wire::workers::WorkerHeartbeat;
 
-/// What an owner does with a report.
+/// How an owner handles a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Answers it, without orders, under this term.
+    /// Answers the report, without orders, under the given term.
     Answer {
-        /// Term.
+        /// Number of the term.
         term: u64,
     },
-    /// Forwards it to the leader.
+    /// Forwards the report to the leader.
     Forward,
-    /// Sends the worker to this controller, or to the leader.
+    /// Redirects the worker to the controller with this label, or to the leader if there is none.
     Redirect(Option<String>),
-    /// Refuses it: it is a late copy of a report that was answered long ago.
+    /// Refuses the report, which is a late copy: this report or a later one has been answered already.
     Outdated,
 }
 
 impl Owner {
-    /// What to do with a report.
+    /// Decides how to handle a report.
     pub fn decide(&mut self, report: &WorkerHeartbeat, now: u64) -> Decision {
         let partition = partition_of(&report.machine);
         let grant = self.valid_grant(now);
@@ -31,7 +34,7 @@
         let Some(epoch) = epoch else {
             return self.decide_without_grant(report, partition, now);
         };
-        let refresh_ms = self.report_ms * STEADY_REPORTS;
+        let refresh_ms = self.report_interval_ms * STEADY_REPORTS_PER_FORWARD;
         if let Some(steady) = self.steady.get_mut(&report.machine) {
             let last = (steady.report.incarnation, steady.report.seq);
             if (report.incarnation, report.seq) <= last {
@@ -39,8 +42,8 @@
             }
             let is_current = steady.partition == PartitionEpoch { partition, epoch }
                 && report.term == self.term
-                && now < steady.since + refresh_ms;
-            if is_current && repeats(report, &steady.report) {
+                && now < steady.permitted_at + refresh_ms;
+            if is_current && is_repetition(report, &steady.report) {
                 steady.report.seq = report.seq;
                 steady.heard_at = now;
                 steady.answered_at = Some(now);
@@ -48,11 +51,11 @@
             }
             steady.heard_at = now;
         }
-        self.forward(report);
+        self.note_forwarded(report);
         Decision::Forward
     }
 
-    /// What to do with a report of a partition that is not granted to this owner.
+    /// Decides how to handle a report of a machine whose partition is not granted to this owner.
     fn decide_without_grant(
         &mut self,
         report: &WorkerHeartbeat,
@@ -60,44 +63,46 @@
         now: u64,
     ) -> Decision {
         if let Some(owner) = self.other_owners.get(&partition).cloned() {
-            let may_name = self.may_name_owner(&report.machine, now);
-            return Decision::Redirect(may_name.then_some(owner));
+            let to_owner = self.may_redirect_to_owner(&report.machine, now);
+            return Decision::Redirect(to_owner.then_some(owner));
         }
-        let ended = self.grant.as_ref().filter(|grant| now >= grant.ends_at);
-        let ended = ended.filter(|grant| now < grant.ends_at + OWNER_RELAY_MS);
-        let relays = ended.is_some_and(|grant| grant.partitions.contains_key(&partition))
-            || (now < self.relay_until && self.relayed.contains_key(&partition));
-        if !relays {
+        let expired = self.grant.as_ref().filter(|grant| now >= grant.ends_at);
+        let expired = expired.filter(|grant| now < grant.ends_at + EXPIRED_GRANT_FORWARD_MS);
+        let is_forwarded = expired.is_some_and(|grant| grant.partitions.contains_key(&partition))
+            || (now < self.forward_until && self.formerly_granted.contains_key(&partition));
+        if !is_forwarded {
             return Decision::Redirect(None);
         }
-        self.forward(report);
+        self.note_forwarded(report);
         Decision::Forward
     }
 
-    /// Whether a machine may be redirected to its owner. One that came back did not reach the owner, and is sent to
-    /// the leader, which answers every worker.
-    fn may_name_owner(&mut self, machine: &str, now: u64) -> bool {
-        let last = self.redirected.get(machine);
-        if last.is_some_and(|at| now < at + REDIRECT_REPEAT_MS) {
+    /// Whether a machine may be redirected to its owner. A machine that comes back within
+    /// [`REDIRECT_REPEAT_INTERVAL_MS`] did not reach the owner and is redirected to the leader, which answers every
+    /// worker.
+    fn may_redirect_to_owner(&mut self, machine: &str, now: u64) -> bool {
+        let last = self.redirected_at.get(machine);
+        if last.is_some_and(|at| now < at + REDIRECT_REPEAT_INTERVAL_MS) {
             return false;
         }
-        if self.redirected.len() >= REDIRECTED_MAX {
-            self.redirected.clear();
+        if self.redirected_at.len() >= REDIRECTED_WORKERS_MAX {
+            self.redirected_at.clear();
         }
-        self.redirected.insert(machine.to_string(), now);
+        self.redirected_at.insert(machine.to_string(), now);
         true
     }
 
-    /// Notes that a report is forwarded to the leader. The permit is relinquished, since the machine may have changed.
-    fn forward(&mut self, report: &WorkerHeartbeat) {
+    /// Remembers a report that is forwarded to the leader. The permit is relinquished, since the machine's state may
+    /// have changed.
+    fn note_forwarded(&mut self, report: &WorkerHeartbeat) {
         self.relinquish(&report.machine);
-        self.forwarded
+        self.forwarded_reports
             .insert(report.machine.clone(), report.clone());
     }
 }
 
 /// Whether a report is equal to an earlier one except for its sequence number.
-fn repeats(report: &WorkerHeartbeat, earlier: &WorkerHeartbeat) -> bool {
+fn is_repetition(report: &WorkerHeartbeat, earlier: &WorkerHeartbeat) -> bool {
     let is_same_session = (report.incarnation, report.term) == (earlier.incarnation, earlier.term);
     is_same_session
         && report.notice_s.is_none()
--- a/crates/partitions/src/owner/grants.rs
+++ b/crates/partitions/src/owner/grants.rs
@@ -2,13 +2,13 @@
 
 use super::{AppliedGrant, Owner, SteadyMachine};
 use crate::hash::{partition_of, PARTITION_COUNT};
-use constants::OWNER_RELAY_MS;
+use constants::EXPIRED_GRANT_FORWARD_MS;
 use std::collections::HashMap;
 use wire::partitions::{Grant, Permit, RecalledPermit};
 use wire::workers::WorkerHeartbeat;
 
 impl Owner {
-    /// A grant arrived. Returns whether it was applied.
+    /// Handles a grant. Returns whether it was applied.
     pub fn on_grant(&mut self, term: u64, grant: Grant, now: u64) -> bool {
         self.on_term(term, now);
         let is_newer = self
@@ -35,10 +35,11 @@
                 .map(|granted| (granted.partition, granted.epoch))
                 .collect(),
         };
-        let lost = self.grant.as_ref().map(|before| &before.partitions);
-        if let Some(lost) = lost.filter(|lost| lost.len() > applied.partitions.len()) {
-            self.relayed = lost.clone();
-            self.relay_until = now + OWNER_RELAY_MS;
+        let previous = self.grant.as_ref().map(|before| &before.partitions);
+        let shrunk = previous.filter(|previous| previous.len() > applied.partitions.len());
+        if let Some(previous) = shrunk {
+            self.formerly_granted = previous.clone();
+            self.forward_until = now + EXPIRED_GRANT_FORWARD_MS;
         }
         self.grant = Some(applied);
         self.other_owners = HashMap::new();
@@ -50,28 +51,32 @@
         true
     }
 
-    /// Permits arrived. A permit that is out of order, or is for a report other than the last one forwarded, is
-    /// ignored.
+    /// Handles permits. Ignores a permit that is out of order, or that is for a report other than the last one
+    /// forwarded.
     pub fn on_permits(&mut self, term: u64, boot: u64, permits: Vec<Permit>, now: u64) {
         if term != self.term || boot != self.boot {
             return;
         }
         for permit in permits {
             let is_in_partition = partition_of(&permit.machine) == permit.partition.partition;
-            if permit.number <= self.permit_floor || !is_in_partition {
+            if permit.number <= self.highest_permit || !is_in_partition {
                 continue;
             }
-            self.permit_floor = permit.number;
-            let follows = |report: &WorkerHeartbeat| {
+            self.highest_permit = permit.number;
+            let is_permitted = |report: &WorkerHeartbeat| {
                 (report.incarnation, report.seq) == (permit.incarnation, permit.seq)
             };
-            let Some(report) = self.forwarded.remove(&permit.machine).filter(follows) else {
+            let Some(report) = self
+                .forwarded_reports
+                .remove(&permit.machine)
+                .filter(is_permitted)
+            else {
                 continue;
             };
             let steady = SteadyMachine {
                 partition: permit.partition,
                 permit: permit.number,
-                since: now,
+                permitted_at: now,
                 report,
                 heard_at: now,
                 answered_at: None,
@@ -80,16 +85,16 @@
         }
     }
 
-    /// Permits were withdrawn.
+    /// Handles the recall of permits.
     pub fn on_recall(&mut self, term: u64, boot: u64, permits: &[RecalledPermit]) {
         if term == self.term && boot == self.boot {
             permits.iter().for_each(|recalled| self.recall(recalled));
         }
     }
 
-    /// Stops using a permit, and ignores those with a lower number that arrive later.
+    /// Stops using a permit. Permits with a lower number that arrive later are ignored.
     fn recall(&mut self, recalled: &RecalledPermit) {
-        self.permit_floor = self.permit_floor.max(recalled.permit);
+        self.highest_permit = self.highest_permit.max(recalled.permit);
         let steady = self.steady.get(&recalled.machine);
         if steady.is_some_and(|steady| steady.permit <= recalled.permit) {
             self.relinquish(&recalled.machine);
--- a/crates/partitions/src/owner/requests.rs
+++ b/crates/partitions/src/owner/requests.rs
@@ -3,22 +3,27 @@
 use super::{Owner, RelinquishedPermit, SteadyMachine};
 use crate::hash::PARTITION_COUNT;
 use constants::{
-    FORWARDED_MAX, GRANT_RENEW_MS, RELINQUISHED_A_REQUEST, SILENT_EXTRA_MS, SILENT_HALF_REPORTS,
+    FORWARDED_REPORTS_MAX, GRANT_RENEW_INTERVAL_MS, RELINQUISHED_PER_REQUEST_MAX,
+    SILENCE_HALF_REPORT_INTERVALS, SILENCE_MARGIN_MS,
 };
 use wire::partitions::{ControllerLoad, GrantRequest, Relinquished};
 
 impl Owner {
-    /// The next request to the leader, if it is due.
-    pub fn request(&mut self, load: ControllerLoad, now: u64) -> Option<GrantRequest> {
+    /// Creates the next request to the leader, if it is due.
+    pub fn next_request(&mut self, load: ControllerLoad, now: u64) -> Option<GrantRequest> {
         if now < self.next_request_at {
             return None;
         }
-        self.next_request_at = now + GRANT_RENEW_MS;
+        self.next_request_at = now + GRANT_RENEW_INTERVAL_MS;
         self.relinquish_silent(now);
         self.last_request += 1;
         let request = self.last_request;
         let mut relinquished = Vec::new();
-        for (machine, record) in self.relinquished.iter_mut().take(RELINQUISHED_A_REQUEST) {
+        for (machine, record) in self
+            .relinquished
+            .iter_mut()
+            .take(RELINQUISHED_PER_REQUEST_MAX)
+        {
             record.reported_in.get_or_insert(request);
             relinquished.push(Relinquished {
                 machine: machine.clone(),
@@ -38,27 +43,28 @@
         })
     }
 
-    /// Relinquishes the permits of machines whose reports are missing.
+    /// Relinquishes the permits for machines from which no report has arrived for too long.
     fn relinquish_silent(&mut self, now: u64) {
-        if now < self.next_silence_check {
+        if now < self.next_silence_check_at {
             return;
         }
-        self.next_silence_check = now + GRANT_RENEW_MS / 2;
-        let silent_ms = self.report_ms * SILENT_HALF_REPORTS / 2 + SILENT_EXTRA_MS;
+        self.next_silence_check_at = now + GRANT_RENEW_INTERVAL_MS / 2;
+        let silent_ms =
+            self.report_interval_ms * SILENCE_HALF_REPORT_INTERVALS / 2 + SILENCE_MARGIN_MS;
         let is_silent = |steady: &SteadyMachine| now > steady.heard_at + silent_ms;
         let silent = self.steady.iter().filter(|(_, steady)| is_silent(steady));
         let silent: Vec<String> = silent.map(|(machine, _)| machine.clone()).collect();
         for machine in silent {
             self.relinquish(&machine);
         }
-        // No permit will follow for machines that report elsewhere by now. For the others, forgetting costs one more
-        // forwarded report.
-        if self.forwarded.len() > FORWARDED_MAX {
-            self.forwarded.clear();
+        // Machines that report to another controller by now will receive no permit. For the others, forgetting their
+        // report costs one more forwarded report.
+        if self.forwarded_reports.len() > FORWARDED_REPORTS_MAX {
+            self.forwarded_reports.clear();
         }
     }
 
-    /// Stops using a permit, and reports that to the leader with the next request.
+    /// Stops using the permit for a machine, and tells the leader so with the next request.
     pub(super) fn relinquish(&mut self, machine: &str) {
         let Some(steady) = self.steady.remove(machine) else {
             return;
--- a/crates/partitions/src/rebalance.rs
+++ b/crates/partitions/src/rebalance.rs
@@ -1,60 +1,61 @@
-//! Which partitions move: pins, owners that are lost, and shares that do not fit the controllers' load.
+//! Decides which partitions move: because of pins, of lost owners, or of shares that do not match the controllers'
+//! load.
 
+mod controller_history;
 mod moves;
 mod shares;
-mod standing;
 
 use crate::table::OwnershipTable;
-use constants::{MOVES_AT_ONCE, MOVE_PAUSE_MS};
-use standing::Standing;
+use constants::{CONCURRENT_MOVES_MAX, MOVE_INTERVAL_MS};
+use controller_history::ControllerHistory;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::partitions::{ControllerLoad, PartitionId};
 
 /// Partitions and shares that operators have pinned to controllers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Pins {
-    /// Partitions that belong to a controller.
+    /// The controllers to which partitions are pinned.
     pub partitions: BTreeMap<PartitionId, String>,
-    /// Shares of all partitions that controllers are to have, between 0 and 1.
+    /// Shares of all partitions that controllers are to own, between 0 and 1.
     pub shares: BTreeMap<String, f64>,
 }
 
 /// A controller that may own partitions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Label.
+    /// Label of the controller.
     pub label: String,
-    /// Whether it leads.
+    /// Whether the controller is the leader.
     pub is_leader: bool,
-    /// Moment of its last request; the leader's is now.
+    /// Time of its last request. For the leader, the current time.
     pub heard_at: u64,
-    /// Whether workers that are sent to it do not reach it.
+    /// Whether redirected workers do not reach the controller.
     pub is_unreachable: bool,
-    /// Its load.
+    /// Load of the controller.
     pub load: ControllerLoad,
 }
 
 /// A move to begin.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedMove {
-    /// Partition.
+    /// Partition that moves.
     pub partition: PartitionId,
     /// Its new owner.
     pub to: String,
-    /// Whether it is pinned there.
+    /// Whether the partition is pinned to the new owner.
     pub pinned: bool,
 }
 
-/// Decides on moves, from one term's observations.
+/// Decides which partitions move, from the observations of one term.
 #[derive(Debug, Default)]
 pub struct Rebalancer {
     pins: Pins,
-    standings: BTreeMap<String, Standing>,
+    histories: BTreeMap<String, ControllerHistory>,
     next_move_at: u64,
 }
 
 impl Rebalancer {
-    /// Nothing is known of any controller yet.
+    /// Creates a rebalancer that has not observed any controller.
     pub fn new(pins: Pins) -> Self {
         Rebalancer {
             pins,
@@ -62,17 +63,17 @@
         }
     }
 
-    /// Labels of controllers that were lost and receive no partitions for now.
-    pub fn excluded(&self, now: u64) -> impl Iterator<Item = &str> {
-        let standings = self.standings.iter();
-        standings
-            .filter(move |(_, standing)| standing.is_excluded(now))
+    /// Labels of the controllers that currently receive no partitions because they were lost.
+    pub fn excluded_controllers(&self, now: u64) -> impl Iterator<Item = &str> {
+        let histories = self.histories.iter();
+        histories
+            .filter(move |(_, history)| history.is_excluded(now))
             .map(|(label, _)| label.as_str())
     }
 
-    /// The next moves, given the table, the controllers, and the partitions that are moving already. Candidates are
-    /// the controllers heard in this term, and owners that have not been heard yet. The latter count as heard at the
-    /// beginning of the term, so that they have as much time as others.
+    /// Plans the next moves, given the table, the controllers, and the partitions that are moving already. Candidates
+    /// are the controllers that have sent a request in this term, and the owners that have not sent one yet. The latter
+    /// must be given with the beginning of the term as `heard_at`, so that they have as much time as others.
     pub fn plan(
         &mut self,
         table: &OwnershipTable,
@@ -88,27 +89,27 @@
         if available.is_empty() {
             return Vec::new();
         }
-        let orphans = self.moves_of_lost(table, &available, moving);
-        if !orphans.is_empty() {
-            return orphans;
+        let lost = self.lost_owner_moves(table, &available, moving);
+        if !lost.is_empty() {
+            return lost;
         }
-        if now < self.next_move_at || moving.len() >= MOVES_AT_ONCE {
+        if now < self.next_move_at || moving.len() >= CONCURRENT_MOVES_MAX {
             return Vec::new();
         }
         let mut moves = self.pinned_moves(table, &available, moving);
         if moves.is_empty() {
             moves = self.balancing_moves(table, &available, moving);
         }
-        moves.truncate(MOVES_AT_ONCE - moving.len());
+        moves.truncate(CONCURRENT_MOVES_MAX - moving.len());
         if !moves.is_empty() {
-            self.next_move_at = now + MOVE_PAUSE_MS;
+            self.next_move_at = now + MOVE_INTERVAL_MS;
         }
         moves
     }
 
     /// Whether a controller may receive partitions.
     fn is_available(&self, label: &str, now: u64) -> bool {
-        let standing = self.standings.get(label);
-        standing.is_none_or(|standing| !standing.is_excluded(now))
+        let history = self.histories.get(label);
+        history.is_none_or(|history| !history.is_excluded(now))
     }
 }
--- a/crates/partitions/src/rebalance/moves.rs
+++ b/crates/partitions/src/rebalance/moves.rs
@@ -1,20 +1,20 @@
-//! The moves that are due: orphaned, pinned and balancing ones.
+//! The moves that are due: away from lost owners, because of pins, and to balance shares.
 
 use super::shares::Share;
 use super::{Candidate, PlannedMove, Rebalancer};
 use crate::table::OwnershipTable;
-use constants::{LOST_MOVES_AT_ONCE, MOVES_AT_ONCE};
+use constants::{CONCURRENT_LOST_OWNER_MOVES_MAX, CONCURRENT_MOVES_MAX};
 use std::collections::BTreeSet;
 use wire::partitions::PartitionId;
 
-/// Partitions by which two controllers' surpluses must differ for a move between them.
-const LEAST_DIFFERENCE: f64 = 2.0;
-/// Partitions by which a controller must exceed its target to lose one.
-const LEAST_SURPLUS: f64 = 0.5;
+/// Minimum difference between two controllers' surpluses, in partitions, for a move between them.
+const SURPLUS_DIFFERENCE_MIN: f64 = 2.0;
+/// Minimum number of partitions by which a controller must exceed its target to lose one.
+const SURPLUS_MIN: f64 = 0.5;
 
 impl Rebalancer {
-    /// Partitions of controllers that are not available go to the controller furthest below its target.
-    pub(super) fn moves_of_lost(
+    /// Moves of the partitions of unavailable controllers, each to the controller furthest below its target.
+    pub(super) fn lost_owner_moves(
         &self,
         table: &OwnershipTable,
         available: &[&Candidate],
@@ -27,7 +27,7 @@
             if is_available || moving.contains(&partition) {
                 continue;
             }
-            if moving.len() + moves.len() >= LOST_MOVES_AT_ONCE {
+            if moving.len() + moves.len() >= CONCURRENT_LOST_OWNER_MOVES_MAX {
                 break;
             }
             let Some(least) = shares.iter_mut().min_by(|a, b| a.surplus_order(b)) else {
@@ -43,7 +43,8 @@
         moves
     }
 
-    /// Partitions go to where they are pinned, and lose a pin that operators have removed.
+    /// Moves of partitions to the controllers to which they are pinned. A partition whose pin was removed or whose
+    /// pinned controller is not available stays where it is, without a pin.
     pub(super) fn pinned_moves(
         &self,
         table: &OwnershipTable,
@@ -67,7 +68,7 @@
         moves
     }
 
-    /// Partitions go from the controller furthest above its target to the one furthest below.
+    /// Moves of partitions from the controller furthest above its target to the controller furthest below its target.
     pub(super) fn balancing_moves(
         &self,
         table: &OwnershipTable,
@@ -75,25 +76,27 @@
         moving: &BTreeSet<PartitionId>,
     ) -> Vec<PlannedMove> {
         let mut shares = self.shares(table, available);
-        let mut taken: BTreeSet<PartitionId> = moving.clone();
+        let mut unavailable: BTreeSet<PartitionId> = moving.clone();
         let mut moves = Vec::new();
-        while moves.len() + moving.len() < MOVES_AT_ONCE {
+        while moves.len() + moving.len() < CONCURRENT_MOVES_MAX {
             shares.sort_by(Share::surplus_order);
             let (Some(least), Some(most)) = (shares.first(), shares.last()) else {
                 break;
             };
-            // With a smaller difference, a move would only swap which of the two has more.
-            if most.surplus() - least.surplus() < LEAST_DIFFERENCE || most.surplus() < LEAST_SURPLUS
+            // With a smaller difference, a move would only reverse the order of the two controllers.
+            if most.surplus() - least.surplus() < SURPLUS_DIFFERENCE_MIN
+                || most.surplus() < SURPLUS_MIN
             {
                 break;
             }
             let (to, from) = (least.label.clone(), most.label.clone());
             let mut owned = table.rows().filter(|(_, row)| row.owner == from);
-            let free = owned.find(|(partition, row)| !row.pinned && !taken.contains(partition));
+            let free =
+                owned.find(|(partition, row)| !row.pinned && !unavailable.contains(partition));
             let Some((partition, _)) = free else {
                 break;
             };
-            taken.insert(partition);
+            unavailable.insert(partition);
             for share in &mut shares {
                 share.count += i32::from(share.label == to);
                 share.count -= i32::from(share.label == from);
--- a/crates/partitions/src/rebalance/shares.rs
+++ b/crates/partitions/src/rebalance/shares.rs
@@ -1,11 +1,11 @@
-//! How many partitions each controller owns, and how many it should.
+//! The number of partitions that each controller owns, and the number that it should own.
 
 use super::{Candidate, Rebalancer};
 use crate::table::OwnershipTable;
 use constants::LEADER_WEIGHT;
 
 impl Rebalancer {
-    /// How many partitions each controller has and should have, apart from pinned ones.
+    /// Actual and target numbers of partitions of each available controller, pinned partitions excluded.
     pub(super) fn shares(&self, table: &OwnershipTable, available: &[&Candidate]) -> Vec<Share> {
         let free = table.rows().filter(|(_, row)| !row.pinned).count() as f64;
         let pinned_share = |c: &Candidate| self.pins.shares.get(&c.label).copied();
@@ -35,8 +35,8 @@
 
     /// Weight of a controller among those without a pinned share.
     fn weight(&self, candidate: &Candidate) -> f64 {
-        let standing = self.standings.get(&candidate.label);
-        let weight = standing.map_or(1.0, |s| s.weight);
+        let history = self.histories.get(&candidate.label);
+        let weight = history.map_or(1.0, |history| history.weight);
         match candidate.is_leader {
             true => weight * LEADER_WEIGHT,
             false => weight,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Partitions of a controller, and how many it should have.
+/// Number of partitions that a controller owns, and the number that it should own.
 #[derive(Debug, Clone)]
 pub(super) struct Share {
     pub(super) label: String,
@@ -53,7 +53,7 @@
 }
 
 impl Share {
-    /// By how much the controller exceeds its target.
+    /// Number of partitions by which the controller exceeds its target.
     pub(super) fn surplus(&self) -> f64 {
         f64::from(self.count) - self.target
     }
--- a/crates/partitions/src/table.rs
+++ b/crates/partitions/src/table.rs
@@ -1,34 +1,35 @@
-//! The ownership table: which controller owns each partition, in which epoch, and how that is recorded.
+//! The ownership table: which controller owns each partition in which epoch, and the records that store this.
 
-use crate::hash::{HASH, PARTITION_COUNT};
+use crate::hash::{PARTITION_COUNT, PARTITION_HASH_NAME};
 use std::collections::BTreeMap;
 use wire::partitions::PartitionId;
 use wire::records::{partitions_key, PartitionRow, PartitionsRecord, UnknownFields};
 
-/// Partitions of a record. With labels of 40 characters it takes less than the smallest value limit known, 1 KiB.
-const ROWS_A_RECORD: PartitionId = 16;
-/// Records of the table.
-const RECORDS: u16 = PARTITION_COUNT / ROWS_A_RECORD;
+/// Partitions per record. With labels of 40 characters, a record takes less than 1 KiB, the smallest value size limit
+/// known.
+const PARTITIONS_PER_RECORD: PartitionId = 16;
+/// Number of records of the table.
+const RECORD_COUNT: u16 = PARTITION_COUNT / PARTITIONS_PER_RECORD;
 
-/// Why a record of the table can't be used.
+/// Reason why a record of the table cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TableError {
-    /// It is for another number of partitions.
-    #[error("{count} partitions are recorded, this build has {PARTITION_COUNT}")]
+    /// The record is for another number of partitions.
+    #[error("the table has {count} partitions, this build has {PARTITION_COUNT}")]
     Count {
-        /// Number that is recorded.
+        /// Recorded number.
         count: u16,
     },
-    /// Machines are mapped in another way.
-    #[error("the mapping {hash:?} is recorded, this build has {HASH:?}")]
+    /// The record is for another mapping of machines to partitions.
+    #[error("the table is for mapping {hash:?}, this build uses {PARTITION_HASH_NAME:?}")]
     Hash {
-        /// Mapping that is recorded.
+        /// Name of the recorded mapping.
         hash: String,
     },
-    /// Its rows do not match its key, or name no owner.
-    #[error("the rows of {key} are not as this build writes them")]
+    /// The rows do not match the record's key, or a row names no owner.
+    #[error("the rows of {key} do not match its key, or name no owner")]
     Rows {
-        /// Its key.
+        /// Key of the record.
         key: String,
     },
 }
@@ -38,20 +39,20 @@
 pub struct PartitionOwner {
     /// Label of the controller.
     pub owner: String,
-    /// Epoch, which grows with each change of the owner.
+    /// Epoch, which increases with each change of the owner.
     pub epoch: u64,
-    /// Whether it is pinned there.
+    /// Whether the partition is pinned to this owner.
     pub pinned: bool,
 }
 
-/// What is remembered of a record of the table since it was last read or written.
+/// Version and unknown fields of a record when it was last read or written.
 #[derive(Debug, Clone, Default)]
 struct StoredRecord {
     version: u64,
     unknown: UnknownFields,
 }
 
-/// The table, with the versions of its records.
+/// The ownership table, with the versions of its records.
 #[derive(Debug, Clone)]
 pub struct OwnershipTable {
     rows: Vec<PartitionOwner>,
@@ -59,7 +60,7 @@
 }
 
 impl OwnershipTable {
-    /// A table that has not been recorded yet: one controller owns everything.
+    /// Creates a table that has not been recorded yet. One controller owns all partitions.
     pub fn new(owner: &str) -> Self {
         let row = PartitionOwner {
             owner: owner.to_string(),
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Loads a record that was read under its key.
-    pub fn load(
+    /// Loads a record that was read under the given key.
+    pub fn load_record(
         &mut self,
         key: &str,
         record: PartitionsRecord,
@@ -84,14 +85,14 @@
                 count: record.count,
             });
         }
-        if record.hash != HASH {
+        if record.hash != PARTITION_HASH_NAME {
             return Err(TableError::Hash { hash: record.hash });
         }
-        let number = record.first / ROWS_A_RECORD;
-        let is_whole = record.first.is_multiple_of(ROWS_A_RECORD)
+        let number = record.first / PARTITIONS_PER_RECORD;
+        let is_whole = record.first.is_multiple_of(PARTITIONS_PER_RECORD)
             && key == partitions_key(number)
-            && record.rows.len() == usize::from(ROWS_A_RECORD)
-            && number < RECORDS;
+            && record.rows.len() == usize::from(PARTITIONS_PER_RECORD)
+            && number < RECORD_COUNT;
         let owner_of = |row: &PartitionRow| record.owners.get(usize::from(row.owner));
         let owners: Option<Vec<&String>> = record.rows.iter().map(owner_of).collect();
         let (true, Some(owners)) = (is_whole, owners) else {
@@ -101,7 +102,7 @@
         let first = usize::from(record.first);
         for (offset, (row, owner)) in record.rows.iter().zip(owners).enumerate() {
             let known = &mut self.rows[first + offset];
-            // Epochs never decrease. A reading that was overtaken by our own write may be older.
+            // Epochs never decrease. A read may be older than this table if one of its writes was executed meanwhile.
             if row.epoch >= known.epoch {
                 *known = PartitionOwner {
                     owner: owner.clone(),
@@ -118,7 +119,7 @@
         Ok(())
     }
 
-    /// The owner of a partition.
+    /// The owner of a partition. `None` if the partition does not exist.
     pub fn row(&self, partition: PartitionId) -> Option<&PartitionOwner> {
         self.rows.get(usize::from(partition))
     }
@@ -128,21 +129,21 @@
         (0..PARTITION_COUNT).zip(&self.rows)
     }
 
-    /// Partitions of a controller.
+    /// Partitions that a controller owns.
     pub fn owned_by<'a>(&'a self, owner: &'a str) -> impl Iterator<Item = PartitionId> + 'a {
         let rows = self.rows();
         rows.filter(move |(_, row)| row.owner == owner)
             .map(|(partition, _)| partition)
     }
 
-    /// Whether all of its records are in the state service, as far as is known.
+    /// Whether all records of the table are in the state service, as far as is known.
     pub fn is_recorded(&self) -> bool {
-        self.records.len() == usize::from(RECORDS)
+        self.records.len() == usize::from(RECORD_COUNT)
     }
 
     /// Numbers of the records that hold these partitions.
     pub(crate) fn records_of(partitions: impl Iterator<Item = PartitionId>) -> Vec<u16> {
-        let mut numbers: Vec<u16> = partitions.map(|p| p / ROWS_A_RECORD).collect();
+        let mut numbers: Vec<u16> = partitions.map(|p| p / PARTITIONS_PER_RECORD).collect();
         numbers.sort_unstable();
         numbers.dedup();
         numbers
@@ -151,7 +152,7 @@
     /// Numbers of the records that are not in the state service.
     pub(crate) fn missing_records(&self) -> Vec<u16> {
         let missing = |number: &u16| !self.records.contains_key(number);
-        (0..RECORDS).filter(missing).collect()
+        (0..RECORD_COUNT).filter(missing).collect()
     }
 
     /// Assigns a partition to another owner, under the next epoch.
@@ -165,10 +166,10 @@
         }
     }
 
-    /// A record with its key and the version that it has now.
+    /// A record of the table, with its key and its version in the state service.
     pub(crate) fn record(&self, number: u16) -> (String, PartitionsRecord, u64) {
-        let first = number * ROWS_A_RECORD;
-        let rows = &self.rows[usize::from(first)..usize::from(first + ROWS_A_RECORD)];
+        let first = number * PARTITIONS_PER_RECORD;
+        let rows = &self.rows[usize::from(first)..usize::from(first + PARTITIONS_PER_RECORD)];
         let mut owners: Vec<String> = rows.iter().map(|row| row.owner.clone()).collect();
         owners.sort_unstable();
         owners.dedup();
@@ -182,7 +183,7 @@
         let stored = self.records.get(&number).cloned().unwrap_or_default();
         let record = PartitionsRecord {
             count: PARTITION_COUNT,
-            hash: HASH.to_string(),
+            hash: PARTITION_HASH_NAME.to_string(),
             first,
             owners,
             rows,
@@ -191,8 +192,8 @@
         (partitions_key(number), record, stored.version)
     }
 
-    /// A record was written as it is in this table.
-    pub(crate) fn recorded(&mut self, number: u16, version: u64) {
+    /// Notes the version under which a record of this table was written.
+    pub(crate) fn set_record_version(&mut self, number: u16, version: u64) {
         self.records.entry(number).or_default().version = version;
     }
 }
--- a/crates/partitions/tests/model.rs
+++ b/crates/partitions/tests/model.rs
@@ -1,10 +1,10 @@
-//! A model of one term: a leader, three controllers that ask for grants and answer machines, and a network that
-//! loses, repeats and delays messages as it likes. Clocks drift apart as far as the protocol allows, processes
-//! restart, partitions move.
+//! A model of one term: a leader, three controllers that request grants and answer machines, and a network that loses,
+//! duplicates, delays and reorders messages. Clocks drift apart as far as the protocol allows, processes restart, and
+//! partitions move.
 //!
-//! What must hold: at each answer of an owner the leader believes that it is possible, and nobody else may answer for
-//! the partition; and ever after the leader believes that the machine was answered then, or later. Each safeguard,
-//! taken out, must be found by some schedule. `SCHEDULES=100000` plays more of them.
+//! Invariants: when an owner answers a machine, the leader considers the answer possible, and no other owner holds a
+//! grant for the partition. Afterwards, the leader never assumes that the machine's last answer was earlier. If any of
+//! the safeguards is disabled, some random schedule must violate an invariant. `SCHEDULES=100000` runs more schedules.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
@@ -18,19 +18,19 @@
 const MACHINES: usize = 3;
 const REPORT_MS: u64 = 2_000;
 const TERM: u64 = 7;
-/// Steps of a schedule.
+/// Number of steps of a schedule.
 const STEPS: usize = 400;
 
-/// A safeguard that is taken out.
+/// A safeguard that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// Grants and permits do not tell epochs apart.
+    /// Grants and permits do not distinguish epochs.
     EpochCheck,
-    /// A grant runs from when it arrives.
+    /// A grant is valid from its arrival instead of from the owner's request.
     RequestClock,
-    /// A partition is granted to its next owner at once.
+    /// A partition is granted to its next owner before the previous grant has ended.
     WaitForGrantEnd,
-    /// Grants carry no recalls.
+    /// Grants contain no recalls.
     RecallInGrant,
 }
 
@@ -38,21 +38,22 @@
 enum Step {
     /// Time passes.
     Wait(u64),
-    /// An owner asks if that is due.
-    Ask(usize),
-    /// The message that has waited for longest is delivered, or the one at this place.
+    /// An owner sends a request if one is due.
+    RequestGrant(usize),
+    /// The message at this position is delivered, counted from the one that has waited for longest. If there are fewer
+    /// messages, it is the last one.
     Deliver(usize),
-    /// The same, and a copy stays on its way.
-    Repeat(usize),
-    /// A message is lost.
+    /// The message at this position is delivered, and a copy stays in the network.
+    Duplicate(usize),
+    /// The message at this position is lost.
     Lose(usize),
     /// A machine reports to a controller.
     WorkerHeartbeat { machine: usize, owner: usize },
-    /// Something is pending for a machine, or no longer.
-    Touch(usize),
-    /// A partition gets its next owner.
+    /// The leader has something pending for a machine from now on, or no longer. The machine is steady if not.
+    TogglePending(usize),
+    /// The partition of a machine moves to another owner.
     Move { machine: usize, to: usize },
-    /// A controller's process ends and another one begins.
+    /// A controller's process ends and a new one starts.
     Restart(usize),
 }
 
@@ -60,32 +61,32 @@
     prop_oneof![
         4 => (1..1_500u64).prop_map(Step::Wait),
         1 => (1_500..9_000u64).prop_map(Step::Wait),
-        6 => (0..OWNERS).prop_map(Step::Ask),
+        6 => (0..OWNERS).prop_map(Step::RequestGrant),
         10 => (0..3usize).prop_map(Step::Deliver),
-        1 => (0..3usize).prop_map(Step::Repeat),
+        1 => (0..3usize).prop_map(Step::Duplicate),
         1 => (0..3usize).prop_map(Step::Lose),
         8 => (0..MACHINES, 0..OWNERS).prop_map(|(machine, owner)| Step::WorkerHeartbeat { machine, owner }),
-        2 => (0..MACHINES).prop_map(Step::Touch),
+        2 => (0..MACHINES).prop_map(Step::TogglePending),
         1 => (0..MACHINES, 0..OWNERS).prop_map(|(machine, to)| Step::Move { machine, to }),
         1 => (0..OWNERS).prop_map(Step::Restart),
     ]
 }
 
-/// A message on its way.
+/// A message in the network.
 #[derive(Debug, Clone)]
 enum Message {
     Request(usize, GrantRequest),
     Grant(usize, Grant),
     Permits(usize, u64, Vec<Permit>),
     Recall(usize, u64, Vec<RecalledPermit>),
-    /// A report that an owner passed on.
+    /// A report that an owner has forwarded.
     WorkerHeartbeat(usize, WorkerHeartbeat),
 }
 
 struct Process {
     owner: Owner,
     boot: u64,
-    /// What its clock shows at time 0, and how fast it runs.
+    /// The value of its clock at time 0, and the clock's rate.
     offset: u64,
     rate: f64,
 }
@@ -97,9 +98,9 @@
     processes: Vec<Process>,
     /// Owner and epoch of each partition that has a machine.
     table: BTreeMap<PartitionId, (usize, u64)>,
-    wire: Vec<Message>,
-    touched: [bool; MACHINES],
-    /// When owners last answered each machine.
+    network: Vec<Message>,
+    pending: [bool; MACHINES],
+    /// Time at which an owner last answered each machine.
     answered: BTreeMap<String, u64>,
     seq: u64,
     next_boot: u64,
@@ -109,7 +110,7 @@
     format!("n{owner}")
 }
 
-/// Machines of three partitions.
+/// Name of a machine. The machines belong to different partitions.
 fn machine(number: usize) -> String {
     format!("vm-{number:06}")
 }
@@ -154,8 +155,8 @@
             leader: Delegation::new(REPORT_MS),
             processes: (0..OWNERS).map(process).collect(),
             table,
-            wire: Vec::new(),
-            touched: [false; MACHINES],
+            network: Vec::new(),
+            pending: [false; MACHINES],
             answered: BTreeMap::new(),
             seq: 0,
             next_boot: 10,
@@ -172,31 +173,31 @@
         process.offset + (self.now as f64 * process.rate) as u64
     }
 
-    fn play(&mut self, step: Step) -> Result<(), String> {
+    fn run_step(&mut self, step: Step) -> Result<(), String> {
         match step {
             Step::Wait(ms) => self.now += ms,
-            Step::Ask(owner) => {
+            Step::RequestGrant(owner) => {
                 let clock = self.clock(owner);
                 let load = ControllerLoad::default();
-                let request = self.processes[owner].owner.request(load, clock);
-                self.wire
+                let request = self.processes[owner].owner.next_request(load, clock);
+                self.network
                     .extend(request.map(|r| Message::Request(owner, r)));
             }
-            Step::Deliver(place) if !self.wire.is_empty() => {
-                let message = self.wire.remove(place.min(self.wire.len() - 1));
+            Step::Deliver(position) if !self.network.is_empty() => {
+                let message = self.network.remove(position.min(self.network.len() - 1));
                 self.deliver(message);
             }
-            Step::Repeat(place) if !self.wire.is_empty() => {
-                let message = self.wire[place.min(self.wire.len() - 1)].clone();
+            Step::Duplicate(position) if !self.network.is_empty() => {
+                let message = self.network[position.min(self.network.len() - 1)].clone();
                 self.deliver(message);
             }
-            Step::Lose(place) if !self.wire.is_empty() => {
-                self.wire.remove(place.min(self.wire.len() - 1));
+            Step::Lose(position) if !self.network.is_empty() => {
+                self.network.remove(position.min(self.network.len() - 1));
             }
-            Step::Deliver(_) | Step::Repeat(_) | Step::Lose(_) => {}
+            Step::Deliver(_) | Step::Duplicate(_) | Step::Lose(_) => {}
             Step::WorkerHeartbeat { machine, owner } => return self.report(machine, owner),
-            Step::Touch(machine) => {
-                self.touched[machine] = !self.touched[machine];
+            Step::TogglePending(machine) => {
+                self.pending[machine] = !self.pending[machine];
                 self.send_recalls();
             }
             Step::Move {
@@ -231,18 +232,18 @@
                 self.check_answer(&name, owner)?;
                 self.answered.insert(name, self.now);
             }
-            Decision::Forward => self.wire.push(Message::WorkerHeartbeat(owner, report)),
+            Decision::Forward => self.network.push(Message::WorkerHeartbeat(owner, report)),
             Decision::Redirect(_) | Decision::Outdated => {}
         }
         Ok(())
     }
 
-    /// An owner answers a machine now.
+    /// Checks the invariants at the moment at which an owner answers a machine.
     fn check_answer(&self, name: &str, owner: usize) -> Result<(), String> {
-        let until = self.leader.answers_until(name);
+        let until = self.leader.latest_possible_answer(name);
         if until.is_none_or(|until| until < self.now) {
             return Err(format!(
-                "{name} answered at {} by n{owner}, believed until {until:?}",
+                "n{owner} answered {name} at {}, but the leader's latest possible answer is at {until:?}",
                 self.now
             ));
         }
@@ -251,39 +252,41 @@
         for other in others {
             if self.processes[other]
                 .owner
-                .holds(partition, self.clock(other))
+                .holds_grant(partition, self.clock(other))
             {
-                return Err(format!("n{owner} and n{other} hold partition {partition}"));
+                return Err(format!(
+                    "n{owner} and n{other} both hold a grant for partition {partition}"
+                ));
             }
         }
         Ok(())
     }
 
-    /// The leader has not forgotten an answer.
-    fn check_memory(&self) -> Result<(), String> {
+    /// Checks that the leader knows of an answer at or after each machine's last one.
+    fn check_last_answers(&self) -> Result<(), String> {
         for (name, at) in &self.answered {
-            let until = self.leader.answers_until(name);
+            let until = self.leader.latest_possible_answer(name);
             if until.is_none_or(|until| until < *at) {
                 return Err(format!(
-                    "{name} was answered at {at}, believed until {until:?}"
+                    "{name} was answered at {at}, but the leader's latest possible answer is at {until:?}"
                 ));
             }
         }
         Ok(())
     }
 
-    fn is_steady(touched: &[bool; MACHINES], name: &str) -> bool {
-        (0..MACHINES).any(|number| machine(number) == name && !touched[number])
+    fn is_steady(pending: &[bool; MACHINES], name: &str) -> bool {
+        (0..MACHINES).any(|number| machine(number) == name && !pending[number])
     }
 
     fn send_recalls(&mut self) {
-        let touched = self.touched;
+        let pending = self.pending;
         self.leader
-            .withdraw_unless(|name| Self::is_steady(&touched, name));
-        let recalls = self.leader.urgent_recalls();
+            .withdraw_unsteady_permits(|name| Self::is_steady(&pending, name));
+        let recalls = self.leader.take_urgent_recalls();
         for ((owner, boot), permits) in recalls {
             let to = (0..OWNERS).find(|o| label(*o) == owner).expect("an owner");
-            self.wire.push(Message::Recall(to, boot, permits));
+            self.network.push(Message::Recall(to, boot, permits));
         }
     }
 
@@ -306,26 +309,27 @@
                 self.processes[owner].owner.on_recall(TERM, boot, &permits);
             }
             Message::WorkerHeartbeat(owner, report) => {
-                let touched = self.touched;
-                if !Self::is_steady(&touched, &report.machine) {
+                let pending = self.pending;
+                if !Self::is_steady(&pending, &report.machine) {
                     return;
                 }
                 let seq = (report.incarnation, report.seq);
-                let permit = self
-                    .leader
-                    .permit(&label(owner), &report.machine, seq, self.now);
+                let permit =
+                    self.leader
+                        .issue_permit(&label(owner), &report.machine, seq, self.now);
                 if let Some((boot, mut permit)) = permit {
                     if self.fault == Some(Fault::EpochCheck) {
                         permit.partition.epoch = 0;
                     }
-                    self.wire.push(Message::Permits(owner, boot, vec![permit]));
+                    self.network
+                        .push(Message::Permits(owner, boot, vec![permit]));
                 }
             }
         }
     }
 
     fn on_request(&mut self, owner: usize, mut request: GrantRequest) {
-        // A request of an earlier process is not listened to: heartbeats tell.
+        // The leader ignores requests of an earlier process, which it recognizes by the peers' heartbeats.
         if request.boot != self.processes[owner].boot {
             return;
         }
@@ -335,7 +339,7 @@
         let name = label(owner);
         self.leader
             .on_request(&name, &request, self.now)
-            .expect("a good request");
+            .expect("a valid request");
         let rows = self.table.iter().filter(|(_, (o, _))| *o == owner);
         let entitled: Vec<PartitionEpoch> = rows
             .map(|(partition, (_, epoch))| PartitionEpoch {
@@ -345,7 +349,7 @@
             .collect();
         let mut grant = self
             .leader
-            .grant(&name, &request, &entitled, 4_000, self.now);
+            .issue_grant(&name, &request, &entitled, 4_000, self.now);
         match self.fault {
             Some(Fault::EpochCheck) => grant.partitions.iter_mut().for_each(|p| p.epoch = 0),
             Some(Fault::RecallInGrant) => {
@@ -353,7 +357,7 @@
             }
             _ => {}
         }
-        self.wire.push(Message::Grant(owner, grant));
+        self.network.push(Message::Grant(owner, grant));
     }
 }
 
@@ -361,13 +365,13 @@
     prop::collection::vec(step(), STEPS)
 }
 
-fn play(fault: Option<Fault>, steps: Vec<Step>) -> Result<usize, String> {
+fn run_schedule(fault: Option<Fault>, steps: Vec<Step>) -> Result<usize, String> {
     let mut model = Model::new(fault);
     for step in steps {
-        model.play(step)?;
-        model.check_memory()?;
+        model.run_step(step)?;
+        model.check_last_answers()?;
     }
-    Ok(model.leader.permits())
+    Ok(model.leader.permit_count())
 }
 
 fn runner(cases: u32) -> TestRunner {
@@ -382,58 +386,59 @@
 }
 
 #[test]
-fn no_owner_answers_later_than_the_leader_believes_and_no_two_hold_a_partition() {
-    let schedules_wanted = std::env::var("SCHEDULES").ok();
-    let count = schedules_wanted.and_then(|text| text.parse().ok());
+fn no_owner_answers_later_than_the_leader_assumes_and_no_two_hold_a_partition() {
+    let requested = std::env::var("SCHEDULES").ok();
+    let count = requested.and_then(|text| text.parse().ok());
     let outcome = runner(count.unwrap_or(3_000)).run(&schedules(), |steps| {
-        play(None, steps).map_err(TestCaseError::fail)?;
+        run_schedule(None, steps).map_err(TestCaseError::fail)?;
         Ok(())
     });
     outcome.expect("the invariants hold");
 }
 
-/// The schedules are of some use: in most of them permits are in use at the end.
+/// The schedules exercise the protocol: at least a quarter of them end with permits in use.
 #[test]
-fn schedules_bring_owners_to_answer() {
-    let answering = Cell::new(0);
+fn schedules_lead_to_permits() {
+    let with_permits = Cell::new(0);
     runner(200)
         .run(&schedules(), |steps| {
-            let permits = play(None, steps).map_err(TestCaseError::fail)?;
-            answering.set(answering.get() + usize::from(permits > 0));
+            let permits = run_schedule(None, steps).map_err(TestCaseError::fail)?;
+            with_permits.set(with_permits.get() + usize::from(permits > 0));
             Ok(())
         })
         .expect("the invariants hold");
-    let answering = answering.get();
+    let with_permits = with_permits.get();
     assert!(
-        answering >= 50,
-        "{answering} of 200 schedules end with permits"
+        with_permits >= 50,
+        "{with_permits} of 200 schedules end with permits"
     );
 }
 
-fn is_found(fault: Fault) -> bool {
+/// Whether some schedule violates an invariant when a safeguard is disabled.
+fn is_detected(fault: Fault) -> bool {
     let outcome = runner(20_000).run(&schedules(), |steps| {
-        play(Some(fault), steps).map_err(TestCaseError::fail)?;
+        run_schedule(Some(fault), steps).map_err(TestCaseError::fail)?;
         Ok(())
     });
     matches!(outcome, Err(TestError::Fail(..)))
 }
 
 #[test]
-fn a_grant_that_runs_from_its_arrival_is_found() {
-    assert!(is_found(Fault::RequestClock));
+fn a_grant_that_is_valid_from_its_arrival_is_detected() {
+    assert!(is_detected(Fault::RequestClock));
 }
 
 #[test]
-fn permits_without_epochs_are_found() {
-    assert!(is_found(Fault::EpochCheck));
+fn permits_without_epochs_are_detected() {
+    assert!(is_detected(Fault::EpochCheck));
 }
 
 #[test]
-fn a_next_owner_that_does_not_wait_is_found() {
-    assert!(is_found(Fault::WaitForGrantEnd));
+fn a_grant_before_the_previous_one_has_ended_is_detected() {
+    assert!(is_detected(Fault::WaitForGrantEnd));
 }
 
 #[test]
-fn grants_without_recalls_are_found() {
-    assert!(is_found(Fault::RecallInGrant));
+fn grants_without_recalls_are_detected() {
+    assert!(is_detected(Fault::RecallInGrant));
 }
--- a/crates/partitions/tests/owner.rs
+++ b/crates/partitions/tests/owner.rs
@@ -1,4 +1,4 @@
-//! An owner's decisions, and messages that it must not act on.
+//! Tests of an owner's decisions, and of messages that it must ignore.
 
 use vetchmount_partitions::{partition_of, Decision, Delegation, Owner, RequestError};
 use wire::partitions::*;
@@ -58,8 +58,8 @@
     }
 }
 
-/// An owner at moment 1,000 that has passed report 1 on and was permitted to answer.
-fn answering() -> Owner {
+/// An owner at time 1,000 that has forwarded report 1 and has received a permit for the machine.
+fn permitted_owner() -> Owner {
     let mut owner = Owner::new(BOOT, REPORT_MS);
     owner.on_term(TERM, 1_000);
     assert!(owner.on_grant(TERM, grant(1, 1_000), 1_000));
@@ -71,8 +71,8 @@
 const ANSWER: Decision = Decision::Answer { term: TERM };
 
 #[test]
-fn it_answers_reports_that_repeat_the_last_one_and_passes_all_others_on() {
-    assert_eq!(answering().decide(&report(2), 2_000), ANSWER);
+fn it_answers_reports_that_repeat_the_last_one_and_forwards_all_others() {
+    assert_eq!(permitted_owner().decide(&report(2), 2_000), ANSWER);
     let changes: [&dyn Fn(&mut WorkerHeartbeat); 7] = [
         &|r| r.incarnation = 2,
         &|r| r.term = TERM + 1,
@@ -83,11 +83,11 @@
         &|r| r.spot = true,
     ];
     for (number, change) in changes.iter().enumerate() {
-        let mut owner = answering();
+        let mut owner = permitted_owner();
         let mut other = report(2);
         change(&mut other);
         assert_eq!(owner.decide(&other, 2_000), Decision::Forward, "{number}");
-        // What was passed on ended the permit.
+        // Forwarding the report has ended the permit.
         assert_eq!(
             owner.decide(&report(3), 2_500),
             Decision::Forward,
@@ -97,8 +97,8 @@
 }
 
 #[test]
-fn late_copies_are_no_sign_of_life() {
-    let mut owner = answering();
+fn late_copies_of_reports_are_refused() {
+    let mut owner = permitted_owner();
     assert_eq!(owner.decide(&report(3), 2_000), ANSWER);
     assert_eq!(owner.decide(&report(2), 2_100), Decision::Outdated);
     assert_eq!(owner.decide(&report(3), 2_100), Decision::Outdated);
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn it_stops_with_its_grant_passes_on_for_a_while_and_then_names_the_leader() {
-    let mut owner = answering();
+fn after_its_grant_expires_it_forwards_for_a_while_and_then_redirects_to_the_leader() {
+    let mut owner = permitted_owner();
     assert_eq!(owner.decide(&report(2), 4_999), ANSWER);
     assert_eq!(owner.decide(&report(3), 5_000), Decision::Forward);
     assert_eq!(owner.decide(&report(4), 8_999), Decision::Forward);
@@ -115,8 +115,8 @@
 }
 
 #[test]
-fn every_eighth_report_is_passed_on() {
-    let mut owner = answering();
+fn every_eighth_report_is_forwarded() {
+    let mut owner = permitted_owner();
     let mut forwarded = Vec::new();
     for seq in 2..=20 {
         let now = 1_000 + (seq - 1) * REPORT_MS;
@@ -130,13 +130,16 @@
 }
 
 #[test]
-fn messages_of_another_term_process_or_order_are_not_acted_on() {
-    let mut owner = answering();
-    let foreign = Grant {
+fn messages_of_another_term_or_process_or_out_of_order_are_ignored() {
+    let mut owner = permitted_owner();
+    let other_process = Grant {
         boot: BOOT + 1,
         ..grant(9, 9_000)
     };
-    assert!(!owner.on_grant(TERM, foreign, 2_000), "another process");
+    assert!(
+        !owner.on_grant(TERM, other_process, 2_000),
+        "another process"
+    );
     assert!(
         !owner.on_grant(TERM - 1, grant(9, 9_000), 2_000),
         "an old term"
@@ -144,8 +147,8 @@
     assert!(!owner.on_grant(TERM, grant(1, 9_000), 2_000), "a copy");
     assert_eq!(owner.decide(&report(2), 4_999), ANSWER);
     assert_eq!(owner.decide(&report(3), 5_000), Decision::Forward);
-    // Permits of another process, out of order, for another report, or for a partition that is not the machine's.
-    let mut owner = answering();
+    // Permits of another process, of an old term, out of order, for the wrong partition, or for another report.
+    let mut owner = permitted_owner();
     owner.decide(&report(2), 2_000);
     let mut changed = report(3);
     changed.tasks.clear();
@@ -163,38 +166,41 @@
     assert_eq!(
         owner.decide(&changed, 2_400),
         Decision::Forward,
-        "it followed another report"
+        "the permit was for another report"
     );
     // Partitions that do not exist are ignored.
-    let mut owner = answering();
+    let mut owner = permitted_owner();
     let mut unknown = grant(2, 2_000);
     unknown.partitions.push(PartitionEpoch {
         partition: 64,
         epoch: 1,
     });
     assert!(owner.on_grant(TERM, unknown, 2_000));
-    assert_eq!(owner.partitions_held(2_000), 1);
+    assert_eq!(owner.held_partition_count(2_000), 1);
 }
 
 #[test]
-fn a_newer_term_ends_everything_at_once() {
-    let mut owner = answering();
+fn a_newer_term_ends_the_grant_and_all_permits_at_once() {
+    let mut owner = permitted_owner();
     owner.on_term(TERM + 1, 2_000);
     assert_eq!(
-        (owner.steady_machines(), owner.partitions_held(2_000)),
+        (
+            owner.steady_machine_count(),
+            owner.held_partition_count(2_000)
+        ),
         (0, 0)
     );
     assert_eq!(owner.decide(&report(2), 2_000), Decision::Forward);
     assert!(!owner.on_grant(TERM, grant(2, 2_000), 2_000));
     assert!(
         owner.on_grant(TERM + 1, grant(1, 2_000), 2_000),
-        "numbers begin anew"
+        "grant numbers restart in each term"
     );
 }
 
 #[test]
-fn a_recall_overtakes_its_permit() {
-    let mut owner = answering();
+fn a_permit_that_arrives_after_its_recall_is_ignored() {
+    let mut owner = permitted_owner();
     let mut changed = report(2);
     changed.tasks.clear();
     assert_eq!(owner.decide(&changed, 2_000), Decision::Forward);
@@ -209,26 +215,26 @@
 }
 
 #[test]
-fn silence_is_told_until_the_leader_has_heard_it() {
-    let mut owner = answering();
+fn a_silent_machine_is_relinquished_until_the_leader_confirms_it() {
+    let mut owner = permitted_owner();
     assert_eq!(owner.decide(&report(2), 2_000), ANSWER);
     let load = ControllerLoad::default();
     assert!(owner
-        .request(load, 2_500)
+        .next_request(load, 2_500)
         .expect("due")
         .relinquished
         .is_empty());
-    assert!(owner.request(load, 2_600).is_none(), "not due");
-    let request = owner.request(load, 8_000).expect("due");
-    let word = Relinquished {
+    assert!(owner.next_request(load, 2_600).is_none(), "not due");
+    let request = owner.next_request(load, 8_000).expect("due");
+    let expected = Relinquished {
         machine: MACHINE.into(),
         permit: 1,
         answered_ago_ms: Some(6_000),
         heard_ago_ms: 6_000,
     };
-    assert_eq!(request.relinquished, [word]);
-    // The request may be lost: it is said again, until a grant answers one that said it.
-    let again = owner.request(load, 9_000).expect("due");
+    assert_eq!(request.relinquished, [expected]);
+    // The request may be lost, so the permit is relinquished again until a grant answers a request that contained it.
+    let again = owner.next_request(load, 9_000).expect("due");
     assert_eq!(again.relinquished.len(), 1);
     let answer = Grant {
         request: request.request,
@@ -236,36 +242,36 @@
     };
     assert!(owner.on_grant(TERM, answer, 9_100));
     assert!(owner
-        .request(load, 10_000)
+        .next_request(load, 10_000)
         .expect("due")
         .relinquished
         .is_empty());
 }
 
 #[test]
-fn the_leader_refuses_requests_with_another_number_of_partitions() {
+fn the_leader_rejects_requests_with_another_number_of_partitions() {
     let mut leader = Delegation::new(REPORT_MS);
     let mut owner = Owner::new(BOOT, REPORT_MS);
     let mut request = owner
-        .request(ControllerLoad::default(), 1_000)
+        .next_request(ControllerLoad::default(), 1_000)
         .expect("due");
     request.partition_count = 32;
-    let refused = leader.on_request("n1", &request, 1_000);
-    assert_eq!(refused, Err(RequestError::PartitionCount { theirs: 32 }));
+    let rejected = leader.on_request("n1", &request, 1_000);
+    assert_eq!(rejected, Err(RequestError::PartitionCount { theirs: 32 }));
 }
 
 #[test]
-fn a_machine_that_two_controllers_report_is_permitted_to_its_owner_alone() {
+fn a_permit_for_a_machine_is_issued_only_to_its_owner() {
     let mut leader = Delegation::new(REPORT_MS);
     let mut owner = Owner::new(BOOT, REPORT_MS);
     let request = owner
-        .request(ControllerLoad::default(), 1_000)
+        .next_request(ControllerLoad::default(), 1_000)
         .expect("due");
     leader
         .on_request("n1", &request, 1_000)
-        .expect("a good request");
-    leader.grant("n1", &request, &[partition(1)], 4_000, 1_000);
-    assert!(leader.permit("n2", MACHINE, (1, 1), 1_100).is_none());
-    assert!(leader.permit("n1", MACHINE, (1, 1), 1_100).is_some());
-    assert_eq!(leader.answers_until(MACHINE), Some(1_000 + 4_008));
+        .expect("a valid request");
+    leader.issue_grant("n1", &request, &[partition(1)], 4_000, 1_000);
+    assert!(leader.issue_permit("n2", MACHINE, (1, 1), 1_100).is_none());
+    assert!(leader.issue_permit("n1", MACHINE, (1, 1), 1_100).is_some());
+    assert_eq!(leader.latest_possible_answer(MACHINE), Some(1_000 + 4_008));
 }
