--- a/crates/partitions/tests/rebalancing.rs
+++ b/crates/partitions/tests/rebalancing.rs
@@ -1,20 +1,20 @@
-//! Which partitions move, given load, losses and pins.
+//! Tests of which partitions move, given load, lost controllers and pins.
 
 use std::collections::{BTreeMap, BTreeSet};
 use vetchmount_partitions::rebalance::{Candidate, Pins, Rebalancer};
-use vetchmount_partitions::{Handover, PARTITION_COUNT};
+use vetchmount_partitions::{PartitionMover, PARTITION_COUNT};
 use wire::partitions::ControllerLoad;
 use wire::state::{Txn, Write};
 
 const STEP_MS: u64 = 500;
 
-/// Controllers under a leader, `n0`, whose moves all succeed at once.
+/// Controllers with the leader `n0`, whose moves are committed at once.
 struct Cluster {
     rebalancer: Rebalancer,
-    handover: Handover,
-    /// Load of each controller for each of its partitions, in thousandths.
-    load_a_partition: BTreeMap<String, f64>,
-    /// Load apart from that.
+    mover: PartitionMover,
+    /// Load of each controller per partition that it owns, in thousandths.
+    load_per_partition: BTreeMap<String, f64>,
+    /// Load of each controller that does not depend on its partitions, in thousandths.
     other_load: BTreeMap<String, f64>,
     heard_at: BTreeMap<String, u64>,
     silent: BTreeSet<String>,
@@ -23,20 +23,20 @@
     moves: usize,
 }
 
-fn commit(handover: &mut Handover, txn: &Txn, version: u64) {
+fn commit(mover: &mut PartitionMover, txn: &Txn, version: u64) {
     assert!(matches!(txn.writes[0], Write::Put { .. }));
-    handover.committed(version);
+    mover.on_write_committed(version);
 }
 
 impl Cluster {
     fn new(controllers: usize, pins: Pins) -> Self {
         let labels = (0..controllers).map(|n| format!("n{n}"));
-        let mut handover = Handover::new("n0");
-        handover.loaded();
+        let mut mover = PartitionMover::new("n0");
+        mover.on_loaded();
         let mut cluster = Cluster {
             rebalancer: Rebalancer::new(pins),
-            handover,
-            load_a_partition: BTreeMap::new(),
+            mover,
+            load_per_partition: BTreeMap::new(),
             other_load: BTreeMap::new(),
             heard_at: labels.map(|label| (label, 0)).collect(),
             silent: BTreeSet::new(),
@@ -44,23 +44,23 @@
             now: 0,
             moves: 0,
         };
-        cluster.write();
+        cluster.commit_writes();
         cluster
     }
 
-    fn write(&mut self) {
-        while let Some(txn) = self.handover.next_write(1, self.now) {
-            commit(&mut self.handover, &txn, self.now + 1);
+    fn commit_writes(&mut self) {
+        while let Some(txn) = self.mover.next_write(1, self.now) {
+            commit(&mut self.mover, &txn, self.now + 1);
         }
     }
 
     fn count(&self, label: &str) -> usize {
-        self.handover.table().owned_by(label).count()
+        self.mover.table().owned_by(label).count()
     }
 
     fn candidates(&self) -> Vec<Candidate> {
         let candidate = |(label, heard_at): (&String, &u64)| {
-            let each = self.load_a_partition.get(label).copied().unwrap_or(0.0);
+            let each = self.load_per_partition.get(label).copied().unwrap_or(0.0);
             let other = self.other_load.get(label).copied().unwrap_or(0.0);
             let load = other + each * self.count(label) as f64;
             Candidate {
@@ -77,7 +77,7 @@
         self.heard_at.iter().map(candidate).collect()
     }
 
-    /// Lets time pass; the most moves that began at a time.
+    /// Advances the time. Returns the largest number of moves that began in one step.
     fn run(&mut self, ms: u64) -> usize {
         let mut most = 0;
         let until = self.now + ms;
@@ -90,7 +90,7 @@
                 .filter(|(l, _)| !silent.contains(*l));
             heard.for_each(|(_, at)| *at = self.now);
             let candidates = self.candidates();
-            let table = self.handover.table();
+            let table = self.mover.table();
             let planned = self
                 .rebalancer
                 .plan(table, &candidates, &BTreeSet::new(), self.now);
@@ -98,19 +98,19 @@
             self.moves += planned.len();
             for moved in planned {
                 let (partition, to) = (moved.partition, &moved.to);
-                assert!(self.handover.begin(partition, to, moved.pinned, self.now));
+                assert!(self.mover.begin_move(partition, to, moved.pinned, self.now));
             }
-            self.write();
+            self.commit_writes();
         }
         most
     }
 }
 
 #[test]
-fn shares_spread_in_small_steps_and_stay_put_then() {
+fn partitions_spread_in_small_steps_and_then_stay() {
     let mut cluster = Cluster::new(5, Pins::default());
     let most = cluster.run(60_000);
-    assert_eq!(most, 4, "moves at a time");
+    assert_eq!(most, 4, "moves in one step");
     assert!(
         (1..=3).contains(&cluster.count("n0")),
         "{}",
@@ -125,19 +125,19 @@
 }
 
 #[test]
-fn an_overloaded_controller_gives_partitions_away_until_it_is_not() {
+fn an_overloaded_controller_loses_partitions_until_it_is_no_longer_overloaded() {
     let mut cluster = Cluster::new(4, Pins::default());
     cluster.run(60_000);
     let before = cluster.count("n1");
-    // Its partitions cost it several times what they cost the others.
+    // A partition causes several times as much load on this controller as on the others.
     for (label, each) in [("n1", 55.0), ("n2", 12.0), ("n3", 12.0)] {
-        cluster.load_a_partition.insert(label.into(), each);
+        cluster.load_per_partition.insert(label.into(), each);
     }
     cluster.run(300_000);
     let after = cluster.count("n1");
-    assert!(after * 55 < 850, "{before} to {after}");
-    assert!(after >= 3, "{after} are left");
-    // It settles: what it gets back as it recovers, it gives away again once in minutes.
+    assert!(after * 55 < 850, "from {before} to {after} partitions");
+    assert!(after >= 3, "{after} partitions are left");
+    // The shares do not oscillate: partitions that return as the weight recovers move away only once in minutes.
     let moves = cluster.moves;
     cluster.run(1_200_000);
     assert!(
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn near_equal_loads_stay_put_however_high() {
+fn nearly_equal_loads_cause_no_moves_however_high() {
     let mut cluster = Cluster::new(4, Pins::default());
     cluster.run(60_000);
     let moves = cluster.moves;
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_lost_controller_gives_all_away_and_gets_some_back_after_a_growing_pause() {
+fn a_lost_controller_loses_all_partitions_and_regains_some_after_a_growing_pause() {
     let mut cluster = Cluster::new(4, Pins::default());
     cluster.run(60_000);
     let mut pauses = Vec::new();
@@ -180,14 +180,14 @@
         pauses.windows(2).all(|pair| pair[1] > pair[0] * 3 / 2),
         "{pauses:?}"
     );
-    // Workers do not reach it: the same.
+    // A controller that workers do not reach loses its partitions, too.
     cluster.unreachable.insert("n3".into());
     cluster.run(10_000);
     assert_eq!(cluster.count("n3"), 0);
 }
 
 #[test]
-fn alone_the_leader_owns_everything() {
+fn a_leader_without_other_controllers_owns_all_partitions() {
     let mut cluster = Cluster::new(3, Pins::default());
     cluster.run(60_000);
     cluster.silent.extend(["n1".to_string(), "n2".to_string()]);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn pins_hold_against_load() {
+fn pins_take_precedence_over_load() {
     let pins = Pins {
         partitions: BTreeMap::from([(0, "n1".to_string()), (5, "n1".to_string())]),
         shares: BTreeMap::from([("n2".to_string(), 0.5)]),
@@ -204,7 +204,7 @@
     let mut cluster = Cluster::new(4, pins);
     cluster.other_load.insert("n1".into(), 950.0);
     cluster.run(300_000);
-    let table = cluster.handover.table();
+    let table = cluster.mover.table();
     for partition in [0, 5] {
         let row = table.row(partition).expect("a row");
         assert_eq!((row.owner.as_str(), row.pinned), ("n1", true));
--- a/crates/partitions/tests/table.rs
+++ b/crates/partitions/tests/table.rs
@@ -1,14 +1,16 @@
-//! The mapping of machines to partitions, the ownership table in records, and moves of partitions.
+//! Tests of the mapping of machines to partitions, of the records of the ownership table, and of moves of partitions.
 
 use std::collections::BTreeMap;
-use vetchmount_partitions::{partition_of, Handover, OwnershipTable, TableError, PARTITION_COUNT};
+use vetchmount_partitions::{
+    partition_of, OwnershipTable, PartitionMover, TableError, PARTITION_COUNT,
+};
 use wire::records::{partitions_key, PartitionsRecord, PARTITIONS};
 use wire::state::{Txn, Write};
 
-/// Values of this build: another build that maps otherwise must not run beside it.
+/// The mapping must not change: a build that maps machines differently must not run at the same time as this one.
 #[test]
-fn machines_are_mapped_as_ever() {
-    let pinned = [
+fn the_mapping_of_machines_is_unchanged() {
+    let expected = [
         ("vm-000000", 34),
         ("vm-000001", 21),
         ("vm-000231", 59),
@@ -16,8 +18,8 @@
         ("", 3),
         ("vm-é", 36),
     ];
-    let mapped = pinned.map(|(machine, _)| (machine, partition_of(machine)));
-    assert_eq!(mapped, pinned);
+    let mapped = expected.map(|(machine, _)| (machine, partition_of(machine)));
+    assert_eq!(mapped, expected);
 }
 
 #[test]
@@ -36,7 +38,7 @@
     );
 }
 
-/// A store of the table's records, with the leader key's version ignored.
+/// A store of the table's records. It ignores conditions on the leader key.
 #[derive(Default)]
 struct Store {
     records: BTreeMap<String, (PartitionsRecord, u64)>,
@@ -45,148 +47,158 @@
 
 impl Store {
     fn commit(&mut self, txn: &Txn) -> Option<u64> {
-        for guard in txn
+        for compare in txn
             .compares
             .iter()
-            .filter(|g| g.key.starts_with(PARTITIONS))
+            .filter(|c| c.key.starts_with(PARTITIONS))
         {
-            let version = self.records.get(&guard.key).map_or(0, |(_, v)| *v);
-            if version != guard.version {
+            let version = self.records.get(&compare.key).map_or(0, |(_, v)| *v);
+            if version != compare.version {
                 return None;
             }
         }
         self.revision += 1;
         for write in &txn.writes {
             let Write::Put { key, value, .. } = write else {
-                panic!("the table is never deleted");
+                panic!("records of the table are never deleted");
             };
             let record: PartitionsRecord = value.deserialized().expect("a record");
             assert!(
                 wire::json_bytes(&record) <= 1_024,
-                "fits the smallest value known"
+                "the record fits into the smallest value size limit known"
             );
             self.records.insert(key.clone(), (record, self.revision));
         }
         Some(self.revision)
     }
 
-    fn load(&self, handover: &mut Handover) {
+    fn load(&self, mover: &mut PartitionMover) {
         for (key, (record, version)) in &self.records {
-            handover
-                .load(key, record.clone(), *version)
-                .expect("a good record");
+            mover
+                .load_record(key, record.clone(), *version)
+                .expect("a valid record");
         }
-        handover.loaded();
+        mover.on_loaded();
     }
 }
 
-/// Writes until there is nothing left to write.
-fn settle(handover: &mut Handover, store: &mut Store, now: u64) {
-    while let Some(txn) = handover.next_write(7, now) {
+/// Commits writes until none is left, and reloads the table after a write that fails on a condition.
+fn commit_all(mover: &mut PartitionMover, store: &mut Store, now: u64) {
+    while let Some(txn) = mover.next_write(7, now) {
         match store.commit(&txn) {
             Some(version) => {
-                handover.committed(version);
+                mover.on_write_committed(version);
             }
             None => {
-                handover.unknown();
-                store.load(handover);
+                mover.on_write_unknown();
+                store.load(mover);
             }
         }
     }
 }
 
-fn recorded(label: &str) -> (Handover, Store) {
-    let (mut handover, mut store) = (Handover::new(label), Store::default());
-    assert!(handover.must_reload());
-    handover.loaded();
+/// A mover of a new leader whose table has been recorded in an empty store.
+fn recorded_table(label: &str) -> (PartitionMover, Store) {
+    let (mut mover, mut store) = (PartitionMover::new(label), Store::default());
+    assert!(mover.must_reload());
+    mover.on_loaded();
     assert!(
-        handover.entitled(label).is_empty(),
-        "nothing is recorded yet"
+        mover.grantable_partitions(label).is_empty(),
+        "the table is not recorded yet"
     );
-    settle(&mut handover, &mut store, 0);
-    (handover, store)
+    commit_all(&mut mover, &mut store, 0);
+    (mover, store)
 }
 
 #[test]
 fn a_new_table_belongs_to_the_leader_and_moves_raise_epochs() {
     let label = "a-controller-with-a-rather-long-label-0";
-    let (mut handover, mut store) = recorded(label);
-    assert_eq!(handover.entitled(label).len(), usize::from(PARTITION_COUNT));
+    let (mut mover, mut store) = recorded_table(label);
+    assert_eq!(
+        mover.grantable_partitions(label).len(),
+        usize::from(PARTITION_COUNT)
+    );
     for partition in [3, 17, 40] {
-        assert!(handover.begin(partition, "n1", false, 0));
+        assert!(mover.begin_move(partition, "n1", false, 0));
         assert!(
-            !handover.begin(partition, "n2", false, 0),
-            "it moves already"
+            !mover.begin_move(partition, "n2", false, 0),
+            "the partition is moving already"
         );
     }
-    assert!(!handover.begin(5, label, false, 0), "it is there");
+    assert!(
+        !mover.begin_move(5, label, false, 0),
+        "the partition has this owner already"
+    );
     let left = usize::from(PARTITION_COUNT) - 3;
     assert_eq!(
-        handover.entitled(label).len(),
+        mover.grantable_partitions(label).len(),
         left,
-        "granted to nobody meanwhile"
+        "a moving partition is granted to no controller"
     );
-    settle(&mut handover, &mut store, 0);
-    let entitled = handover.entitled("n1");
+    commit_all(&mut mover, &mut store, 0);
+    let entitled = mover.grantable_partitions("n1");
     assert_eq!(entitled.len(), 3);
     assert!(entitled.iter().all(|p| p.epoch == 1));
-    // The next leader goes on with what is recorded.
-    let mut next = Handover::new("n2");
+    // The next leader continues with the recorded table.
+    let mut next = PartitionMover::new("n2");
     store.load(&mut next);
-    assert_eq!(next.entitled("n1"), entitled);
-    assert!(next.next_write(8, 0).is_none(), "it shuffles nothing");
+    assert_eq!(next.grantable_partitions("n1"), entitled);
+    assert!(
+        next.next_write(8, 0).is_none(),
+        "a new leader changes nothing"
+    );
 }
 
 #[test]
-fn a_move_goes_on_after_an_unknown_outcome_and_is_given_up_after_a_while() {
-    let (mut handover, mut store) = recorded("n0");
-    // Executed, with the answer lost.
-    assert!(handover.begin(9, "n1", false, 0));
-    let txn = handover.next_write(7, 0).expect("a write");
+fn a_move_continues_after_an_unknown_outcome_and_is_abandoned_after_a_timeout() {
+    let (mut mover, mut store) = recorded_table("n0");
+    // The write is executed, but its answer is lost.
+    assert!(mover.begin_move(9, "n1", false, 0));
+    let txn = mover.next_write(7, 0).expect("a write");
     store.commit(&txn).expect("executed");
-    handover.unknown();
-    assert!(handover.must_reload() && handover.next_write(7, 0).is_none());
-    store.load(&mut handover);
-    assert!(!handover.is_moving(9));
-    assert_eq!(handover.entitled("n1").len(), 1);
-    // Not executed, then executed late, after the move was begun anew elsewhere.
-    assert!(handover.begin(10, "n1", false, 0));
-    let late = handover.next_write(7, 0).expect("a write");
-    handover.unknown();
-    store.load(&mut handover);
-    assert!(handover.is_moving(10));
+    mover.on_write_unknown();
+    assert!(mover.must_reload() && mover.next_write(7, 0).is_none());
+    store.load(&mut mover);
+    assert!(!mover.is_moving(9));
+    assert_eq!(mover.grantable_partitions("n1").len(), 1);
+    // The write is executed late, after the outcome was treated as unknown and the table was read again.
+    assert!(mover.begin_move(10, "n1", false, 0));
+    let late = mover.next_write(7, 0).expect("a write");
+    mover.on_write_unknown();
+    store.load(&mut mover);
+    assert!(mover.is_moving(10));
     store.commit(&late).expect("executed late");
-    settle(&mut handover, &mut store, 0);
-    let row = handover.table().row(10).expect("a row").clone();
+    commit_all(&mut mover, &mut store, 0);
+    let row = mover.table().row(10).expect("a row").clone();
     assert_eq!((row.owner.as_str(), row.epoch), ("n1", 1));
-    // Refused again and again: given up.
-    assert!(handover.begin(11, "n1", false, 0));
-    handover.next_write(7, 0).expect("a write");
-    handover.refused();
-    assert!(handover.next_write(7, 60_000).is_none());
-    assert!(!handover.is_moving(11));
+    // A write that is rejected until the move times out is abandoned.
+    assert!(mover.begin_move(11, "n1", false, 0));
+    mover.next_write(7, 0).expect("a write");
+    mover.on_write_rejected();
+    assert!(mover.next_write(7, 60_000).is_none());
+    assert!(!mover.is_moving(11));
 }
 
 #[test]
 fn two_leaders_writes_exclude_each_other() {
-    let (mut old, mut store) = recorded("n0");
-    let mut new = Handover::new("n1");
+    let (mut old, mut store) = recorded_table("n0");
+    let mut new = PartitionMover::new("n1");
     store.load(&mut new);
-    assert!(old.begin(1, "n2", false, 0) && new.begin(2, "n2", false, 0));
+    assert!(old.begin_move(1, "n2", false, 0) && new.begin_move(2, "n2", false, 0));
     let (first, second) = (old.next_write(7, 0), new.next_write(8, 0));
     assert!(store.commit(&first.expect("a write")).is_some());
     assert!(store.commit(&second.expect("a write")).is_none());
 }
 
 #[test]
-fn records_of_another_shape_are_refused_with_their_reason() {
-    let (_, store) = recorded("n0");
+fn unusable_records_are_rejected_with_the_reason() {
+    let (_, store) = recorded_table("n0");
     let key = partitions_key(1);
     let (good, version) = store.records.get(&key).expect("a record").clone();
     let load = |change: &dyn Fn(&mut PartitionsRecord), key: &str| {
         let mut record = good.clone();
         change(&mut record);
-        OwnershipTable::new("n0").load(key, record, version)
+        OwnershipTable::new("n0").load_record(key, record, version)
     };
     assert_eq!(load(&|_| {}, &key), Ok(()));
     assert_eq!(
@@ -206,17 +218,17 @@
     assert!(load(&|_| {}, &partitions_key(2)).is_err());
 }
 
-/// What a newer build has added to a record survives its next write here.
+/// Fields that a newer build has added to a record are kept when this build writes the record.
 #[test]
-fn unknown_fields_survive() {
-    let (_, mut store) = recorded("n0");
+fn unknown_fields_are_preserved() {
+    let (_, mut store) = recorded_table("n0");
     for (record, _) in store.records.values_mut() {
         record.unknown.insert("since".into(), 5.into());
     }
-    let mut handover = Handover::new("n1");
-    store.load(&mut handover);
-    assert!(handover.begin(20, "n1", true, 0));
-    settle(&mut handover, &mut store, 0);
+    let mut mover = PartitionMover::new("n1");
+    store.load(&mut mover);
+    assert!(mover.begin_move(20, "n1", true, 0));
+    commit_all(&mut mover, &mut store, 0);
     let (record, _) = &store.records[&partitions_key(1)];
     assert_eq!(record.unknown["since"], 5.into());
     assert!(record.rows[4].pinned);
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -12,7 +12,7 @@
 use crate::levels::{Level, LevelRange, GENERATION_1};
 use crate::machine::Output;
 use crate::request::{Event, Reply, Request};
-use constants::GENERATION_POLL_MS;
+use constants::GENERATION_POLL_INTERVAL_MS;
 use std::collections::BTreeMap;
 use wire::records::{node_key, GenerationRecord, UnknownFields, GENERATIONS, MARK};
 use wire::state::{Compare, Item, Txn, Write};
@@ -99,7 +99,7 @@
     /// The reply to the last request.
     pub fn on_reply(&mut self, reply: Reply, now: u64) -> Output {
         self.busy = false;
-        self.next_at = now + GENERATION_POLL_MS;
+        self.next_at = now + GENERATION_POLL_INTERVAL_MS;
         match reply {
             // After a conflict or an unknown outcome the next reading shows what is stored.
             Reply::Page(page) => return self.on_page(page.items),
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -16,7 +16,7 @@
 use crate::request::{Event, Reply, Request};
 use crate::snapshot::Snapshot;
 use crate::supervision::Supervision;
-use constants::{ELECTION_DEFER_MS, GENERATION_POLL_MS};
+use constants::{GENERATION_POLL_INTERVAL_MS, OLDER_BUILD_ELECTION_DELAY_MS};
 use reading::stored;
 use wire::records::{Phase, LEADER, TERM};
 use wire::state::Compare;
@@ -139,7 +139,7 @@
                 && self.supervision.liveness(label, snapshot, now) == Liveness::Confirmed
         };
         match self.supervision.labels().iter().find(newer) {
-            Some(_) => ELECTION_DEFER_MS,
+            Some(_) => OLDER_BUILD_ELECTION_DELAY_MS,
             None => 0,
         }
     }
@@ -224,7 +224,7 @@
             }
             (Step::Prove, Reply::Committed) => self.idle(now),
             // After a conflict or an unknown outcome the next reading shows what is stored.
-            _ => self.idle(now + GENERATION_POLL_MS),
+            _ => self.idle(now + GENERATION_POLL_INTERVAL_MS),
         }
     }
 
--- a/crates/rollout/src/machine/transitions.rs
+++ b/crates/rollout/src/machine/transitions.rs
@@ -6,14 +6,14 @@
 use crate::plan::{self, Controller, Transition, View};
 use crate::request::{Event, Request};
 use crate::snapshot::Snapshot;
-use constants::{GENERATION_POLL_MS, LEVEL_POLL_MS};
+use constants::{GENERATION_POLL_INTERVAL_MS, LEVEL_POLL_INTERVAL_MS};
 use wire::records::Phase;
 
 impl RolloutMachine {
     /// Writes what is due, if anything.
     pub(super) fn act(&mut self, snapshot: &Snapshot, now: u64, unix: u64) -> Output {
         if !self.is_admitted() {
-            return self.idle(now + LEVEL_POLL_MS);
+            return self.idle(now + LEVEL_POLL_INTERVAL_MS);
         }
         if self.evidence.is_some() && snapshot.finalized() < GENERATION_1 {
             let txn = plan::proven(snapshot, GENERATION_1);
@@ -31,8 +31,8 @@
         let is_at_rest =
             level.is_some_and(|level| matches!(level.phase, Phase::Idle | Phase::Finalized));
         let poll_ms = match is_at_rest {
-            true => LEVEL_POLL_MS,
-            false => GENERATION_POLL_MS,
+            true => LEVEL_POLL_INTERVAL_MS,
+            false => GENERATION_POLL_INTERVAL_MS,
         };
         self.idle(now + poll_ms)
     }
--- a/crates/rollout/src/observation.rs
+++ b/crates/rollout/src/observation.rs
@@ -1,6 +1,9 @@
 //! What a controller observes of the others' processes by their heartbeats.
 
-use constants::{ANNOUNCE_GRACE_MS, CALM_MS, PEER_FRESH_MS, RESTARTS_IN_WINDOW, RESTART_WINDOW_MS};
+use constants::{
+    ANNOUNCE_GRACE_MS, PEER_HEARTBEAT_FRESH_MS, RESTARTS_PER_WINDOW_MAX, RESTART_FREE_RESUME_MS,
+    RESTART_WINDOW_MS,
+};
 use std::collections::BTreeMap;
 
 /// How what a controller has announced compares with its heartbeats.
@@ -67,7 +70,8 @@
             .controllers
             .get(label)
             .and_then(|observed| observed.process);
-        let Some(process) = process.filter(|process| now < process.last_contact + PEER_FRESH_MS)
+        let Some(process) =
+            process.filter(|process| now < process.last_contact + PEER_HEARTBEAT_FRESH_MS)
         else {
             return Liveness::Silent;
         };
@@ -85,7 +89,7 @@
         let oldest = now.saturating_sub(RESTART_WINDOW_MS);
         let recent = |o: &Observed| o.restarts.iter().filter(|at| **at >= oldest).count();
         let mut controllers = self.controllers.iter();
-        let found = controllers.find(|(_, o)| recent(o) > RESTARTS_IN_WINDOW);
+        let found = controllers.find(|(_, o)| recent(o) > RESTARTS_PER_WINDOW_MAX);
         found.map(|(label, _)| label.as_str())
     }
 
@@ -94,8 +98,9 @@
         self.last_restart
     }
 
-    /// Whether no controller has restarted for [`CALM_MS`].
+    /// Whether no controller has restarted for [`RESTART_FREE_RESUME_MS`].
     pub fn is_calm(&self, now: u64) -> bool {
-        self.last_restart.is_none_or(|at| now >= at + CALM_MS)
+        self.last_restart
+            .is_none_or(|at| now >= at + RESTART_FREE_RESUME_MS)
     }
 }
--- a/crates/rollout/src/supervision.rs
+++ b/crates/rollout/src/supervision.rs
@@ -6,7 +6,7 @@
 use crate::plan::Controller;
 use crate::request::Event;
 use crate::snapshot::Snapshot;
-use constants::CALM_MS;
+use constants::RESTART_FREE_RESUME_MS;
 use std::collections::BTreeMap;
 use wire::records::{PauseReason, Phase};
 
@@ -198,7 +198,7 @@
             return None;
         }
         let unconfigured = self.unconfigured_restart.as_ref();
-        if let Some(running) = unconfigured.filter(|seen| now < seen.at + CALM_MS) {
+        if let Some(running) = unconfigured.filter(|seen| now < seen.at + RESTART_FREE_RESUME_MS) {
             let label = running.value.clone();
             return Some(PauseReason::Unknown { label });
         }
--- a/crates/sched/src/fleet.rs
+++ b/crates/sched/src/fleet.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 use crate::{ClusterSnapshot, JobSnapshot, Resources};
-use constants::RENT_MAX;
+use constants::MACHINES_PER_RENTAL_MAX;
 use packing::Packing;
 
 /// A type of machine in a zone, spot or not.
@@ -60,7 +60,13 @@
 /// request may: only the cloud's refusals show its capacity.
 pub fn plan_fleet(snapshot: &ClusterSnapshot, fleet: &FleetSnapshot) -> Vec<RentRequest> {
     if !fleet.minimizes_cost {
-        let all = |offer: &Offer| if offer.open { RENT_MAX } else { 0 };
+        let all = |offer: &Offer| {
+            if offer.open {
+                MACHINES_PER_RENTAL_MAX
+            } else {
+                0
+            }
+        };
         return rent_requests(fleet.offers.iter().map(all).collect());
     }
     let is_waiting = |job: &&JobSnapshot| !job.waiting.is_empty() && !job.backed_off;
--- a/crates/sched/src/round/initial.rs
+++ b/crates/sched/src/round/initial.rs
@@ -1,7 +1,7 @@
 //! What a round derives from its snapshot before it starts.
 
 use crate::{ClusterSnapshot, Policy, Resources, RunningTask};
-use constants::LONG_RUNNING_S;
+use constants::LONG_RUNNING_TASK_S;
 
 /// Weight of the running tasks of each queue's jobs.
 pub(super) fn queue_usage(policy: &Policy, snapshot: &ClusterSnapshot) -> Vec<f64> {
@@ -35,7 +35,7 @@
 /// Resources of each team's tasks that will run for long.
 pub(super) fn long_running(snapshot: &ClusterSnapshot) -> Vec<Resources> {
     let mut long_running = vec![Resources::default(); snapshot.teams.len()];
-    let runs_long = |task: &&RunningTask| task.remaining_s > LONG_RUNNING_S;
+    let runs_long = |task: &&RunningTask| task.remaining_s > LONG_RUNNING_TASK_S;
     for task in snapshot.running.iter().filter(runs_long) {
         long_running[task.team].add(&task.resources);
     }
--- a/crates/sched/src/round/placement.rs
+++ b/crates/sched/src/round/placement.rs
@@ -2,7 +2,7 @@
 
 use super::Round;
 use crate::{MachineSnapshot, UNKNOWN_ZONE};
-use constants::{DISPATCH_DELAY_COST, READY_SOON_S, UNCHECKPOINTED_COST};
+use constants::{DISPATCH_DELAY_COST_PER_S, GANG_BOOT_WAIT_MAX_S, UNCHECKPOINTED_SPOT_COST};
 
 /// Cost of each pilot that already runs on a machine, for another one.
 const PILOT_COST: f64 = 1000.0;
@@ -29,7 +29,7 @@
     /// Whether tasks of the job may go to the machine now or within moments.
     pub(super) fn is_allowed_soon(&self, job: usize, machine: usize) -> bool {
         let host = &self.snapshot.machines[machine];
-        let usable_soon = host.usable || host.ready_in_s.is_some_and(|s| s <= READY_SOON_S);
+        let usable_soon = host.usable || host.ready_in_s.is_some_and(|s| s <= GANG_BOOT_WAIT_MAX_S);
         usable_soon && self.meets_constraints(job, machine)
     }
 
@@ -90,7 +90,7 @@
         } else if spec.spot && !host.spot {
             cost += ORDINARY_COST;
         }
-        cost += DISPATCH_DELAY_COST * host.dispatch_delay_s;
+        cost += DISPATCH_DELAY_COST_PER_S * host.dispatch_delay_s;
         let mut rest = host.free;
         rest.sub(&spec.task);
         cost + rest.weight().max(0.0)
@@ -119,8 +119,8 @@
 fn uncheckpointed_cost(machine: &MachineSnapshot) -> f64 {
     let idle = machine.total.gpus > 0.0 && machine.free.gpus >= machine.total.gpus;
     match (machine.spot, idle) {
-        (true, _) => UNCHECKPOINTED_COST,
-        (false, true) => 2.0 * UNCHECKPOINTED_COST,
+        (true, _) => UNCHECKPOINTED_SPOT_COST,
+        (false, true) => 2.0 * UNCHECKPOINTED_SPOT_COST,
         (false, false) => 0.0,
     }
 }
--- a/crates/sched/src/round/preemption.rs
+++ b/crates/sched/src/round/preemption.rs
@@ -2,12 +2,12 @@
 
 use super::{Decision, Round};
 use crate::{Resources, RunningTask, TeamSnapshot};
-use constants::FETCH_COST_S;
+use constants::IMAGE_FETCH_COST_S;
 
 /// Cost of stopping a task besides the work that is lost, in seconds.
 const STOP_COST_S: f64 = 5.0;
 /// Cost of a slow machine, in seconds.
-const SLOW_MACHINE_COST_S: f64 = 2.0 * FETCH_COST_S;
+const SLOW_MACHINE_COST_S: f64 = 2.0 * IMAGE_FETCH_COST_S;
 
 /// The job for which tasks are preempted.
 #[derive(Clone, Copy)]
@@ -146,7 +146,7 @@
         let (mut victims, mut cost_s) = (Vec::new(), 0.0);
         if !host.images.contains(&preemptor.image) {
             // The room is needed soon, and a fetch may take longer than the checkpoints of the stopped tasks.
-            cost_s += FETCH_COST_S;
+            cost_s += IMAGE_FETCH_COST_S;
         }
         if host.slow {
             cost_s += SLOW_MACHINE_COST_S;
--- a/crates/sched/src/round/reservations.rs
+++ b/crates/sched/src/round/reservations.rs
@@ -1,7 +1,7 @@
 //! Machines reserved for gangs, so that they do not fill up with small tasks while they drain.
 
 use super::{Decision, Round};
-use constants::RESERVED_PART;
+use constants::GANG_RESERVED_FLEET_DIVISOR;
 
 /// Machines that a gang could have reserved together: those of a zone, or all.
 struct Group {
@@ -63,7 +63,8 @@
         let own = self.reserved_for.iter().flatten();
         let own = own.filter(|&&holder| holder == job).count();
         // Only a part of the fleet may be reserved, unless a single gang needs more.
-        let allowed = (self.snapshot.machines.len() / RESERVED_PART).saturating_sub(taken - own);
+        let allowed = (self.snapshot.machines.len() / GANG_RESERVED_FLEET_DIVISOR)
+            .saturating_sub(taken - own);
         let alone = taken == own;
         let busy_s = |machine: usize| self.snapshot.machines[machine].busy_s;
         let mut best: Option<(f64, Vec<usize>)> = None;
--- a/crates/sched/src/sampling.rs
+++ b/crates/sched/src/sampling.rs
@@ -1,6 +1,8 @@
 //! Pilot tasks, which sample the size of a job, and queues by estimated size.
 
-use constants::{FIRST_BOUND, PILOT_SHARE, QUEUES, QUEUE_GROWTH, THIN_TASKS};
+use constants::{
+    FIRST_QUEUE_BOUND_TASK_S, PILOT_SHARE, QUEUE_COUNT, QUEUE_GROWTH_FACTOR, THIN_ARRAY_TASKS_MAX,
+};
 
 /// Queue beyond which weights no longer fall, so that they stay far from zero.
 const LOWEST_WEIGHTED_QUEUE: usize = 64;
@@ -23,11 +25,11 @@
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            thin_tasks: THIN_TASKS,
+            thin_tasks: THIN_ARRAY_TASKS_MAX,
             pilot_share: PILOT_SHARE,
-            first_bound: FIRST_BOUND,
-            growth: QUEUE_GROWTH,
-            queues: QUEUES,
+            first_bound: FIRST_QUEUE_BOUND_TASK_S,
+            growth: QUEUE_GROWTH_FACTOR,
+            queues: QUEUE_COUNT,
         }
     }
 }
--- a/crates/vetchmount/src/clients/link.rs
+++ b/crates/vetchmount/src/clients/link.rs
@@ -2,7 +2,7 @@
 
 use super::{Call, CallOutcome};
 use crate::net::Connection;
-use constants::{CONNECT_TIMEOUT_MS, IDLE_CLIENT_MS};
+use constants::{CLIENT_IDLE_TIMEOUT_MS, CONNECT_TIMEOUT_MS};
 use control::CallId;
 use http::{encode_request, ResponseParser};
 use polling::Poller;
@@ -67,7 +67,7 @@
         match self.state {
             LinkState::Busy { deadline, .. } => deadline,
             LinkState::Connecting { since } => since + CONNECT_TIMEOUT_MS,
-            LinkState::Idle { since } => since + IDLE_CLIENT_MS + 1,
+            LinkState::Idle { since } => since + CLIENT_IDLE_TIMEOUT_MS + 1,
         }
     }
 
--- a/crates/vetchmount/src/clients/pool.rs
+++ b/crates/vetchmount/src/clients/pool.rs
@@ -3,7 +3,7 @@
 use super::link::Link;
 use super::CallOutcome;
 use crate::net::KeySequence;
-use constants::CLIENT_CONNS;
+use constants::CONNECTIONS_PER_ADDRESS_MAX;
 use control::CallError;
 use polling::Poller;
 use std::collections::HashMap;
@@ -55,7 +55,7 @@
         let connecting = same_address()
             .filter(|(_, link)| link.is_connecting())
             .count();
-        if connecting >= waiting || same_address().count() >= CLIENT_CONNS {
+        if connecting >= waiting || same_address().count() >= CONNECTIONS_PER_ADDRESS_MAX {
             return LinkChoice::Wait;
         }
         LinkChoice::OpenAnother
--- a/crates/vetchmount/src/clients/tests.rs
+++ b/crates/vetchmount/src/clients/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Call, CallError, CallOutcome, Clients};
 use crate::net::KeySequence;
-use constants::{CLIENT_CONNS, CONNECT_TIMEOUT_MS};
+use constants::{CONNECTIONS_PER_ADDRESS_MAX, CONNECT_TIMEOUT_MS};
 use polling::{Events, Poller};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener};
 use std::time::Duration;
@@ -99,7 +99,7 @@
 #[test]
 fn a_call_that_waits_is_given_up_at_its_own_deadline() {
     let mut fixture = Fixture::new();
-    for id in 0..CLIENT_CONNS as u64 {
+    for id in 0..CONNECTIONS_PER_ADDRESS_MAX as u64 {
         fixture.call(id, LONG_DEADLINE);
     }
     fixture.connect_all();
@@ -120,7 +120,7 @@
 fn the_next_wake_lies_in_the_future_once_calls_have_expired() {
     let mut fixture = Fixture::new();
     let mut random = fastrand::Rng::with_seed(7);
-    let calls = 4 * CLIENT_CONNS as u64;
+    let calls = 4 * CONNECTIONS_PER_ADDRESS_MAX as u64;
     for id in 0..calls {
         let deadline = NOW + random.u64(1..3 * CONNECT_TIMEOUT_MS);
         fixture.call(id, deadline);
--- a/crates/vetchmount/src/clients/waiting.rs
+++ b/crates/vetchmount/src/clients/waiting.rs
@@ -1,7 +1,7 @@
 //! The queues of calls that wait for a connection, one for each address.
 
 use super::{Call, CallOutcome};
-use constants::CLIENT_QUEUE;
+use constants::QUEUED_REQUESTS_PER_ADDRESS_MAX;
 use control::CallError;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -16,7 +16,7 @@
     /// Appends a call to the queue of its address; returns the call if the queue is full.
     pub(super) fn push(&mut self, call: Call) -> Result<(), Call> {
         let queue = self.queues.entry(call.addr).or_default();
-        if queue.len() >= CLIENT_QUEUE {
+        if queue.len() >= QUEUED_REQUESTS_PER_ADDRESS_MAX {
             return Err(call);
         }
         queue.push_back(call);
--- a/crates/vetchmount/src/daemon.rs
+++ b/crates/vetchmount/src/daemon.rs
@@ -15,7 +15,9 @@
 use crate::peer_links::PeerLinks;
 use crate::servers::{ReceivedRequest, Servers};
 use clock::ProcessClock;
-use constants::{EVENTS_A_TURN, LOOP_MAX_MS, LOOP_MIN_MS, READ_CHUNK, SLOW_TURN_MS};
+use constants::{
+    EVENTS_PER_TURN_MAX, POLL_WAIT_MAX_MS, POLL_WAIT_MIN_MS, READ_BUFFER_BYTES, SLOW_TURN_MS,
+};
 use control::{Node, Now};
 pub use error::DaemonError;
 use outputs::ServiceAddresses;
@@ -74,8 +76,8 @@
 
     /// Runs the main loop until the process has been asked to stop and the node has finished its work.
     fn serve(mut self) -> Result<(), DaemonError> {
-        let mut events = Events::with_capacity(EVENTS_A_TURN);
-        let mut buffer = vec![0u8; READ_CHUNK];
+        let mut events = Events::with_capacity(EVENTS_PER_TURN_MAX);
+        let mut buffer = vec![0u8; READ_BUFFER_BYTES];
         loop {
             self.wait(&mut events)?;
             if self.run_turn(&events, &mut buffer) == TurnEnd::Stopped {
@@ -102,7 +104,8 @@
         let now = self.now().mono;
         let wake = self.node.next_wake().min(self.clients.next_wake());
         if self.worker_reports.is_empty() {
-            wake.saturating_sub(now).clamp(LOOP_MIN_MS, LOOP_MAX_MS)
+            wake.saturating_sub(now)
+                .clamp(POLL_WAIT_MIN_MS, POLL_WAIT_MAX_MS)
         } else {
             0
         }
--- a/crates/vetchmount/src/daemon/node_feed.rs
+++ b/crates/vetchmount/src/daemon/node_feed.rs
@@ -2,7 +2,7 @@
 
 use super::Daemon;
 use crate::servers::ReceivedRequest;
-use constants::REPORTS_A_TURN_MS;
+use constants::REPORTS_TURN_BUDGET_MS;
 use control::{Input, Now};
 
 impl Daemon {
@@ -53,7 +53,7 @@
     /// Gives the node workers' reports for a limited time. After a change of leader all workers report at once, which
     /// would otherwise delay users, the load balancer and the renewal of the lease by seconds.
     pub(super) fn feed_worker_reports(&mut self) {
-        let until = self.now().mono + REPORTS_A_TURN_MS;
+        let until = self.now().mono + REPORTS_TURN_BUDGET_MS;
         while let Some(report) = self.worker_reports.pop_front() {
             let now = self.now();
             // The worker may have closed its connection meanwhile.
--- a/crates/vetchmount/src/daemon/routing.rs
+++ b/crates/vetchmount/src/daemon/routing.rs
@@ -2,7 +2,7 @@
 
 use super::Daemon;
 use crate::net::Connection;
-use constants::ACCEPTS_A_TURN;
+use constants::ACCEPTS_PER_TURN_MAX;
 
 /// Poller key of the listener for users, workers and the load balancer.
 pub(super) const PUBLIC_LISTENER_KEY: usize = 0;
@@ -33,7 +33,7 @@
 
     /// Accepts a limited number of connections; the poller reports the rest again in the next turn.
     fn accept_callers(&mut self, now: u64) {
-        for _ in 0..ACCEPTS_A_TURN {
+        for _ in 0..ACCEPTS_PER_TURN_MAX {
             let Some(stream) = self.public_listener.accept() else {
                 break;
             };
--- a/crates/vetchmount/src/net.rs
+++ b/crates/vetchmount/src/net.rs
@@ -1,6 +1,6 @@
 //! Non-blocking TCP: connections with their output buffers, listeners and the poller's keys.
 
-use constants::READ_CHUNK;
+use constants::READ_BUFFER_BYTES;
 use polling::{Event, PollMode, Poller};
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 use std::io::{self, ErrorKind, Read, Write};
@@ -99,7 +99,7 @@
     fn reset_output(&mut self) {
         self.written = 0;
         self.output.clear();
-        if self.output.capacity() > READ_CHUNK {
+        if self.output.capacity() > READ_BUFFER_BYTES {
             self.output = Vec::new();
         }
     }
--- a/crates/vetchmount/src/peer_links.rs
+++ b/crates/vetchmount/src/peer_links.rs
@@ -1,7 +1,7 @@
 //! Connections between controllers. Each controller opens one to every other and sends its messages on that one.
 
 use crate::net::{Connection, KeySequence};
-use constants::{CONNECT_TIMEOUT_MS, PEER_BACKLOG, PEER_RETRY_MS};
+use constants::{CONNECT_TIMEOUT_MS, PEER_QUEUE_MAX_BYTES, PEER_RECONNECT_INTERVAL_MS};
 use control::Input;
 use polling::Poller;
 use std::collections::HashMap;
@@ -163,7 +163,7 @@
     /// Starts to connect to a peer, given by its index.
     fn connect(&mut self, index: usize, poller: &Poller, keys: &mut KeySequence, now: u64) {
         let peer = &mut self.peers[index];
-        peer.retry_at = now + PEER_RETRY_MS;
+        peer.retry_at = now + PEER_RECONNECT_INTERVAL_MS;
         let key = keys.take();
         let Ok(mut connection) = Connection::connect(poller, peer.addr, key) else {
             return;
@@ -221,7 +221,7 @@
     /// Whether the connection attempt takes too long, or the peer reads too slowly.
     fn is_stuck(&self, now: u64) -> bool {
         let is_overdue = !self.is_connected && now > self.opened_at + CONNECT_TIMEOUT_MS;
-        is_overdue || self.connection.backlog() > PEER_BACKLOG
+        is_overdue || self.connection.backlog() > PEER_QUEUE_MAX_BYTES
     }
 
     /// Appends a frame to the output, and writes it if the connection is established.
--- a/crates/vetchmount/src/servers.rs
+++ b/crates/vetchmount/src/servers.rs
@@ -4,7 +4,7 @@
 
 use crate::net::Connection;
 use connection::{CallerConnection, ReadResult};
-use constants::{CROWDED_MS, CROWDED_SHARE, OWN_SOCKETS, SERVER_SOCKET_SHARE};
+use constants::{RESERVED_SOCKETS, SERVER_SOCKET_SHARE, SOCKET_SHORTAGE_MS, SOCKET_SHORTAGE_SHARE};
 use control::RequestId;
 use polling::Poller;
 use std::collections::HashMap;
@@ -52,13 +52,13 @@
     /// Takes the callers' share of the `sockets` that the process may open.
     pub fn new(sockets: usize) -> Self {
         let share = (sockets as f64 * SERVER_SOCKET_SHARE) as usize;
-        let limit = share.max(sockets.saturating_sub(OWN_SOCKETS));
+        let limit = share.max(sockets.saturating_sub(RESERVED_SOCKETS));
         Servers {
             connections: HashMap::new(),
             key_by_request: HashMap::new(),
             last_request: 0,
             limit,
-            crowded_from: (limit as f64 * CROWDED_SHARE) as usize,
+            crowded_from: (limit as f64 * SOCKET_SHORTAGE_SHARE) as usize,
             crowded_until: 0,
         }
     }
@@ -82,7 +82,7 @@
     /// closed, the new one is.
     pub fn add(&mut self, poller: &Poller, connection: Connection, key: usize, now: u64) {
         if self.connections.len() >= self.limit {
-            self.crowded_until = now + CROWDED_MS;
+            self.crowded_until = now + SOCKET_SHORTAGE_MS;
             match self.longest_idle(now) {
                 Some(idle) => self.close(poller, idle),
                 None => return connection.close(poller),
--- a/crates/vetchmount/src/servers/connection.rs
+++ b/crates/vetchmount/src/servers/connection.rs
@@ -2,7 +2,7 @@
 
 use super::Response;
 use crate::net::Connection;
-use constants::IDLE_CONN_MS;
+use constants::CALLER_IDLE_TIMEOUT_MS;
 use control::RequestId;
 use http::{encode_response, ParseError, RequestParser};
 use polling::Poller;
@@ -61,7 +61,9 @@
 
     /// Whether the connection may be closed in favour of a new one.
     pub(super) fn may_be_evicted(&self, now: u64) -> bool {
-        self.open_request.is_none() && !self.is_worker && now > self.last_used + IDLE_CONN_MS
+        self.open_request.is_none()
+            && !self.is_worker
+            && now > self.last_used + CALLER_IDLE_TIMEOUT_MS
     }
 
     /// Reads and writes what is possible now. Returns whether the connection goes on.
