--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -16,7 +16,7 @@
 
 use super::Leader;
 use crate::effects::{Effects, Now};
-use constants::CASCADE_A_TURN;
+use constants::CASCADED_CANCELLATIONS_PER_TURN_MAX;
 use lookups::Lookups;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use wire::records::Final;
@@ -154,7 +154,7 @@
     /// Cancels a limited number of dependents of cancelled jobs, so that a cascade of any size leaves time for other
     /// work.
     fn continue_cascade(&mut self, now: Now) {
-        let mut remaining = CASCADE_A_TURN;
+        let mut remaining = CASCADED_CANCELLATIONS_PER_TURN_MAX;
         while remaining > 0 {
             let Some(id) = self.dependencies.cascade.front().cloned() else {
                 break;
--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -22,7 +22,7 @@
 use super::{Leader, StartLatencies};
 use crate::effects::{Effects, Now};
 use crate::requests::{CloudOp, CloudRequest};
-use constants::{CLOUD_TYPES_S, REMOVED_MACHINE_RETENTION_MS, SILENT_EXTRA_MS};
+use constants::{MACHINE_TYPES_INTERVAL_S, REMOVED_MACHINE_RETENTION_MS, SILENCE_MARGIN_MS};
 
 /// Milliseconds between two summaries in the log.
 const SUMMARY_INTERVAL_MS: u64 = 15_000;
@@ -58,13 +58,13 @@
     /// Milliseconds without a heartbeat after which a machine is silent.
     pub(super) fn heartbeat_timeout_ms(&self) -> u64 {
         let report_s = self.settings.deployment.workers.report_s;
-        (report_s * HEARTBEAT_TIMEOUT_MS_PER_REPORT_S) as u64 + SILENT_EXTRA_MS
+        (report_s * HEARTBEAT_TIMEOUT_MS_PER_REPORT_S) as u64 + SILENCE_MARGIN_MS
     }
 
     fn request_machine_types(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
         if now >= self.next_type_listing_at {
-            self.next_type_listing_at = now + (CLOUD_TYPES_S * 1000.0) as u64;
+            self.next_type_listing_at = now + (MACHINE_TYPES_INTERVAL_S * 1000.0) as u64;
             self.send_cloud_request(CloudOp::Types, CloudRequest::Types, effects);
         }
     }
--- a/crates/control/src/leader/fleet/costs.rs
+++ b/crates/control/src/leader/fleet/costs.rs
@@ -3,7 +3,7 @@
 use crate::effects::Now;
 use crate::leader::model::{Job, Machine};
 use crate::leader::Leader;
-use constants::ACCOUNT_MS;
+use constants::COST_UPDATE_INTERVAL_MS;
 use std::collections::{BTreeMap, HashMap};
 use wire::cloud::MachineType;
 use wire::workers::TaskPhase;
@@ -88,12 +88,12 @@
         if now.mono < self.next_cost_account_at {
             return;
         }
-        self.next_cost_account_at = now.mono + ACCOUNT_MS;
+        self.next_cost_account_at = now.mono + COST_UPDATE_INTERVAL_MS;
         // After a stall of the process only a bounded time is accounted for.
         let elapsed_ms = now
             .mono
             .saturating_sub(self.costs.accounted_until)
-            .min(2 * ACCOUNT_MS);
+            .min(2 * COST_UPDATE_INTERVAL_MS);
         let hours = elapsed_ms as f64 / MS_PER_HOUR;
         self.costs.accounted_until = now.mono;
         let types = self.machine_types.desired.iter().flatten();
--- a/crates/control/src/leader/fleet/listing.rs
+++ b/crates/control/src/leader/fleet/listing.rs
@@ -4,7 +4,7 @@
 use crate::leader::model::Machine;
 use crate::leader::Leader;
 use crate::requests::{CloudOp, CloudRequest};
-use constants::{CLOUD_LIST_S, CLOUD_LIST_SHARE, LIST_MAX};
+use constants::{MACHINE_LIST_INTERVAL_S, MACHINE_LIST_PAGE_SIZE, MACHINE_LIST_RATE_SHARE};
 use wire::cloud::{ListedMachine, MachineList, MachinePhase};
 
 /// Milliseconds, per second of the list's maximum lag, after which a machine must be listed: twice the lag.
@@ -31,9 +31,9 @@
     /// Seconds between two listings. The number of pages is estimated from the number of known machines, so that
     /// listing a large fleet leaves part of the call rate for other requests.
     fn listing_interval_s(&self) -> f64 {
-        let pages = 1.0 + (self.machines.len() / LIST_MAX) as f64;
+        let pages = 1.0 + (self.machines.len() / MACHINE_LIST_PAGE_SIZE) as f64;
         let calls_per_s = self.settings.deployment.cloud.rps;
-        CLOUD_LIST_S.max(pages / calls_per_s / CLOUD_LIST_SHARE)
+        MACHINE_LIST_INTERVAL_S.max(pages / calls_per_s / MACHINE_LIST_RATE_SHARE)
     }
 
     /// Handles a page of the listing that began at `requested_at`, and requests the next page if there is one.
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -9,9 +9,10 @@
 use crate::leader::Leader;
 use crate::requests::{CloudOp, CloudRequest};
 use constants::{
-    BOOT_PATIENCE, BOOT_PATIENCE_S, CLOUD_TIMEOUT_MS, IDLE_LEAST, IDLE_ORDINARY, IDLE_PART,
-    IDLE_SPOT, IDLE_SURPLUS_MS, NOTICE_OVER_MS, RETURN_MAX, SILENT_LEASES, SILENT_UNSURE_MS,
-    UNREACHABLE_LEASES,
+    BOOT_TIMEOUT_EXTRA_S, BOOT_TIMEOUT_FACTOR, CLOUD_TIMEOUT_MS, IDLE_RESERVE_FLEET_DIVISOR,
+    IDLE_RESERVE_MIN, IDLE_SURPLUS_RETURN_MS, MACHINES_PER_RETURN_MAX,
+    ON_DEMAND_IDLE_SURPLUS_FACTOR, SILENT_MACHINE_RETURN_LEASES, SILENT_WITH_TASKS_RETURN_DELAY_MS,
+    SPOT_IDLE_SURPLUS_FACTOR, SPOT_NOTICE_RETURN_DELAY_MS, UNREACHABLE_RETURN_LEASES,
 };
 use reason::ReturnReason;
 
@@ -47,8 +48,8 @@
             lease_expiry_ms: leader.lease_expiry_ms(),
             heartbeat_timeout_ms: leader.heartbeat_timeout_ms(),
             unlisted_ms: (report_s * UNLISTED_MS_PER_REPORT_S) as u64 + UNLISTED_EXTRA_MS,
-            idle_spot_ms: idle_ms(IDLE_SPOT),
-            idle_ordinary_ms: idle_ms(IDLE_ORDINARY),
+            idle_spot_ms: idle_ms(SPOT_IDLE_SURPLUS_FACTOR),
+            idle_ordinary_ms: idle_ms(ON_DEMAND_IDLE_SURPLUS_FACTOR),
         }
     }
 
@@ -57,14 +58,14 @@
     /// images, before a new machine would be up. There is no hurry to return one without tasks.
     fn silence_timeout_ms(&self, machine: &Machine) -> u64 {
         match has_no_tasks(machine) {
-            true => (self.lease_expiry_ms as f64 * SILENT_LEASES) as u64,
+            true => (self.lease_expiry_ms as f64 * SILENT_MACHINE_RETURN_LEASES) as u64,
             false => self.occupied_silence_timeout_ms(),
         }
     }
 
     /// Silence after which a machine is returned if tasks may still run on it.
     fn occupied_silence_timeout_ms(&self) -> u64 {
-        self.lease_expiry_ms + SILENT_UNSURE_MS
+        self.lease_expiry_ms + SILENT_WITH_TASKS_RETURN_DELAY_MS
     }
 
     fn idle_timeout_ms(&self, machine: &Machine) -> u64 {
@@ -121,7 +122,7 @@
 
     fn idle_machines(&self, now: Now) -> IdleMachines {
         let is_idle = |m: &&Machine| m.is_reconciled && m.assignments.is_empty() && !m.returning;
-        let allowed_idle = IDLE_LEAST + self.machines.len() / IDLE_PART;
+        let allowed_idle = IDLE_RESERVE_MIN + self.machines.len() / IDLE_RESERVE_FLEET_DIVISOR;
         let idle = self.machines.values().filter(is_idle).count();
         IdleMachines {
             demand: self.machine_demand(now),
@@ -160,8 +161,10 @@
         }
         // It is returned whether or not it is already gone. Once the cloud confirms the return, its tasks are certainly
         // over and can be released, and waiting longer gains nothing.
-        let is_notice_expired =
-            |at: u64| now > at + NOTICE_OVER_MS && now > silence.since + NOTICE_OVER_MS;
+        let is_notice_expired = |at: u64| {
+            now > at + SPOT_NOTICE_RETURN_DELAY_MS
+                && now > silence.since + SPOT_NOTICE_RETURN_DELAY_MS
+        };
         if machine.reclaim_at.is_some_and(is_notice_expired) {
             return Some(ReturnReason::NoticeExpired);
         }
@@ -200,7 +203,7 @@
         if self.machine_health(name, machine, now) == MachineHealth::Faulty {
             return Some(ReturnReason::Faulty);
         }
-        let unreachable_ms = UNREACHABLE_LEASES * timeouts.lease_expiry_ms;
+        let unreachable_ms = UNREACHABLE_RETURN_LEASES * timeouts.lease_expiry_ms;
         let unreachable_since = machine.unreachable_since?;
         (now > unreachable_since + unreachable_ms).then_some(ReturnReason::Unreachable)
     }
@@ -213,7 +216,7 @@
         let mut types = self.machine_types.desired.iter().flatten();
         let machine_type = types.find(|t| t.name == machine.type_name);
         let boot_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |t| t.boot_s);
-        ((boot_s * BOOT_PATIENCE + BOOT_PATIENCE_S) * 1000.0) as u64
+        ((boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_EXTRA_S) * 1000.0) as u64
     }
 
     /// Whether a machine without tasks has been idle for too long and waiting tasks can't use it. Such a machine is
@@ -232,7 +235,7 @@
             return false;
         }
         let limit = match idle.surplus > 0 {
-            true => IDLE_SURPLUS_MS,
+            true => IDLE_SURPLUS_RETURN_MS,
             false => timeouts.idle_timeout_ms(machine),
         };
         if now <= machine.idle_since + limit {
@@ -267,7 +270,8 @@
             let is_due = machine
                 .return_requested_at
                 .is_none_or(|at| now > at + RETURN_RESEND_MS);
-            let is_allowed = names.len() < RETURN_MAX && !self.departed_machines.contains_key(name);
+            let is_allowed =
+                names.len() < MACHINES_PER_RETURN_MAX && !self.departed_machines.contains_key(name);
             if machine.returning && is_due && is_allowed {
                 machine.return_requested_at = Some(now);
                 names.push(name.clone());
--- a/crates/control/src/leader/machine_health.rs
+++ b/crates/control/src/leader/machine_health.rs
@@ -2,7 +2,7 @@
 
 use super::model::{Job, Machine};
 use super::Leader;
-use constants::FAULTY_JOBS;
+use constants::FAULTY_MACHINE_FAILED_JOBS;
 
 /// Health of a machine, judged by the tasks that failed on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,12 +23,12 @@
     /// were submitted at the same time made every machine count as faulty before any of the jobs had been tried on a
     /// third machine, and the whole fleet was returned.
     pub(super) fn machine_health(&self, name: &str, machine: &Machine, now: u64) -> MachineHealth {
-        if machine.failed_jobs.len() < FAULTY_JOBS {
+        if machine.failed_jobs.len() < FAULTY_MACHINE_FAILED_JOBS {
             return MachineHealth::Trusted;
         }
         let is_sound = |id: &String| self.is_sound_elsewhere(id, name, now);
         let is_evidence = |id: &&String| is_sound(id) || self.has_failed_only_on(id, name);
-        if machine.failed_jobs.iter().filter(is_evidence).count() < FAULTY_JOBS {
+        if machine.failed_jobs.iter().filter(is_evidence).count() < FAULTY_MACHINE_FAILED_JOBS {
             MachineHealth::Trusted
         } else if machine.failed_jobs.iter().any(is_sound) {
             MachineHealth::Faulty
--- a/crates/control/src/leader/model/job/dense_form.rs
+++ b/crates/control/src/leader/model/job/dense_form.rs
@@ -14,14 +14,14 @@
 
     /// Whether the job is in the dense form.
     pub fn is_dense(&self) -> bool {
-        self.tasks_per_chunk == constants::SMALL_TASKS
+        self.tasks_per_chunk == constants::DENSE_CHUNK_TASKS
     }
 
     /// Numbers of the chunks that a recorded copy covers. A wide copy, written before the split, covers several dense
     /// chunks.
     pub fn covered_chunks(&self, number: u32, is_wide: bool) -> Range<u32> {
         let count = match is_wide {
-            true => constants::CHUNK_TASKS / self.tasks_per_chunk,
+            true => constants::WIDE_CHUNK_TASKS / self.tasks_per_chunk,
             false => 1,
         };
         number * count..(number + 1) * count
@@ -35,7 +35,7 @@
         if self.is_dense() {
             return;
         }
-        self.tasks_per_chunk = constants::SMALL_TASKS;
+        self.tasks_per_chunk = constants::DENSE_CHUNK_TASKS;
         for (wide_number, wide_chunk) in std::mem::take(&mut self.chunks) {
             let numbers = self.covered_chunks(wide_number, true);
             for number in numbers.clone() {
--- a/crates/control/src/leader/model/job/failures.rs
+++ b/crates/control/src/leader/model/job/failures.rs
@@ -17,14 +17,16 @@
         let waited_s = now_unix.saturating_sub(self.ready_at) / 1000;
         // A gang that has been assigned before, perhaps by an earlier leader, can be assigned again.
         let never_assigned = self.is_gang() && self.highest_attempt() == 0;
-        never_assigned && waited_s % (2 * constants::GANG_TRY_S) >= constants::GANG_TRY_S
+        never_assigned
+            && waited_s % (2 * constants::GANG_ATTEMPT_TIMEOUT_S)
+                >= constants::GANG_ATTEMPT_TIMEOUT_S
     }
 
     /// Whether a task of the job has completed, or one whose assignment satisfies `counts` has been running for
     /// a while.
     pub fn is_sound(&self, now: u64, counts: impl Fn(&Assignment) -> bool) -> bool {
         let runs_well = |assignment: &Assignment| {
-            counts(assignment) && assignment.has_run_for(constants::SOUND_RUN_MS, now)
+            counts(assignment) && assignment.has_run_for(constants::HEALTHY_TASK_RUN_MS, now)
         };
         self.done_count > 0
             || self
@@ -35,7 +37,8 @@
     /// Whether the job has failed on so many machines, or in so many attempts under earlier leaders, that it most
     /// likely fails on every machine.
     pub fn seems_to_fail_everywhere(&self) -> bool {
-        self.failed_under_earlier_leaders || self.failed_machines.len() > constants::FAULTY_JOBS
+        self.failed_under_earlier_leaders
+            || self.failed_machines.len() > constants::FAULTY_MACHINE_FAILED_JOBS
     }
 
     /// Whether the job's records show several ended attempts and no completed task.
@@ -52,7 +55,7 @@
         };
         let ended_attempts = attempts.saturating_sub(current_attempts);
         let is_idle = self.is_gang() || self.assigned_count <= IDLE_ASSIGNMENTS_MAX;
-        self.done_count == 0 && is_idle && ended_attempts >= constants::FAILED_ATTEMPTS_SUSPECT
+        self.done_count == 0 && is_idle && ended_attempts >= constants::FAILING_JOB_ATTEMPTS_MIN
     }
 
     fn sum_of_highest_attempts(&self) -> u64 {
@@ -65,10 +68,10 @@
     /// Backoff after a failure, in milliseconds.
     pub fn failure_backoff_ms(&self) -> u64 {
         if self.failed_under_earlier_leaders {
-            return constants::ERROR_PAUSE_MAX_MS;
+            return constants::JOB_FAILURE_BACKOFF_MAX_MS;
         }
-        let pause_ms =
-            constants::ERROR_PAUSE_MS << self.consecutive_failures.min(BACKOFF_DOUBLINGS_MAX);
-        pause_ms.min(constants::ERROR_PAUSE_MAX_MS)
+        let pause_ms = constants::JOB_FAILURE_BACKOFF_MS
+            << self.consecutive_failures.min(BACKOFF_DOUBLINGS_MAX);
+        pause_ms.min(constants::JOB_FAILURE_BACKOFF_MAX_MS)
     }
 }
--- a/crates/control/src/leader/model/machine.rs
+++ b/crates/control/src/leader/model/machine.rs
@@ -202,6 +202,6 @@
     /// Whether tasks on the machine take much longer than those of the same jobs elsewhere.
     pub fn is_slow(&self) -> bool {
         let (sum, count) = self.relative_run_times;
-        count >= MIN_RUN_TIME_SAMPLES && sum / f64::from(count) > constants::SLOW_FACTOR
+        count >= MIN_RUN_TIME_SAMPLES && sum / f64::from(count) > constants::SLOW_MACHINE_FACTOR
     }
 }
--- a/crates/control/src/leader/planning.rs
+++ b/crates/control/src/leader/planning.rs
@@ -21,7 +21,9 @@
 
 use super::Leader;
 use crate::effects::Effects;
-use constants::{ROUND_BUDGET_MS, ROUND_EVERY_MS, ROUND_LEAST_MS, ROUND_REST};
+use constants::{
+    ROUND_BUDGET_MS, ROUND_DECISIONS_MIN_MS, ROUND_INTERVAL_MIN_MS, ROUND_PAUSE_FACTOR,
+};
 use decisions::{IndexedNames, JobQueue};
 use sched::{ClusterSnapshot, Round, RoundOutcome};
 use std::collections::BTreeSet;
@@ -87,7 +89,8 @@
         self.apply_decisions(outcome.decisions, &names, now);
         // The pause grows with the length of the round, so that users and workers are served between rounds.
         let took_ms = (self.stopwatch)().saturating_sub(started) / 1000;
-        self.next_round_at = now.mono + took_ms + ROUND_EVERY_MS.max(took_ms * ROUND_REST);
+        self.next_round_at =
+            now.mono + took_ms + ROUND_INTERVAL_MIN_MS.max(took_ms * ROUND_PAUSE_FACTOR);
         self.has_new_decisions = true;
     }
 
@@ -107,7 +110,7 @@
         let snapshot_taken = stopwatch();
         // The budget covers the whole round, but the scheduler gets a minimum of time in any case.
         let budget_end = started + ROUND_BUDGET_MS * 1000;
-        let deadline = budget_end.max(snapshot_taken + ROUND_LEAST_MS * 1000);
+        let deadline = budget_end.max(snapshot_taken + ROUND_DECISIONS_MIN_MS * 1000);
         let outcome = round.run(|| stopwatch() < deadline);
         let times = RoundTimes {
             started,
@@ -120,7 +123,7 @@
 
 fn log_round(outcome: &RoundOutcome, times: &RoundTimes, sizes: &SnapshotSizes) {
     let took_us = times.decided - times.started;
-    let is_notable = !outcome.finished || took_us > ROUND_LEAST_MS * 1000;
+    let is_notable = !outcome.finished || took_us > ROUND_DECISIONS_MIN_MS * 1000;
     let level = match is_notable {
         true => log::Level::Info,
         false => log::Level::Debug,
--- a/crates/control/src/leader/planning/estimates.rs
+++ b/crates/control/src/leader/planning/estimates.rs
@@ -4,7 +4,7 @@
 use crate::leader::model::Job;
 use crate::leader::Leader;
 use crate::settings::Objective;
-use constants::{LONGEST_TASK, MISSED_OBJECTIVE_DELAY_S, START_LAG_S};
+use constants::{LONGEST_TASK_FACTOR, MISSED_OBJECTIVE_DELAY_S, TASK_START_DELAY_S};
 use sched::pilot_count;
 
 /// Maximum expected duration of a job in seconds, so that the unbounded duration of a service can be added to a time of
@@ -55,9 +55,9 @@
     pub(in crate::leader) fn expected_duration_ms(&self, job: &Job, task_s: f64) -> u64 {
         let run_s = match job.is_gang() {
             true => task_s,
-            false => task_s * LONGEST_TASK,
+            false => task_s * LONGEST_TASK_FACTOR,
         };
-        ((START_LAG_S + run_s).min(MAX_EXPECTED_S) * 1000.0) as u64
+        ((TASK_START_DELAY_S + run_s).min(MAX_EXPECTED_S) * 1000.0) as u64
     }
 
     /// The multiple of a job's own deadline up to which an objective still counts the job, if an objective sets one.
@@ -112,7 +112,7 @@
         let start = move |objective: &Objective| match objective.kind.as_str() {
             "wait" => Some(seconds_after(
                 job.ready_at,
-                objective.within_s? - START_LAG_S,
+                objective.within_s? - TASK_START_DELAY_S,
             )),
             "finished" => {
                 let end = seconds_after(job.ready_at, objective.within_s?);
--- a/crates/control/src/leader/planning/job_snapshots.rs
+++ b/crates/control/src/leader/planning/job_snapshots.rs
@@ -4,7 +4,9 @@
 use super::snapshot::SnapshotBuilder;
 use super::waiting_tasks::unassigned_tasks;
 use crate::leader::model::{Assignment, AssignmentStage, Job};
-use constants::{AGED_S, QUOTA_RESERVATION_PAUSE_S, QUOTA_RESERVATION_S, URGENT_S};
+use constants::{
+    AGING_THRESHOLD_S, DEADLINE_URGENT_SLACK_S, QUOTA_RESERVATION_PAUSE_S, QUOTA_RESERVATION_S,
+};
 use sched::{
     pilot_count, queue_for_size, JobSnapshot, Resources, RunningTask, TeamSnapshot, UNKNOWN_ZONE,
 };
@@ -256,13 +258,13 @@
     /// time only; otherwise it would precede all jobs that have an objective.
     fn is_urgent(&self, job: &Job, latest_start: Option<u64>) -> bool {
         let now = self.now.unix;
-        let soon = now + (URGENT_S * 1000.0) as u64;
+        let soon = now + (DEADLINE_URGENT_SLACK_S * 1000.0) as u64;
         if latest_start.is_some_and(|latest| soon >= latest) {
             return true;
         }
         let begun = job.first_run_at.is_some() || job.assigned_count > 0 || job.done_count > 0;
         let age_s = now.saturating_sub(job.ready_at) as f64 / 1000.0;
-        !begun && age_s > AGED_S
+        !begun && age_s > AGING_THRESHOLD_S
     }
 
     /// Machines on which tasks of the job have failed; none if the job seems to fail everywhere.
--- a/crates/control/src/leader/store/pending_transactions.rs
+++ b/crates/control/src/leader/store/pending_transactions.rs
@@ -2,7 +2,7 @@
 
 use super::transaction::PendingTransaction;
 use crate::requests::RecordId;
-use constants::{INVALID_RETRY_MS, STATE_RETRY_MS, TXN_PARALLEL};
+use constants::{INVALID_TXN_RETRY_MS, STATE_RETRY_MS, TXNS_IN_FLIGHT_MAX};
 use std::collections::{BTreeSet, HashMap};
 
 /// A transaction that is to be resent.
@@ -33,7 +33,7 @@
 
     /// Whether another transaction may be sent before the pending ones end.
     pub(super) fn has_capacity(&self) -> bool {
-        self.transactions.len() < TXN_PARALLEL
+        self.transactions.len() < TXNS_IN_FLIGHT_MAX
     }
 
     /// Adds a transaction and returns its number.
@@ -91,7 +91,7 @@
 
     /// Pauses writing for a while, after the state service rejected a transaction as invalid.
     pub(super) fn pause(&mut self, now: u64) {
-        self.paused_until = now + INVALID_RETRY_MS;
+        self.paused_until = now + INVALID_TXN_RETRY_MS;
     }
 
     /// Whether writing is paused.
--- a/crates/control/src/leader/store/write_queue.rs
+++ b/crates/control/src/leader/store/write_queue.rs
@@ -1,7 +1,7 @@
 //! Queue of the records to be written, and of those whose write may wait.
 
 use crate::requests::RecordId;
-use constants::{DEFERRED_WRITE_MAX_MS, DEFERRED_WRITE_MS, HOUSEKEEPING_MS};
+use constants::{DEFERRED_WRITE_MAX_MS, DEFERRED_WRITE_MS, HOUSEKEEPING_INTERVAL_MS};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Records to be written.
@@ -101,7 +101,7 @@
         if now < self.next_deferred_check {
             return Vec::new();
         }
-        self.next_deferred_check = now + HOUSEKEEPING_MS;
+        self.next_deferred_check = now + HOUSEKEEPING_INTERVAL_MS;
         // Queued writes (starts and ends of tasks) take precedence: deferred writes would use half of the write rate
         // that a small state service accepts.
         let extra_delay_ms = if self.is_empty() {
--- a/crates/control/src/leader/worker_heartbeats/task_state.rs
+++ b/crates/control/src/leader/worker_heartbeats/task_state.rs
@@ -3,12 +3,12 @@
 use crate::effects::Now;
 use crate::leader::model::{Assignment, AssignmentStage, Job};
 use crate::leader::Leader;
-use constants::ERROR_PAUSE_MS;
+use constants::JOB_FAILURE_BACKOFF_MS;
 use wire::workers::{EndCause, TaskPhase, WorkerHeartbeat};
 
 /// Milliseconds of backoff of a job after a worker refused to start one of its tasks. No task failed, so the backoff is
 /// shorter than after an error.
-const REFUSED_START_PAUSE_MS: u64 = ERROR_PAUSE_MS / 2;
+const REFUSED_START_PAUSE_MS: u64 = JOB_FAILURE_BACKOFF_MS / 2;
 
 /// Changes that a heartbeat made to an assignment.
 struct AssignmentUpdate {
--- a/crates/sched/src/fleet.rs
+++ b/crates/sched/src/fleet.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 use crate::{ClusterSnapshot, JobSnapshot, Resources};
-use constants::RENT_MAX;
+use constants::MACHINES_PER_RENTAL_MAX;
 use packing::Packing;
 
 /// A machine type in a zone, as spot or on-demand machines, that the cloud rents out.
@@ -61,7 +61,13 @@
 /// of every available offer instead, since only the cloud's refusals show how much capacity it has.
 pub fn plan_fleet(snapshot: &ClusterSnapshot, fleet: &FleetSnapshot) -> Vec<RentRequest> {
     if !fleet.minimizes_cost {
-        let all = |offer: &Offer| if offer.available { RENT_MAX } else { 0 };
+        let all = |offer: &Offer| {
+            if offer.available {
+                MACHINES_PER_RENTAL_MAX
+            } else {
+                0
+            }
+        };
         return rent_requests(fleet.offers.iter().map(all).collect());
     }
     let is_waiting = |job: &&JobSnapshot| !job.waiting_tasks.is_empty() && !job.backed_off;
--- a/crates/sched/src/round/preemption.rs
+++ b/crates/sched/src/round/preemption.rs
@@ -3,12 +3,12 @@
 
 use super::{Decision, Round};
 use crate::{Resources, RunningTask, TeamSnapshot};
-use constants::FETCH_COST_S;
+use constants::IMAGE_FETCH_COST_S;
 
 /// Cost in seconds of stopping a task, besides the cost of its preemption in lost work.
 const STOP_COST_S: f64 = 5.0;
 /// Cost in seconds of making room on a slow machine.
-const SLOW_MACHINE_COST_S: f64 = 2.0 * FETCH_COST_S;
+const SLOW_MACHINE_COST_S: f64 = 2.0 * IMAGE_FETCH_COST_S;
 
 /// The job for which tasks are preempted.
 #[derive(Clone, Copy)]
@@ -153,7 +153,7 @@
         if !host.images.contains(&preemptor.image) {
             // The room is needed soon, and fetching the image may take longer than the stopped tasks need to save their
             // checkpoints.
-            cost_s += FETCH_COST_S;
+            cost_s += IMAGE_FETCH_COST_S;
         }
         if host.slow {
             cost_s += SLOW_MACHINE_COST_S;
--- a/crates/sched/src/round/reservations.rs
+++ b/crates/sched/src/round/reservations.rs
@@ -1,7 +1,7 @@
 //! Reservation of machines for gangs, so that draining machines do not fill up with small tasks before the gang fits.
 
 use super::{Decision, Round};
-use constants::RESERVED_PART;
+use constants::GANG_RESERVED_FLEET_DIVISOR;
 
 /// Machines that may be reserved together for a gang: those of one zone, or all.
 struct ReservableGroup {
@@ -64,7 +64,8 @@
         let own = self.reserved_for.iter().flatten();
         let own = own.filter(|&&holder| holder == job).count();
         // Only a part of the fleet may be reserved, unless no other gang has reservations.
-        let allowed = (self.snapshot.machines.len() / RESERVED_PART).saturating_sub(taken - own);
+        let allowed = (self.snapshot.machines.len() / GANG_RESERVED_FLEET_DIVISOR)
+            .saturating_sub(taken - own);
         let is_only_holder = taken == own;
         let busy_s = |machine: usize| self.snapshot.machines[machine].busy_s;
         let mut best: Option<(f64, Vec<usize>)> = None;
--- a/crates/sched/src/sampling.rs
+++ b/crates/sched/src/sampling.rs
@@ -1,6 +1,8 @@
 //! Number of pilot tasks, which are sampled to estimate the size of a job, and assignment of jobs to queues by size.
 
-use constants::{FIRST_BOUND, PILOT_SHARE, QUEUES, QUEUE_GROWTH, THIN_TASKS};
+use constants::{
+    FIRST_QUEUE_BOUND_TASK_S, PILOT_SHARE, QUEUE_COUNT, QUEUE_GROWTH_FACTOR, THIN_ARRAY_TASKS_MAX,
+};
 
 /// Last queue whose weight is less than that of the queue before it. Later queues have the same weight, so that weights
 /// do not approach zero.
@@ -24,11 +26,11 @@
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            thin_tasks: THIN_TASKS,
+            thin_tasks: THIN_ARRAY_TASKS_MAX,
             pilot_share: PILOT_SHARE,
-            first_bound_s: FIRST_BOUND,
-            queue_growth: QUEUE_GROWTH,
-            queues: QUEUES,
+            first_bound_s: FIRST_QUEUE_BOUND_TASK_S,
+            queue_growth: QUEUE_GROWTH_FACTOR,
+            queues: QUEUE_COUNT,
         }
     }
 }
