--- a/crates/control/src/cloud.rs
+++ b/crates/control/src/cloud.rs
@@ -1,4 +1,5 @@
-//! Client of the cloud: stays within its call rate and sends returns ahead of rentals ahead of listings.
+//! Client of the cloud. Keeps to the cloud's call rate and sends returns before rentals and rentals
+//! before listings.
 
 mod calls;
 
@@ -8,45 +9,45 @@
 use calls::{decode_reply, encode_call};
 use std::collections::{HashMap, VecDeque};
 
-/// Share of the cloud's call rate that is used. The burst is one second's worth of the full rate.
+/// Share of the cloud's call rate that is used. The burst is one second at the full rate.
 const CALL_RATE_SHARE: f64 = 0.8;
-/// Milliseconds without calls after one that was refused or whose outcome is unknown.
+/// Milliseconds without calls after a call that was refused or whose outcome is unknown.
 const RETRY_PAUSE_MS: u64 = 1000;
-/// Milliseconds to wait at least when the call rate is used up.
-const MIN_WAIT_MS: u64 = 10;
-/// Tokens that a call takes.
+/// Minimum wait in milliseconds when the call rate is used up.
+const RATE_WAIT_MIN_MS: u64 = 10;
+/// Tokens that a call takes from the bucket.
 const ONE_CALL: f64 = 1.0;
 /// Number of queues, one for each kind of call.
-const QUEUES: usize = 4;
+const QUEUE_COUNT: usize = 4;
 
-/// What a call came to: status and body, or why there is no reply.
+/// Result of a call: status and body, or the reason why there is no reply.
 type CallResult = Result<(u16, Vec<u8>), CallError>;
 
-/// Sends the requests of the leader to the cloud.
+/// Sends the leader's requests to the cloud.
 pub(crate) struct CloudClient {
     bucket: TokenBucket,
     /// Queues in the order in which they are served.
-    queues: [VecDeque<(CloudOp, CloudTag)>; QUEUES],
+    queues: [VecDeque<(CloudOp, CloudTag)>; QUEUE_COUNT],
     in_flight: HashMap<CallId, (CloudOp, CloudTag)>,
     paused_until: u64,
-    wake: Option<u64>,
+    next_send_at: Option<u64>,
 }
 
 impl CloudClient {
-    /// A client of a cloud that allows so many calls a second.
+    /// Creates a client of a cloud that allows `rps` calls per second.
     pub fn new(rps: f64) -> Self {
         CloudClient {
             bucket: TokenBucket::new(rps * CALL_RATE_SHARE, rps),
             queues: Default::default(),
             in_flight: HashMap::new(),
             paused_until: 0,
-            wake: None,
+            next_send_at: None,
         }
     }
 
-    /// Queues a request. It is sent by [`CloudClient::pump`].
-    pub fn push(&mut self, op: CloudOp, tag: CloudTag) {
-        self.queues[queue_of(&op)].push_back((op, tag));
+    /// Queues a request. It is sent by [`CloudClient::send_due`].
+    pub fn enqueue(&mut self, op: CloudOp, tag: CloudTag) {
+        self.queues[queue_index(&op)].push_back((op, tag));
     }
 
     /// Drops all queued requests.
@@ -54,15 +55,15 @@
         self.queues = Default::default();
     }
 
-    /// Sends what the call rate allows.
-    pub fn pump(&mut self, next_call: &mut CallId, effects: &mut Effects) {
+    /// Sends the queued requests that the call rate allows.
+    pub fn send_due(&mut self, next_call: &mut CallId, effects: &mut Effects) {
         let now = effects.now.mono;
-        self.wake = None;
+        self.next_send_at = None;
         for queue in &mut self.queues {
             while !queue.is_empty() {
                 if now < self.paused_until || !self.bucket.take(now, ONE_CALL) {
-                    let wait_ms = self.bucket.wait(ONE_CALL).max(MIN_WAIT_MS);
-                    self.wake = Some(self.paused_until.max(now + wait_ms));
+                    let wait_ms = self.bucket.wait(ONE_CALL).max(RATE_WAIT_MIN_MS);
+                    self.next_send_at = Some(self.paused_until.max(now + wait_ms));
                     return;
                 }
                 if let Some((op, tag)) = queue.pop_front() {
@@ -74,12 +75,12 @@
         }
     }
 
-    /// When [`CloudClient::pump`] has to be called again for requests that wait.
+    /// Returns when [`CloudClient::send_due`] must be called again for queued requests.
     pub fn next_wake(&self) -> Option<u64> {
-        self.wake
+        self.next_send_at
     }
 
-    /// Takes a reply if the call was one of this client's.
+    /// Interprets a reply if the call is one of this client's.
     pub fn on_reply(
         &mut self,
         now: u64,
@@ -95,8 +96,8 @@
     }
 }
 
-/// Index of the queue for a request.
-fn queue_of(op: &CloudOp) -> usize {
+/// Returns the index of the queue for a request.
+fn queue_index(op: &CloudOp) -> usize {
     match op {
         CloudOp::Return(_) => 0,
         CloudOp::Rent(_) => 1,
--- a/crates/control/src/cloud/calls.rs
+++ b/crates/control/src/cloud/calls.rs
@@ -1,4 +1,4 @@
-//! Encodes requests to the cloud as HTTP calls, and decodes its replies.
+//! Encodes requests to the cloud as HTTP calls and decodes the replies.
 
 use super::CallResult;
 use crate::effects::{CallError, CallId, Output, Target};
@@ -7,10 +7,10 @@
 use wire::cloud::{MachineNames, MachineTypes};
 use wire::DecodeError;
 
-/// What the body of a refused rental contains if the cloud has no such machines at present.
+/// Text in the body of a refused rental if the cloud currently has no such machines.
 const NO_CAPACITY: &str = "no capacity";
 
-/// The HTTP call of a request.
+/// Encodes a request as an HTTP call.
 pub(super) fn encode_call(op: &CloudOp, call: CallId) -> Output {
     Output::Call {
         call,
@@ -50,12 +50,12 @@
     }
 }
 
-/// The outcome of a request.
+/// Decodes the outcome of a request.
 pub(super) fn decode_reply(op: &CloudOp, result: &CallResult) -> CloudReply {
     match result {
         Err(CallError::NotSent) => CloudReply::Refused,
         Err(CallError::Unknown) => CloudReply::Unknown,
-        // A body that can't be read leaves open what was done.
+        // If the body is unreadable, it is unknown whether the request was executed.
         Ok((status, body)) => decode_body(op, *status, body).unwrap_or(CloudReply::Unknown),
     }
 }
--- a/crates/control/src/election/candidacy.rs
+++ b/crates/control/src/election/candidacy.rs
@@ -1,5 +1,6 @@
-//! A candidate's part. It reads the last term, has a lease granted, and writes leader key and next term in one
-//! transaction, which commits only if neither has changed since they were read.
+//! The candidate. It reads the last term, requests a lease, and writes the leader key and the next
+//! term in one transaction. The transaction commits only if neither has changed since they were
+//! read.
 
 use super::role::{Candidacy, Leadership, Role};
 use super::Election;
@@ -11,19 +12,19 @@
 use wire::records::{LeaderRecord, TermRecord, LEADER, TERM};
 use wire::state::{Compare, Item, Txn, Write};
 
-/// Least milliseconds until the next poll after an attempt that failed.
-const ELECTION_BACKOFF_MS: u64 = LEADER_POLL_MS / 2;
+/// Minimum milliseconds until the next poll after a failed attempt.
+const ELECTION_BACKOFF_MIN_MS: u64 = LEADER_POLL_MS / 2;
 
-/// The last term as the state service has it.
+/// The last term as stored in the state service.
 struct StoredTerm {
-    /// `None` if there was no leader yet.
+    /// `None` if there has been no leader yet.
     record: Option<TermRecord>,
-    /// Version of the record; 0 if there is none.
+    /// Version of the record, or 0 if there is none.
     version: u64,
 }
 
 impl StoredTerm {
-    /// `None` if the reply does not say what is stored.
+    /// Returns `None` if the reply doesn't tell what is stored.
     fn from_reply(reply: StateReply) -> Option<Self> {
         match reply {
             StateReply::Item(item) => Self::from_item(&item),
@@ -49,16 +50,16 @@
 }
 
 impl Election {
-    /// Begins an attempt to become the leader. `leader_version` is the version of the leader key, 0 if it
-    /// is missing.
-    pub(super) fn stand(&mut self, leader_version: u64, effects: &mut Effects) {
+    /// Starts an attempt to become the leader. `leader_version` is the version of the leader key,
+    /// or 0 if the key is missing.
+    pub(super) fn start_candidacy(&mut self, leader_version: u64, effects: &mut Effects) {
         self.role = Role::Candidate(Candidacy::new(leader_version, effects.now.mono));
-        let step = ElectionStep::ReadTerm(self.round);
+        let step = ElectionStep::ReadTerm(self.attempt);
         self.request(StateOp::Get(TERM.into()), step, effects);
     }
 
-    /// The state service has replied to the read of the last term.
-    pub(super) fn on_term(&mut self, reply: StateReply, effects: &mut Effects) {
+    /// Handles the state service's reply to the read of the last term.
+    pub(super) fn on_term_reply(&mut self, reply: StateReply, effects: &mut Effects) {
         let Some(stored) = StoredTerm::from_reply(reply) else {
             return self.back_off(effects);
         };
@@ -72,11 +73,11 @@
         let op = StateOp::Grant {
             ttl_ms: LEADER_LEASE_MS,
         };
-        self.request(op, ElectionStep::GrantLease(self.round), effects);
+        self.request(op, ElectionStep::GrantLease(self.attempt), effects);
     }
 
-    /// The state service has replied to the request for a lease.
-    pub(super) fn on_grant(&mut self, reply: StateReply, effects: &mut Effects) {
+    /// Handles the state service's reply to the request for a lease.
+    pub(super) fn on_lease_reply(&mut self, reply: StateReply, effects: &mut Effects) {
         let StateReply::Granted(lease) = reply else {
             return self.back_off(effects);
         };
@@ -84,11 +85,11 @@
             return;
         };
         let now = effects.now.mono;
-        if now > candidacy.since + ELECTION_STALE_MS {
+        if now > candidacy.started_at + ELECTION_STALE_MS {
             return self.back_off(effects);
         }
         candidacy.lease = Some(lease);
-        candidacy.since = now;
+        candidacy.started_at = now;
         let record = LeaderRecord {
             node: self.label.clone(),
             term: candidacy.term,
@@ -96,11 +97,15 @@
             level: self.rules.level,
         };
         let txn = election_txn(candidacy, &record, lease, &self.rules.conditions);
-        self.request(StateOp::Txn(txn), ElectionStep::Commit(self.round), effects);
+        self.request(
+            StateOp::Txn(txn),
+            ElectionStep::Commit(self.attempt),
+            effects,
+        );
     }
 
-    /// The state service has replied to the transaction that elects this process.
-    pub(super) fn on_commit(&mut self, reply: StateReply, effects: &mut Effects) {
+    /// Handles the state service's reply to the transaction that elects this process.
+    pub(super) fn on_election_reply(&mut self, reply: StateReply, effects: &mut Effects) {
         let Role::Candidate(candidacy) = &self.role else {
             return;
         };
@@ -109,16 +114,18 @@
         };
         let term = candidacy.term;
         match reply {
-            StateReply::Committed { version } => self.win(term, lease, version, effects),
-            // The role stays as it is: the next poll may find that this process was elected.
+            StateReply::Committed { version } => self.become_leader(term, lease, version, effects),
+            // The role stays unchanged because the next poll may find that this process was
+            // elected.
             StateReply::Unknown => self.back_off(effects),
             StateReply::Conflict { failed } if self.has_outdated_conditions(&failed) => {
-                // Most often another controller has announced itself meanwhile: the level is read again first.
+                // Usually another controller has announced itself in the meantime. The feature
+                // level must be read again before the next attempt.
                 self.role = Role::Follower;
                 self.rules.may_stand = false;
                 effects.emit(NodeEvent::LevelChanged);
-                self.next_at = effects.now.mono + HANDOVER_POLL_MS;
-                self.busy_until = 0;
+                self.next_request_at = effects.now.mono + HANDOVER_POLL_MS;
+                self.reply_awaited_until = 0;
             }
             _ => {
                 self.role = Role::Follower;
@@ -127,8 +134,8 @@
         }
     }
 
-    /// The leader key holds a record of this process, which does not lead yet: it was elected, but the
-    /// reply was lost.
+    /// Handles a leader key that holds a record of this process although it is not the leader yet:
+    /// it was elected, but the reply was lost.
     pub(super) fn on_own_record(
         &mut self,
         record: LeaderRecord,
@@ -140,19 +147,21 @@
             _ => None,
         };
         match lease {
-            Some(lease) => self.win(record.term, lease, item.version, effects),
-            None => self.stand(item.version, effects),
+            Some(lease) => self.become_leader(record.term, lease, item.version, effects),
+            None => self.start_candidacy(item.version, effects),
         }
     }
 
-    /// Whether a condition of the election besides those on leader and term no longer holds.
+    /// Returns whether a condition of the election other than those on leader key and term no
+    /// longer holds.
     fn has_outdated_conditions(&self, failed_keys: &[String]) -> bool {
         let mut conditions = self.rules.conditions.iter();
         conditions.any(|condition| failed_keys.contains(&condition.key))
     }
 
-    fn win(&mut self, term: u64, lease: u64, version: u64, effects: &mut Effects) {
-        // The lease may have been granted a while ago: it counts as valid only once it has been renewed.
+    fn become_leader(&mut self, term: u64, lease: u64, version: u64, effects: &mut Effects) {
+        // The lease may have been granted a while ago, so it counts as valid only after it has been
+        // renewed.
         self.role = Role::Leader(Leadership {
             term,
             lease,
@@ -162,22 +171,23 @@
         self.known_leader = None;
         self.vacant_since = None;
         self.handover = None;
-        self.round += 1;
-        self.busy_until = 0;
-        self.next_at = effects.now.mono;
+        self.attempt += 1;
+        self.reply_awaited_until = 0;
+        self.next_request_at = effects.now.mono;
         effects.emit(NodeEvent::Elected { term, version });
         self.tick(effects);
     }
 
-    /// Leaves the next attempt to a poll after a random pause, so that two candidates seldom collide again.
+    /// Leaves the next attempt to a poll after a random pause, so that two candidates rarely
+    /// collide again.
     fn back_off(&mut self, effects: &Effects) {
-        self.busy_until = 0;
-        let pause_ms = ELECTION_BACKOFF_MS + self.rng.u64(..ELECTION_JITTER_MS);
-        self.next_at = effects.now.mono + pause_ms;
+        self.reply_awaited_until = 0;
+        let pause_ms = ELECTION_BACKOFF_MIN_MS + self.rng.u64(..ELECTION_JITTER_MS);
+        self.next_request_at = effects.now.mono + pause_ms;
     }
 }
 
-/// The transaction that elects a candidate.
+/// Builds the transaction that elects a candidate.
 fn election_txn(
     candidacy: &mut Candidacy,
     record: &LeaderRecord,
@@ -190,8 +200,8 @@
     ];
     compares.extend(conditions.iter().cloned());
     let term = candidacy.term;
-    // The record stays in the layout that was read. Once that is the fenced one, which builds without rollouts can't
-    // read, it must not change back.
+    // The record keeps the layout in which it was read. Once it has the fenced layout, which builds
+    // without rollouts can't read, it must not change back.
     let next_term = match candidacy.last_term.take() {
         Some(last_term) => TermRecord { term, ..last_term },
         None => TermRecord::new(term),
--- a/crates/control/src/election/following.rs
+++ b/crates/control/src/election/following.rs
@@ -1,4 +1,4 @@
-//! A follower's part: it polls the leader key, and decides when to stand for election.
+//! The follower. It polls the leader key and decides when to stand for election.
 
 use super::role::{Handover, KnownLeader, Role};
 use super::{revoke, Election};
@@ -11,17 +11,17 @@
 use wire::records::{LeaderRecord, LEADER};
 use wire::state::Item;
 
-/// Least milliseconds between revoking an unreachable leader's lease and polling the leader key, for a
-/// process that is not the named successor: that one goes first.
-const REVOCATION_MS: u64 = STATE_RETRY_MS / 5;
+/// Minimum milliseconds between revoking the lease of an unreachable leader and polling the leader
+/// key. It applies unless this process is the named successor, which goes first.
+const REVOCATION_POLL_DELAY_MIN_MS: u64 = STATE_RETRY_MS / 5;
 
 impl Election {
-    /// Asks the state service for the leader key.
+    /// Reads the leader key from the state service.
     pub(super) fn poll(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        self.round += 1;
-        self.next_at = now + self.poll_interval_ms(now);
-        let step = ElectionStep::Poll(self.round);
+        self.attempt += 1;
+        self.next_request_at = now + self.poll_interval_ms(now);
+        let step = ElectionStep::Poll(self.attempt);
         self.request(StateOp::Get(LEADER.into()), step, effects);
     }
 
@@ -35,9 +35,9 @@
         }
     }
 
-    /// The state service has replied to a poll of the leader key.
-    pub(super) fn on_poll(&mut self, reply: StateReply, effects: &mut Effects) {
-        self.busy_until = 0;
+    /// Handles the state service's reply to a poll of the leader key.
+    pub(super) fn on_poll_reply(&mut self, reply: StateReply, effects: &mut Effects) {
+        self.reply_awaited_until = 0;
         match reply {
             StateReply::Item(item) => self.on_leader_key(item, effects),
             StateReply::Missing => self.on_vacancy(effects),
@@ -61,8 +61,9 @@
         } else if record.boot == self.boot {
             self.on_own_record(record, &item, effects);
         } else if self.may_stand(now) {
-            // The record is of our own earlier process, which is gone: its lease need not be waited for.
-            self.stand(item.version, effects);
+            // The record was written by an earlier process of this node, which no longer runs, so
+            // its lease need not be waited for.
+            self.start_candidacy(item.version, effects);
         }
     }
 
@@ -74,7 +75,7 @@
         }
         let since = *self.vacant_since.get_or_insert(now);
         if self.is_named_successor(now) || now >= since + self.rules.defer_ms {
-            self.stand(0, effects);
+            self.start_candidacy(0, effects);
         }
     }
 
@@ -82,47 +83,47 @@
         self.role = Role::Follower;
         let known = self.known_leader.as_ref();
         if known.is_none_or(|known| known.record != record) {
-            self.known_since = now;
+            self.leader_known_since = now;
         }
         self.known_leader = Some(KnownLeader {
             record,
             seen_at: now,
         });
-        self.known_lease = lease;
+        self.leader_lease = lease;
     }
 
     fn may_stand(&self, now: u64) -> bool {
-        self.rules.may_stand && now >= self.paused_until
+        self.rules.may_stand && now >= self.no_candidacy_until
     }
 
-    /// Whether the leader has lately named this process its successor.
+    /// Returns whether the leader recently named this process its successor.
     fn is_named_successor(&self, now: u64) -> bool {
         self.handover.is_some_and(|handover| now < handover.until)
     }
 
-    /// The leader stops as planned, and names this process its successor: the leader key is polled at a
-    /// short interval until it is vacant.
+    /// Handles the notice that the leader stops as planned and names this process its successor.
+    /// The leader key is polled at a short interval until it is vacant.
     pub fn on_handover(&mut self, from: &str, term: u64, effects: &mut Effects) {
         let is_leader = self
             .known_leader
             .as_ref()
             .is_none_or(|known| known.record.node == from && known.record.term == term);
-        if !is_leader || term < self.highest_term || self.leads().is_some() {
+        if !is_leader || term < self.highest_term || self.leading_term().is_some() {
             return;
         }
         log::info!("event=named_successor by={from} term={term}");
         let now = effects.now.mono;
         let until = now + HANDOVER_MS;
         self.handover = Some(Handover { term, until });
-        self.round += 1;
-        self.busy_until = 0;
-        self.next_at = now;
+        self.attempt += 1;
+        self.reply_awaited_until = 0;
+        self.next_request_at = now;
     }
 
-    /// A peer seems to have crashed. If it leads, its lease is revoked, once a term. That is safe even if
-    /// the peer is alive (a packet filter between the nodes refuses connections, too): it loses leadership,
-    /// no more.
-    pub fn on_peer_refused(&mut self, label: &str, effects: &mut Effects) {
+    /// Handles a peer that refuses connections and has probably crashed. If it is the leader, its
+    /// lease is revoked, at most once per term. This is safe even if the peer is alive (a packet
+    /// filter between the nodes also refuses connections): the peer only loses leadership.
+    pub fn on_peer_connection_refused(&mut self, label: &str, effects: &mut Effects) {
         let Some(known) = self.known_leader.as_ref() else {
             return;
         };
@@ -130,22 +131,22 @@
         if node != label || term <= self.revoked_term {
             return;
         }
-        let Some(lease) = self.known_lease else {
+        let Some(lease) = self.leader_lease else {
             return;
         };
         self.revoked_term = term;
-        // Workers must not be sent to it any more.
+        // Workers must no longer be redirected to it.
         self.known_leader = None;
         log::info!("event=leader_unreachable node={label} term={term}");
         revoke(lease, effects);
         let now = effects.now.mono;
-        // A named successor polls at once; the others leave it a moment.
+        // A named successor polls at once. Other nodes wait a short time to let it go first.
         let pause_ms = if self.is_named_successor(now) {
             0
         } else {
-            REVOCATION_MS + self.rng.u64(..ELECTION_JITTER_MS)
+            REVOCATION_POLL_DELAY_MIN_MS + self.rng.u64(..ELECTION_JITTER_MS)
         };
-        self.next_at = now + pause_ms;
-        self.busy_until = 0;
+        self.next_request_at = now + pause_ms;
+        self.reply_awaited_until = 0;
     }
 }
--- a/crates/control/src/election/renewal.rs
+++ b/crates/control/src/election/renewal.rs
@@ -1,4 +1,4 @@
-//! A leader's part: renewals of its lease, and the ways to lose leadership.
+//! The leader. Renews its lease and handles the ways to lose leadership.
 
 use super::role::Role;
 use super::{revoke, Election};
@@ -7,18 +7,20 @@
 use constants::{LEADER_POLL_MS, LEADER_RENEW_MS, RESIGN_PAUSE_MS};
 
 impl Election {
-    /// Asks the state service to renew the lease.
+    /// Requests a renewal of the lease from the state service.
     pub(super) fn renew(&mut self, term: u64, lease: u64, effects: &mut Effects) {
         let now = effects.now.mono;
         let step = ElectionStep::Renew { term, sent_at: now };
         self.request(StateOp::Renew(lease), step, effects);
-        self.next_at = now + LEADER_RENEW_MS;
-        // Renewals don't wait for the reply to the one before: the lease would expire meanwhile.
-        self.busy_until = now + LEADER_RENEW_MS;
+        self.next_request_at = now + LEADER_RENEW_MS;
+        // A renewal doesn't wait for the reply to the previous one, because the lease could expire
+        // meanwhile.
+        self.reply_awaited_until = now + LEADER_RENEW_MS;
     }
 
-    /// The state service has replied to the renewal sent at `sent_at` in `renewed_term`.
-    pub(super) fn on_renewal(
+    /// Handles the state service's reply to the renewal that was sent at `sent_at` in
+    /// `renewed_term`.
+    pub(super) fn on_renewal_reply(
         &mut self,
         renewed_term: u64,
         sent_at: u64,
@@ -32,45 +34,46 @@
             return;
         }
         match reply {
-            // No renewal from before a stall makes the lease valid again.
+            // A renewal that was sent before a stall doesn't make the lease valid again.
             StateReply::Renewed if sent_at < self.resumed_at => {}
             StateReply::Renewed => leadership.renewed_at = leadership.renewed_at.max(sent_at),
-            StateReply::NoLease => self.step_down("the lease ran out", effects),
+            StateReply::NoLease => self.step_down("the lease expired", effects),
             _ => {}
         }
     }
 
-    /// A peer knows of a term.
+    /// Handles a term that a peer knows of.
     pub fn observe_term(&mut self, term: u64, effects: &mut Effects) {
         self.highest_term = self.highest_term.max(term);
-        if self.leads().is_some_and(|own_term| term > own_term) {
-            self.step_down("a peer knows a newer term", effects);
+        if self.leading_term().is_some_and(|own_term| term > own_term) {
+            self.step_down("a peer knows of a newer term", effects);
         }
     }
 
-    /// Gives leadership up and does not stand for a while, for a reason that the other nodes don't share.
+    /// Gives up leadership, for a reason that doesn't apply to the other nodes, and doesn't stand
+    /// for election for a while.
     pub fn resign(&mut self, reason: &'static str, effects: &mut Effects) {
         let Role::Leader(leadership) = self.role else {
             return;
         };
         revoke(leadership.lease, effects);
-        self.paused_until = effects.now.mono + RESIGN_PAUSE_MS;
+        self.no_candidacy_until = effects.now.mono + RESIGN_PAUSE_MS;
         self.step_down(reason, effects);
     }
 
-    /// A transaction of this leader failed, since the leader key is gone or was changed.
+    /// Handles a failed transaction of this leader: the leader key was deleted or changed.
     pub fn on_fenced(&mut self, effects: &mut Effects) {
-        if self.leads().is_some() {
-            self.step_down("the leader key is not ours any more", effects);
+        if self.leading_term().is_some() {
+            self.step_down("the leader key no longer belongs to this node", effects);
         }
     }
 
     fn step_down(&mut self, reason: &'static str, effects: &mut Effects) {
         self.role = Role::Follower;
-        self.round += 1;
-        self.busy_until = 0;
+        self.attempt += 1;
+        self.reply_awaited_until = 0;
         self.known_leader = None;
-        self.next_at = effects.now.mono + LEADER_POLL_MS;
+        self.next_request_at = effects.now.mono + LEADER_POLL_MS;
         effects.emit(NodeEvent::SteppedDown { reason });
     }
 }
--- a/crates/control/src/election/tests.rs
+++ b/crates/control/src/election/tests.rs
@@ -1,4 +1,5 @@
-//! A leader that was stalled trusts its lease only after a renewal that was sent since.
+//! After a stall a leader trusts its lease only once a renewal that was sent after the stall has
+//! succeeded.
 
 use super::Election;
 use crate::effects::{Effects, Now};
@@ -8,31 +9,35 @@
     Effects::new(Now { mono, unix: mono })
 }
 
-/// A node that has just been elected and has sent its first renewal.
+/// Creates an election that was just won and has sent its first renewal.
 fn elected(at: u64) -> Election {
     let mut election = Election::new("n0", 7);
     let mut effects = effects(at);
     election.tick(&mut effects);
-    let round = election.round;
-    election.on_reply(ElectionStep::Poll(round), StateReply::Missing, &mut effects);
+    let attempt = election.attempt;
     election.on_reply(
-        ElectionStep::ReadTerm(round),
+        ElectionStep::Poll(attempt),
         StateReply::Missing,
         &mut effects,
     );
     election.on_reply(
-        ElectionStep::GrantLease(round),
+        ElectionStep::ReadTerm(attempt),
+        StateReply::Missing,
+        &mut effects,
+    );
+    election.on_reply(
+        ElectionStep::GrantLease(attempt),
         StateReply::Granted(1),
         &mut effects,
     );
     let committed = StateReply::Committed { version: 1 };
-    election.on_reply(ElectionStep::Commit(round), committed, &mut effects);
-    assert_eq!(election.leads(), Some(1));
+    election.on_reply(ElectionStep::Commit(attempt), committed, &mut effects);
+    assert_eq!(election.leading_term(), Some(1));
     election
 }
 
-/// The reply waited while the process was stalled. It would release the start of a task whose job may be
-/// cancelled by now.
+/// The reply to a renewal waits while the process is stalled. If it counted, the leader would start
+/// a task whose job may have been cancelled by now.
 #[test]
 fn a_renewal_sent_before_a_stall_does_not_make_the_lease_valid_after_it() {
     let (sent, resumed) = (10_000, 12_000);
@@ -49,7 +54,13 @@
     election.on_stall(resumed);
     assert!(!election.is_lease_valid(resumed));
     renewed(&mut election, sent);
-    assert!(!election.is_lease_valid(resumed), "sent before it");
+    assert!(
+        !election.is_lease_valid(resumed),
+        "renewal sent before the stall"
+    );
     renewed(&mut election, resumed);
-    assert!(election.is_lease_valid(resumed), "sent after it");
+    assert!(
+        election.is_lease_valid(resumed),
+        "renewal sent after the stall"
+    );
 }
--- a/crates/control/src/forwarding.rs
+++ b/crates/control/src/forwarding.rs
@@ -1,26 +1,28 @@
 //! Requests that one controller handles for another.
 //!
-//! A node that does not reach the state service forwards users' requests to a peer that does, and heartbeats of
-//! workers to a leader that workers do not reach. Each side numbers the requests itself: the sender by calls, the
-//! receiver by request ids that differ from those of its own sockets.
+//! A node that doesn't reach the state service forwards users' requests to a peer that does. It
+//! forwards worker heartbeats to a leader that workers don't reach. Each side numbers the requests
+//! itself: the sender by call numbers, the receiver by request ids that differ from those of its
+//! own sockets.
 
 use crate::effects::{Effects, Output, RequestId};
 use constants::{DEADLINE_CHECK_MS, REPORT_FORWARD_MS, USER_DEADLINE_MS, USER_REQUESTS_MAX};
 use std::collections::HashMap;
 use wire::peers::PeerMessage;
 
-/// Path of workers' heartbeats.
+/// Path of worker heartbeats.
 pub(crate) const HEARTBEAT_PATH: &str = "/v1/report";
 
-/// Where the ids of requests from peers begin. Ids of requests on this node's own sockets are below.
-const FIRST_PEER_REQUEST: RequestId = 1 << 62;
+/// Start of the range of ids of requests from peers. Ids of requests on this node's own sockets are
+/// lower.
+const FIRST_PEER_REQUEST_ID: RequestId = 1 << 62;
 
 /// An HTTP request as it was received.
 #[derive(Clone, Copy)]
 pub(crate) struct HttpRequest<'a> {
-    /// Id under which it is answered.
+    /// Id under which the request is answered.
     pub id: RequestId,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
@@ -29,7 +31,7 @@
 }
 
 impl HttpRequest<'_> {
-    /// Milliseconds within which a peer must answer it.
+    /// Returns the milliseconds within which a peer must answer the request.
     fn timeout_ms(&self) -> u64 {
         if self.target == HEARTBEAT_PATH {
             REPORT_FORWARD_MS
@@ -39,52 +41,53 @@
     }
 }
 
-/// A request of this node that a peer is handling.
+/// A request to this node that a peer is handling.
 struct PendingCall {
     request: RequestId,
-    /// The peer that is to answer.
+    /// The peer that must answer.
     peer: String,
     deadline: u64,
 }
 
-/// The call under which a peer forwarded a request to this node.
+/// The call by which a peer forwarded a request to this node.
 struct PeerCall {
     peer: String,
     call: u64,
 }
 
-/// Requests forwarded to peers, and those that peers forwarded to this node.
+/// Requests that were forwarded to peers or by peers.
 pub(crate) struct ForwardedRequests {
-    /// Requests forwarded to peers, by call.
+    /// Requests that this node forwarded to peers, by call number.
     pending: HashMap<u64, PendingCall>,
     last_call: u64,
     /// Requests that peers forwarded to this node and that are not answered yet.
-    serving: HashMap<RequestId, PeerCall>,
-    last_accepted: RequestId,
+    accepted: HashMap<RequestId, PeerCall>,
+    last_accepted_id: RequestId,
 }
 
 impl ForwardedRequests {
-    /// `number_base` is where this process's calls begin, so that answers to an earlier process match none of them.
+    /// `number_base` is the start of this process's call numbers. Answers meant for an earlier
+    /// process of this node then match none of the calls.
     pub fn new(number_base: u64) -> Self {
         ForwardedRequests {
             pending: HashMap::new(),
             last_call: number_base,
-            serving: HashMap::new(),
-            last_accepted: FIRST_PEER_REQUEST,
+            accepted: HashMap::new(),
+            last_accepted_id: FIRST_PEER_REQUEST_ID,
         }
     }
 
-    /// Whether a request was forwarded by a peer.
+    /// Returns whether a request was forwarded by a peer.
     pub fn is_from_peer(id: RequestId) -> bool {
-        id >= FIRST_PEER_REQUEST
+        id >= FIRST_PEER_REQUEST_ID
     }
 
-    /// The peer that forwarded a request to this node, while it has not been answered.
-    pub fn peer_of(&self, id: RequestId) -> Option<&str> {
-        self.serving.get(&id).map(|call| call.peer.as_str())
+    /// Returns the peer that forwarded a request to this node, until the request is answered.
+    pub fn forwarding_peer(&self, id: RequestId) -> Option<&str> {
+        self.accepted.get(&id).map(|call| call.peer.as_str())
     }
 
-    /// When [`ForwardedRequests::tick`] is to be called next.
+    /// Returns when [`ForwardedRequests::tick`] must be called next.
     pub fn next_wake(&self, now: u64) -> Option<u64> {
         (!self.pending.is_empty()).then_some(now + DEADLINE_CHECK_MS)
     }
@@ -110,16 +113,21 @@
 
     /// Forwards a request of this node to a peer.
     pub fn forward(&mut self, request: HttpRequest, peer: String, effects: &mut Effects) {
-        self.forward_within(request, peer, USER_REQUESTS_MAX, effects);
+        self.forward_with_limit(request, peer, USER_REQUESTS_MAX, effects);
     }
 
-    /// Forwards a worker's heartbeat that an owner passes on to the leader. As many may be pending as workers are
-    /// connected.
-    pub fn forward_report(&mut self, request: HttpRequest, leader: String, effects: &mut Effects) {
-        self.forward_within(request, leader, usize::MAX, effects);
+    /// Forwards the heartbeat of a worker from the owner of its partition to the leader. There may
+    /// be as many pending heartbeats as connected workers, so no limit applies.
+    pub fn forward_worker_heartbeat(
+        &mut self,
+        request: HttpRequest,
+        leader: String,
+        effects: &mut Effects,
+    ) {
+        self.forward_with_limit(request, leader, usize::MAX, effects);
     }
 
-    fn forward_within(
+    fn forward_with_limit(
         &mut self,
         request: HttpRequest,
         peer: String,
@@ -154,7 +162,8 @@
         body: Vec<u8>,
         effects: &mut Effects,
     ) {
-        // An answer to an earlier process of this node, or from another peer, belongs to another request.
+        // An answer for an earlier process of this node, or from another peer, belongs to a
+        // different request.
         let pending = self.pending.get(&call);
         if pending.is_none_or(|pending| pending.peer != from) {
             return;
@@ -164,23 +173,24 @@
         }
     }
 
-    /// The id under which to handle a request that `peer` forwarded to this node as `call`.
-    pub fn accept(&mut self, peer: &str, call: u64) -> RequestId {
-        self.last_accepted += 1;
+    /// Accepts a request that `peer` forwarded to this node as `call`, and returns the id under
+    /// which to handle it.
+    pub fn accept_from_peer(&mut self, peer: &str, call: u64) -> RequestId {
+        self.last_accepted_id += 1;
         let peer = peer.to_string();
-        self.serving
-            .insert(self.last_accepted, PeerCall { peer, call });
-        self.last_accepted
+        self.accepted
+            .insert(self.last_accepted_id, PeerCall { peer, call });
+        self.last_accepted_id
     }
 
-    /// Turns the answer to a forwarded request into a message to the peer that forwarded it; other outputs stay as
-    /// they are. `None` if the request has been answered already.
-    pub fn route(&mut self, output: Output) -> Option<Output> {
+    /// Turns the answer to a forwarded request into a message to the peer that forwarded it. Other
+    /// outputs are returned unchanged. Returns `None` if the request was already answered.
+    pub fn route_response(&mut self, output: Output) -> Option<Output> {
         match output {
             Output::Respond {
                 id, status, body, ..
             } if Self::is_from_peer(id) => {
-                let PeerCall { peer, call } = self.serving.remove(&id)?;
+                let PeerCall { peer, call } = self.accepted.remove(&id)?;
                 Some(Output::Peer {
                     to: Some(peer),
                     message: PeerMessage::Forwarded { call, status, body },
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,10 +1,12 @@
-//! The controller, without I/O: actors that own their state and communicate by messages.
+//! The controller, without I/O. It consists of actors that own their state and communicate by
+//! messages.
 //!
-//! [`Node`] is the whole of one controller. It is fed [`Input`]s and the time, and yields [`Output`]s.
-//! Inside it, each actor owns what it knows: the clients of the state service and the cloud, the election,
-//! the gateway for users, upgrades, partitions and the leader. `effects::Effects` carries what they ask of
-//! each other. Smaller tasks of a node for its peers and for workers have modules of their own:
-//! `forwarding`, `peer_heartbeats`, `pending_heartbeats` and `leadership_watch`.
+//! [`Node`] is one controller. It takes [`Input`]s and the current time, and returns [`Output`]s.
+//! Each of its actors owns one part of the state: the clients of the state service and of the
+//! cloud, the election, the gateway for users, rollouts, partitions and the leader.
+//! `effects::Effects` carries the requests of the actors to each other. The modules `forwarding`,
+//! `peer_heartbeats`, `pending_heartbeats` and `leadership_watch` hold the smaller tasks of a node
+//! that concern peers and workers.
 
 mod cloud;
 pub mod effects;
@@ -32,5 +34,5 @@
 pub use partitions::PartitionsStatus;
 pub use settings::{Operator, Settings};
 
-/// Reads a steady clock in microseconds, to measure how long a round of decisions takes.
+/// Reads a monotonic clock in microseconds. It is used to measure turns and scheduling rounds.
 pub type Stopwatch = fn() -> u64;
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,13 +1,12 @@
-//! One controller: it passes what comes in to its actors, and carries out what they ask of each other.
+//! One controller: routes inputs to its actors and carries out their effects.
 //!
-//! - `construction`: a node that has just started;
-//! - `dispatch`: inputs, ticks, and replies to calls;
-//! - `http_routing`, `peer_messages`, `worker_heartbeats`: requests and messages by their sender;
-//! - `delivery`, `events`: the effects of actors;
-//! - `answering_rights`: what this node may decide and answer;
-//! - `wakeup`: when it has something to do;
-//! - `partition_view`, `planned_stop`, `stall`: partitions, orderly stops, and processes that did not run for
-//!   a while.
+//! - `construction`: creates a node at process start;
+//! - `dispatch`: handles inputs, ticks, and replies to calls;
+//! - `http_routing`, `peer_messages`, `worker_heartbeats`: handle requests and messages by sender;
+//! - `delivery`, `events`: carry out the effects of actors;
+//! - `answering_rights`: determines what this node may decide and whom it may answer;
+//! - `wakeup`: computes when the node must run next;
+//! - `partition_view`, `planned_stop`, `stall`: partitions, planned stops, and stalled processes.
 
 mod answering_rights;
 mod construction;
@@ -45,16 +44,16 @@
 pub struct Node {
     settings: Settings,
     operator: Operator,
-    /// Measures turns, and the leader's rounds of decisions.
+    /// Measures turns and the leader's scheduling rounds. A turn handles one input or one tick.
     stopwatch: crate::Stopwatch,
     state: StateClient,
     cloud: CloudClient,
     election: Election,
     gateway: Gateway,
     rollout: Rollout,
-    /// `None` where partitions are not switched on.
+    /// `None` if partitions are disabled.
     partitions: Option<Partitions>,
-    /// Set once the process has been asked to stop.
+    /// Set once the process was asked to stop.
     planned_stop: Option<PlannedStop>,
     /// Set while this node leads.
     leader: Option<Leader>,
@@ -63,43 +62,48 @@
     leadership_watch: LeadershipWatch,
     leader_probe: LeaderProbe,
     peers: Peers,
-    heartbeat: PeerHeartbeats,
-    /// Number of the last call.
+    peer_heartbeats: PeerHeartbeats,
+    /// Number of the last call to a service or worker.
     last_call: CallId,
-    /// Outputs that the process has yet to take.
-    out: VecDeque<Output>,
+    /// Outputs that the process has not taken yet.
+    outputs: VecDeque<Output>,
     machine_types: MachineTypesReader,
-    forwarded: ForwardedRequests,
-    /// Whether sockets are short: then no answer is deferred for work that may never come.
-    is_crowded: bool,
-    /// The moment of the last input or tick.
-    last_now: Now,
-    /// The moment of the last tick, on the steady clock.
-    last_tick: u64,
+    forwarded_requests: ForwardedRequests,
+    /// Whether this process is short of sockets. If so, no answer is deferred to wait for work, which
+    /// may never come.
+    has_socket_shortage: bool,
+    /// Time of the last input or tick.
+    last_turn_at: Now,
+    /// Time of the last tick, on the monotonic clock.
+    last_tick_at: u64,
 }
 
 impl Node {
-    /// The next thing to do, if any.
+    /// Removes and returns the next output, if any.
     pub fn next_output(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
-    /// Tells whether sockets are short. A deferred answer keeps its worker's socket from other workers.
-    pub fn set_crowded(&mut self, is_crowded: bool) {
-        self.is_crowded = is_crowded;
+    /// Sets whether the process is short of sockets. A deferred answer occupies its worker's
+    /// socket, which other workers could use.
+    pub fn set_socket_shortage(&mut self, has_socket_shortage: bool) {
+        self.has_socket_shortage = has_socket_shortage;
         if let Some(partitions) = &mut self.partitions {
-            partitions.load().set_crowded(is_crowded);
+            partitions
+                .load_meter()
+                .set_socket_shortage(has_socket_shortage);
         }
     }
 
-    /// Term, if this node leads.
-    pub fn leads(&self) -> Option<u64> {
-        self.election.leads()
+    /// Returns the term of this node if it is the leader.
+    pub fn leading_term(&self) -> Option<u64> {
+        self.election.leading_term()
     }
 
-    /// The state of a staged upgrade, if those are switched on and it has been read.
+    /// Returns the state of the staged rollout, if rollouts are enabled and the state has been
+    /// read.
     pub fn rollout_status(&self) -> Option<RolloutStatus> {
-        self.rollout.status(self.last_now.mono)
+        self.rollout.status(self.last_turn_at.mono)
     }
 
     /// Handles an input.
@@ -109,14 +113,14 @@
         self.end_turn(started_us);
     }
 
-    /// Does what is due by the clock.
+    /// Performs the work that is due by the clock.
     pub fn tick(&mut self, now: Now) {
         let started_us = self.start_turn();
         self.on_tick(now);
         self.end_turn(started_us);
     }
 
-    /// Starts to measure a turn, if partitions are switched on: only they use the figures.
+    /// Starts to measure a turn if partitions are enabled. Nothing else uses the measurements.
     fn start_turn(&self) -> Option<u64> {
         self.partitions.as_ref().map(|_| (self.stopwatch)())
     }
@@ -124,7 +128,7 @@
     fn end_turn(&mut self, started_us: Option<u64>) {
         if let (Some(partitions), Some(started_us)) = (&mut self.partitions, started_us) {
             let took_us = (self.stopwatch)().saturating_sub(started_us);
-            partitions.load().add_turn(took_us);
+            partitions.load_meter().add_turn(took_us);
         }
     }
 }
--- a/crates/control/src/node/answering_rights.rs
+++ b/crates/control/src/node/answering_rights.rs
@@ -1,56 +1,59 @@
-//! What this node may decide, and whom it may answer, by its lease and by what it knows of cancellations.
+//! Determines what this node may decide and whom it may answer, based on its lease and on the
+//! cancellations that it knows of.
 
 use super::Node;
 use constants::{CANCELLATIONS_KNOWN_MS, CUT_OFF_MS};
 
 impl Node {
-    /// Whether neither the state service nor a peer, through which users could be served, has been reached
-    /// for a while.
+    /// Returns whether this node has for a while reached neither the state service nor a peer
+    /// through which it could serve users.
     ///
-    /// Such a node refuses every request. The load balancer has to be told: it offered such nodes to users
-    /// all the same, and a third of the users were refused until the cut was over. In an outage of the
-    /// state service peers are still heard, so that no node is taken out of service.
-    pub(super) fn is_cut_off(&self, now: u64) -> bool {
-        let Some(peer_contact_at) = self.peers.last_contact() else {
+    /// An isolated node refuses every request, and reports to the load balancer that it is not
+    /// ready. Otherwise the load balancer keeps sending users to it: in one network cut a third of
+    /// the users were refused until the cut ended. During an outage of the state service peers are
+    /// still heard from, so no node is taken out of service.
+    pub(super) fn is_isolated(&self, now: u64) -> bool {
+        let Some(peer_contact_at) = self.peers.last_heartbeat_at() else {
             return false;
         };
-        let last_contact = self
-            .heartbeat
+        let last_contact_at = self
+            .peer_heartbeats
             .started_at()
             .max(peer_contact_at)
-            .max(self.state.last_good());
-        !self.state.is_up(now) && now > last_contact + CUT_OFF_MS
+            .max(self.state.last_success_at());
+        !self.state.is_available(now) && now > last_contact_at + CUT_OFF_MS
     }
 
-    /// The moment up to which every cancellation that was confirmed to a user is known to the leader: by
-    /// its own reading of the records, and beyond it as long as all peers tell of the cancellations that
-    /// they confirm. A successful reply of the state service to any other request proves nothing.
-    pub(super) fn informed_until(&self) -> Option<u64> {
+    /// Returns the time up to which the leader knows every cancellation that was confirmed to a
+    /// user. The leader knows the cancellations up to its last read of the records, and later ones
+    /// as long as all peers announce the cancellations that they confirm. A successful reply of the
+    /// state service to any other request doesn't extend this time.
+    pub(super) fn cancellations_known_until(&self) -> Option<u64> {
         let read_until = self.leader.as_ref()?.informed_until()?;
         Some(self.peers.cancellations_known_until(read_until))
     }
 
-    /// Whether the leader may make decisions and start tasks: its lease holds, and every cancellation is
-    /// known up to a recent moment.
-    pub(super) fn active(&self, now: u64) -> bool {
+    /// Returns whether the leader may make decisions and start tasks: its lease is valid and it
+    /// knows every cancellation up to a recent time.
+    pub(super) fn is_active(&self, now: u64) -> bool {
         self.planned_stop.is_none()
             && self.election.is_lease_valid(now)
-            && self.is_informed_within(CANCELLATIONS_KNOWN_MS, now)
+            && self.are_cancellations_known_within(CANCELLATIONS_KNOWN_MS, now)
     }
 
-    /// Whether the leader may answer workers, that is renew their leases.
+    /// Returns whether the leader may answer workers, which renews the leases of their tasks.
     ///
-    /// Jobs may have been cancelled without its knowledge, in particular while it does not reach the state service.
-    /// Their tasks must not be kept alive beyond `cancel_s`. A leader that has not read its records knows of no
-    /// cancellation at all.
-    pub(super) fn may_answer(&self, now: u64) -> bool {
+    /// Jobs may be cancelled without the leader's knowledge, in particular while it doesn't reach
+    /// the state service. Their tasks must not be kept alive for longer than `cancel_s`. A leader
+    /// that hasn't read its records yet knows of no cancellation.
+    pub(super) fn may_answer_workers(&self, now: u64) -> bool {
         let keepalive_ms = self.settings.keepalive_ms();
-        self.active(now) || self.is_informed_within(keepalive_ms, now)
+        self.is_active(now) || self.are_cancellations_known_within(keepalive_ms, now)
     }
 
-    /// Whether every cancellation is known up to a moment less than `period_ms` ago.
-    fn is_informed_within(&self, period_ms: u64, now: u64) -> bool {
-        let informed_until = self.informed_until();
-        informed_until.is_some_and(|until| now < until + period_ms)
+    /// Returns whether every cancellation is known up to a time less than `period_ms` ago.
+    fn are_cancellations_known_within(&self, period_ms: u64, now: u64) -> bool {
+        let cancellations_known_until = self.cancellations_known_until();
+        cancellations_known_until.is_some_and(|until| now < until + period_ms)
     }
 }
--- a/crates/control/src/node/construction.rs
+++ b/crates/control/src/node/construction.rs
@@ -1,4 +1,4 @@
-//! Construction of a node and its actors.
+//! Creates a node and its actors.
 
 use super::partition_view::new_partitions;
 use super::Node;
@@ -9,7 +9,7 @@
 use crate::gateway::Gateway;
 use crate::leadership_watch::{LeaderProbe, LeadershipWatch};
 use crate::machine_types::MachineTypesReader;
-use crate::peer_heartbeats::{process_base, PeerHeartbeats};
+use crate::peer_heartbeats::{process_number_base, PeerHeartbeats};
 use crate::peers::Peers;
 use crate::pending_heartbeats::{DeferredAnswers, PendingHeartbeats};
 use crate::rollout::Rollout;
@@ -18,7 +18,8 @@
 use std::collections::VecDeque;
 
 impl Node {
-    /// A node that has just started. `boot` is drawn at random for each start; `stopwatch` measures rounds.
+    /// Creates the node of a process that has just started. `boot` is drawn at random at each start
+    /// and identifies the process; `stopwatch` measures turns and scheduling rounds.
     pub fn new(
         settings: Settings,
         operator: Operator,
@@ -30,7 +31,7 @@
         let limits = &deployment.state;
         let controllers = settings.siblings.len() + 1;
         let peer_labels = settings.siblings.iter().map(|s| s.label.clone());
-        let number_base = process_base(boot);
+        let number_base = process_number_base(boot);
         let max_connections = deployment.quota.max_connections;
         Node {
             state: StateClient::new(limits.rps, limits.write_rps, controllers),
@@ -46,14 +47,14 @@
             leadership_watch: LeadershipWatch::default(),
             leader_probe: LeaderProbe::new(now.mono),
             peers: Peers::new(peer_labels, number_base),
-            heartbeat: PeerHeartbeats::new(boot, now.mono),
+            peer_heartbeats: PeerHeartbeats::new(boot, now.mono),
             last_call: 0,
-            out: VecDeque::new(),
+            outputs: VecDeque::new(),
             machine_types: MachineTypesReader::new(now.mono),
-            forwarded: ForwardedRequests::new(number_base),
-            is_crowded: false,
-            last_now: now,
-            last_tick: 0,
+            forwarded_requests: ForwardedRequests::new(number_base),
+            has_socket_shortage: false,
+            last_turn_at: now,
+            last_tick_at: 0,
             operator,
             stopwatch,
             settings,
--- a/crates/control/src/node/dispatch.rs
+++ b/crates/control/src/node/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch of inputs, ticks, and replies to calls to the actors that they concern.
+//! Dispatches inputs, ticks, and replies to calls to the actors that they concern.
 
 use super::Node;
 use crate::effects::{CallError, CallId, Effects, Input, Now};
@@ -27,14 +27,16 @@
             }
             Input::Reply { call, result } => self.on_reply(call, &result, &mut effects),
             Input::Peer { from, message } => self.on_peer(&from, message, &mut effects),
-            Input::PeerRefused { from } => self.election.on_peer_refused(&from, &mut effects),
-            Input::Stop => self.begin_stop(now),
+            Input::PeerRefused { from } => self
+                .election
+                .on_peer_connection_refused(&from, &mut effects),
+            Input::Stop => self.begin_planned_stop(now),
         }
         self.deliver(effects);
     }
 
     pub(super) fn on_tick(&mut self, now: Now) {
-        self.last_tick = now.mono;
+        self.last_tick_at = now.mono;
         let mut effects = Effects::new(now);
         self.check_for_stall(now, &mut effects);
         let leader_label = self.election.leader_label(now.mono).map(str::to_string);
@@ -42,12 +44,12 @@
         self.election.set_rules(self.election_rules(now.mono));
         self.election.tick(&mut effects);
         self.gateway.tick(&mut effects);
-        self.continue_stop(&mut effects);
+        self.continue_planned_stop(&mut effects);
         if !self.rollout.is_admitted() {
             let reason = "this build may not take part";
             self.election.resign(reason, &mut effects);
         }
-        let active = self.active(now.mono);
+        let active = self.is_active(now.mono);
         if let Some(leader) = &mut self.leader {
             leader.tick(active, &mut effects);
         }
@@ -55,7 +57,7 @@
         self.watch_leadership(&mut effects);
         let knows_types = self.gateway.knows_types();
         self.machine_types.tick(knows_types, &mut effects);
-        self.heartbeat.tick(
+        self.peer_heartbeats.tick(
             &self.election,
             &self.state,
             &self.peers,
@@ -63,11 +65,11 @@
             &mut self.gateway,
             &mut effects,
         );
-        self.forwarded.tick(&mut effects);
+        self.forwarded_requests.tick(&mut effects);
         self.deliver(effects);
     }
 
-    /// The rules of elections for this process at this moment.
+    /// Returns the election rules that apply to this process now.
     fn election_rules(&self, now: u64) -> ElectionRules {
         ElectionRules {
             may_stand: self.rollout.may_stand() && self.planned_stop.is_none(),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Passes a reply of the state service to the actor that asked.
+    /// Passes a reply of the state service to the actor that sent the request.
     pub(super) fn on_state_reply(
         &mut self,
         tag: StateTag,
--- a/crates/control/src/node/events.rs
+++ b/crates/control/src/node/events.rs
@@ -1,4 +1,4 @@
-//! Handling of events that concern the whole node.
+//! Handles events that concern the whole node.
 
 use super::Node;
 use crate::effects::{Effects, NodeEvent};
@@ -12,7 +12,7 @@
             NodeEvent::Elected { term, version } => self.on_elected(term, version, effects),
             NodeEvent::SteppedDown { reason } => self.on_stepped_down(reason, effects),
             NodeEvent::JobCancelled { job } => self.on_cancellation(job, effects),
-            NodeEvent::JobEnded { job, outcome } => self.heartbeat.on_job_ended(job, outcome),
+            NodeEvent::JobEnded { job, outcome } => self.peer_heartbeats.on_job_ended(job, outcome),
             NodeEvent::UpgradeEvidence { observation } => self.rollout.proven(observation, effects),
             NodeEvent::LevelChanged => self.rollout.reread(effects.now.mono),
             NodeEvent::Upgraded => self.on_upgraded(effects),
@@ -54,19 +54,23 @@
         self.election.on_fenced(effects);
     }
 
-    /// A user is about to receive the confirmation of a cancellation by this node.
+    /// Handles a cancellation that this node is about to confirm to a user.
     fn on_cancellation(&mut self, job: String, effects: &mut Effects) {
         if let Some(leader) = &mut self.leader {
             leader.on_cancellation_notice(&job, effects.now);
         }
-        // Ahead of all that is still to be sent, the user's answer included.
-        self.out.push_back(self.heartbeat.on_cancellation(job));
+        // Peers are notified before all other pending outputs are sent, including the answer to the
+        // user.
+        self.outputs
+            .push_back(self.peer_heartbeats.on_cancellation(job));
     }
 
-    /// From now on the future limits of the state service may hold at any time.
+    /// Handles the completion of the rollout. From now on the future limits of the state service
+    /// may apply at any time.
     fn on_upgraded(&mut self, effects: &mut Effects) {
-        let least = self.settings.deployment.state.least();
-        self.state.set_rates(least.rps, least.write_rps);
+        let strictest_limits = self.settings.deployment.state.least();
+        self.state
+            .set_rates(strictest_limits.rps, strictest_limits.write_rps);
         if let Some(leader) = self.leader.as_mut() {
             leader.upgraded(effects);
         }
--- a/crates/control/src/node/http_routing.rs
+++ b/crates/control/src/node/http_routing.rs
@@ -1,4 +1,4 @@
-//! Routing of HTTP requests by method and path: readiness checks, workers' heartbeats, and users' requests.
+//! Routes HTTP requests by method and path: readiness checks, worker heartbeats, and user requests.
 
 use super::Node;
 use crate::effects::{Effects, RequestId};
@@ -6,25 +6,25 @@
 
 /// Path of the load balancer's readiness check.
 const READY_PATH: &str = "/ready";
-/// Path of the users' jobs.
+/// Path of the collection of users' jobs.
 const SUBMISSIONS_PATH: &str = "/submissions";
-/// What the paths of single jobs begin with.
+/// Prefix of the paths of single jobs.
 const SUBMISSION_PREFIX: &str = "/submissions/";
 
-/// HTTP status: done.
+/// HTTP status of a successful request.
 const OK: u16 = 200;
-/// HTTP status: nothing is served under this path.
+/// HTTP status of a request for an unknown path.
 const NOT_FOUND: u16 = 404;
-/// HTTP status: the path does not take this method.
+/// HTTP status of a request whose path doesn't support its method.
 const METHOD_NOT_ALLOWED: u16 = 405;
-/// HTTP status: the request can't be served at the moment.
+/// HTTP status of a request that can't be served at the moment.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// Reason for a refusal by a node that serves no users.
+/// Reason sent with a refusal while this node doesn't serve users.
 const NOT_SERVING: &str = "this process stops, or may not take part";
 
 impl Node {
-    /// Handles a request from one of our sockets, or one that a peer has forwarded.
+    /// Handles a request that arrived on a socket of this node or was forwarded by a peer.
     pub(super) fn on_request(&mut self, request: HttpRequest, effects: &mut Effects) {
         let id = request.id;
         let path = request.target.split('?').next().unwrap_or_default();
@@ -34,43 +34,45 @@
             (_, READY_PATH | HEARTBEAT_PATH) => {
                 effects.refuse(id, METHOD_NOT_ALLOWED, "method not allowed");
             }
-            _ if !self.takes_requests() => effects.refuse(id, SERVICE_UNAVAILABLE, NOT_SERVING),
+            _ if !self.accepts_user_requests() => {
+                effects.refuse(id, SERVICE_UNAVAILABLE, NOT_SERVING)
+            }
             _ if is_user_path(path) => self.on_user_request(request, path, effects),
             _ => effects.refuse(id, NOT_FOUND, "no such path"),
         }
     }
 
     fn on_readiness_check(&self, id: RequestId, effects: &mut Effects) {
-        if self.is_cut_off(effects.now.mono) {
+        if self.is_isolated(effects.now.mono) {
             let reason = "neither the state service nor a peer is reached";
             return effects.refuse(id, SERVICE_UNAVAILABLE, reason);
         }
-        if !self.takes_requests() {
+        if !self.accepts_user_requests() {
             return effects.refuse(id, SERVICE_UNAVAILABLE, NOT_SERVING);
         }
         effects.respond(id, OK, Vec::new());
     }
 
-    /// A node without the state service forwards users' requests to a peer that reaches it, but none that a peer has
-    /// forwarded already.
+    /// Handles a user's request. If this node doesn't reach the state service, it forwards the
+    /// request to a peer that does, unless a peer forwarded the request to this node.
     fn on_user_request(&mut self, request: HttpRequest, path: &str, effects: &mut Effects) {
         let now = effects.now.mono;
         let HttpRequest {
             id, method, body, ..
         } = request;
-        let is_state_up = self.state.is_up(now);
-        if !is_state_up && !ForwardedRequests::is_from_peer(id) {
-            if let Some(peer) = self.peers.with_state(now) {
+        let is_state_available = self.state.is_available(now);
+        if !is_state_available && !ForwardedRequests::is_from_peer(id) {
+            if let Some(peer) = self.peers.peer_reaching_state(now) {
                 let peer = peer.to_string();
-                return self.forwarded.forward(request, peer, effects);
+                return self.forwarded_requests.forward(request, peer, effects);
             }
         }
         self.gateway
-            .on_request(id, method, path, body, is_state_up, effects);
+            .on_request(id, method, path, body, is_state_available, effects);
     }
 
-    /// Whether users are served here.
-    fn takes_requests(&self) -> bool {
+    /// Returns whether this node serves users.
+    fn accepts_user_requests(&self) -> bool {
         self.rollout.is_admitted() && self.planned_stop.is_none()
     }
 }
--- a/crates/control/src/node/peer_messages.rs
+++ b/crates/control/src/node/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Handling of messages from the other controllers.
+//! Handles messages from the other controllers.
 
 use super::Node;
 use crate::effects::Effects;
@@ -21,16 +21,16 @@
                 aborts,
                 ..
             } => {
-                let state = PeerHeartbeat {
-                    at: effects.now.mono,
+                let heartbeat = PeerHeartbeat {
+                    received_at: effects.now.mono,
                     state_ago_ms,
                     worker_ago_ms,
-                    sent,
-                    echo,
+                    sent_clock: sent,
+                    echoed_clock: echo,
                     boot,
-                    aborts,
+                    cancellation_count: aborts,
                 };
-                self.on_peer_heartbeat(from, term, state, effects);
+                self.on_peer_heartbeat(from, term, heartbeat, effects);
             }
             PeerMessage::Aborted { number, job } => {
                 self.on_peer_cancellation(from, number, &job, effects);
@@ -44,7 +44,7 @@
                 body,
             } => {
                 let request = HttpRequest {
-                    id: self.forwarded.accept(from, call),
+                    id: self.forwarded_requests.accept_from_peer(from, call),
                     method: &method,
                     target: &target,
                     body: &body,
@@ -52,7 +52,8 @@
                 self.on_request(request, effects);
             }
             PeerMessage::Forwarded { call, status, body } => {
-                self.forwarded.on_answer(from, call, status, body, effects);
+                self.forwarded_requests
+                    .on_answer(from, call, status, body, effects);
             }
             PeerMessage::Handover { term } => self.election.on_handover(from, term, effects),
             PeerMessage::Partitions(message) => self.on_partition_message(from, message, effects),
@@ -63,32 +64,35 @@
         &mut self,
         from: &str,
         term: u64,
-        state: PeerHeartbeat,
+        heartbeat: PeerHeartbeat,
         effects: &mut Effects,
     ) {
-        let boot = state.boot;
-        self.peers.on_heartbeat(from, state);
+        let boot = heartbeat.boot;
+        self.peers.on_heartbeat(from, heartbeat);
         self.rollout.on_heartbeat(from, boot, effects.now.mono);
         self.election.observe_term(term, effects);
     }
 
-    /// A peer is about to confirm a cancellation to a user. `number` counts those of the peer's process.
+    /// Handles the notice that a peer is about to confirm a cancellation to a user. `number` is the
+    /// sequence number of the cancellation within the peer's process.
     fn on_peer_cancellation(&mut self, from: &str, number: u64, job: &str, effects: &mut Effects) {
-        self.peers.on_abort(from, number);
+        self.peers.on_cancellation_notice(from, number);
         self.gateway.remember_cancelled(job);
         if let Some(leader) = &mut self.leader {
             leader.on_cancellation_notice(job, effects.now);
         }
     }
 
-    /// The leader of `term` tells of its open jobs. What a former leader tells is outdated.
+    /// Handles the open jobs that the leader of `term` announced. Announcements of former leaders
+    /// are outdated and ignored.
     fn on_open_jobs(&mut self, term: u64, jobs: &[JobUpdate]) {
         if term >= self.election.highest_term() && self.leader.is_none() {
             self.gateway.on_job_updates(jobs);
         }
     }
 
-    /// The leader has filed jobs as ended, each of them as done or as cancelled.
+    /// Handles the leader's notice of jobs that it archived. The flag of each job tells whether it
+    /// is done or was cancelled.
     fn on_ended_jobs(&mut self, jobs: Vec<(String, bool)>) {
         for (id, is_done) in jobs {
             let end = if is_done { Final::Done } else { Final::Aborted };
--- a/crates/control/src/node/planned_stop.rs
+++ b/crates/control/src/node/planned_stop.rs
@@ -1,4 +1,5 @@
-//! The planned stop of a process: it accepts no new requests, hands leadership over, and completes those under way.
+//! Planned stop of a process: it accepts no new requests, hands leadership over, and completes
+//! pending requests.
 
 use super::Node;
 use crate::effects::{Effects, Now, Output};
@@ -6,67 +7,76 @@
 use constants::{HANDOVER_DRAIN_MS, STOP_MS};
 use wire::peers::PeerMessage;
 
-/// Milliseconds between checks whether the leader's transactions have completed: a small part of the time they have.
-const STOP_CHECK_MS: u64 = HANDOVER_DRAIN_MS / 10;
+/// Milliseconds between checks whether the leader's transactions have completed: a small fraction
+/// of the time that they are given.
+const STOP_CHECK_INTERVAL_MS: u64 = HANDOVER_DRAIN_MS / 10;
 
-/// A planned stop under way.
+/// A planned stop in progress.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlannedStop {
     /// When the process was asked to stop.
-    since: u64,
+    requested_at: u64,
 }
 
 impl Node {
-    /// The process is asked to stop. A second request changes nothing.
-    pub(super) fn begin_stop(&mut self, now: Now) {
+    /// Begins a planned stop. Further calls have no effect.
+    pub(super) fn begin_planned_stop(&mut self, now: Now) {
         if self.planned_stop.is_none() {
-            log::info!("event=stopping leads={}", self.election.leads().is_some());
-            self.planned_stop = Some(PlannedStop { since: now.mono });
+            log::info!(
+                "event=stopping leads={}",
+                self.election.leading_term().is_some()
+            );
+            self.planned_stop = Some(PlannedStop {
+                requested_at: now.mono,
+            });
         }
     }
 
-    /// Whether the process has nothing left to do, or its time for stopping is over.
+    /// Returns whether the process has no work left, or its time to stop is up.
     pub fn is_stopped(&self, now: u64) -> bool {
         let Some(stop) = self.planned_stop else {
             return false;
         };
-        let is_idle = self.election.leads().is_none()
+        let is_idle = self.election.leading_term().is_none()
             && self.gateway.is_idle()
             && self.deferred_answers.is_empty()
             && self.pending_heartbeats.is_empty()
-            && now > stop.since;
-        is_idle || now >= stop.since + STOP_MS
+            && now > stop.requested_at;
+        is_idle || now >= stop.requested_at + STOP_MS
     }
 
-    /// Hands leadership over once no transaction of ours is under way, or has been for too long.
+    /// Hands leadership over once none of this leader's transactions is in flight, or after
+    /// `HANDOVER_DRAIN_MS` at the latest.
     ///
-    /// The lease is revoked, and whatever of ours is still under way fails with it. So the handover is a loss of the
-    /// lease like any other. Naming a successor only spares the others the search for one; a wrong name costs an
-    /// election.
-    pub(super) fn continue_stop(&mut self, effects: &mut Effects) {
-        let (Some(stop), Some(term)) = (self.planned_stop, self.election.leads()) else {
+    /// Leadership ends by revoking the lease, so transactions that are still in flight fail, as
+    /// with any other loss of the lease. Naming a successor only saves the other controllers the
+    /// search for one. If the named successor is a wrong choice, the cost is one election.
+    pub(super) fn continue_planned_stop(&mut self, effects: &mut Effects) {
+        let (Some(stop), Some(term)) = (self.planned_stop, self.election.leading_term()) else {
             return;
         };
         let now = effects.now.mono;
         let leader = self.leader.as_ref();
         let is_busy = leader.is_some_and(Leader::has_writes_in_flight);
-        if is_busy && now < stop.since + HANDOVER_DRAIN_MS {
+        if is_busy && now < stop.requested_at + HANDOVER_DRAIN_MS {
             return;
         }
         let successor = self.rollout.successor(&self.peers, now);
         log::info!("event=handing_over term={term} to={successor:?}");
         if let Some(successor) = successor {
-            // Ahead of the answers to workers, who look for the next leader at once.
-            self.out.push_back(Output::Peer {
+            // Must precede the answers to workers, which look for the next leader as soon as they
+            // receive them.
+            self.outputs.push_back(Output::Peer {
                 to: Some(successor),
                 message: PeerMessage::Handover { term },
             });
         }
-        self.election.resign("a planned stop", effects);
+        self.election.resign("planned stop", effects);
     }
 
-    /// When [`Node::continue_stop`] has something to do.
-    pub(super) fn stop_wake(&self) -> Option<u64> {
-        self.planned_stop.map(|_| self.last_tick + STOP_CHECK_MS)
+    /// Returns when [`Node::continue_planned_stop`] must be called next.
+    pub(super) fn next_stop_check(&self) -> Option<u64> {
+        self.planned_stop
+            .map(|_| self.last_tick_at + STOP_CHECK_INTERVAL_MS)
     }
 }
--- a/crates/control/src/node/stall.rs
+++ b/crates/control/src/node/stall.rs
@@ -1,24 +1,26 @@
-//! Detection of stalls. A process that did not run for a while (stopped, starved of processor time, or on a
-//! machine that was suspended) resumes with a backlog: the replies, heartbeats and requests that arrived
-//! meanwhile, in their order. None of it may be taken as current.
+//! Detects stalls. A process that did not run for a while (because it was stopped, lacked processor
+//! time, or its machine was suspended) resumes with a backlog of the replies, heartbeats and
+//! requests that arrived meanwhile, in order of arrival. None of them may be treated as current.
 
 use super::Node;
 use crate::effects::{Effects, Now};
 use constants::STALL_MS;
 
-/// Reason for refusing the requests that waited through a stall.
+/// Reason sent with the refusal of requests that waited during a stall.
 const STALLED: &str = "this node stood still";
 
 impl Node {
-    /// Checks the clock. If nothing happened here for longer than the node ever sleeps, the process was stalled.
+    /// Checks whether the process was stalled, that is whether it handled nothing for longer than a
+    /// node ever sleeps.
     ///
-    /// The first replies of a backlog may release the start of a task, or answer a user, before the notice
-    /// behind them tells that the job is cancelled. So the leader starts nothing until a renewal that is
-    /// sent from now on has been answered, which comes after the backlog. Users who have waited all the
-    /// time are asked to try again.
+    /// The first replies of a backlog may allow a task to start or a user to be answered, although
+    /// a later message in the backlog is the notice that the job was cancelled. Therefore the
+    /// leader starts no task until a lease renewal that is sent from now on is answered; that
+    /// answer comes after the backlog. Users whose requests waited during the stall are asked to
+    /// retry.
     pub(super) fn check_for_stall(&mut self, now: Now, effects: &mut Effects) {
-        let stalled_ms = now.mono.saturating_sub(self.last_now.mono);
-        self.last_now = now;
+        let stalled_ms = now.mono.saturating_sub(self.last_turn_at.mono);
+        self.last_turn_at = now;
         if stalled_ms <= STALL_MS {
             return;
         }
@@ -29,6 +31,6 @@
             leader.on_stall(now.mono);
         }
         self.gateway.refuse_all(STALLED, effects);
-        self.forwarded.refuse_all(STALLED, effects);
+        self.forwarded_requests.refuse_all(STALLED, effects);
     }
 }
--- a/crates/control/src/node/worker_heartbeats.rs
+++ b/crates/control/src/node/worker_heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of workers at a node: who answers them, and where a worker is redirected whose heartbeat another node
-//! is to answer.
+//! Handles worker heartbeats: decides which node answers a heartbeat, and where to redirect the
+//! worker if another node should.
 
 use super::Node;
 use crate::effects::{Effects, RequestId};
@@ -10,12 +10,12 @@
 use partitions::Decision;
 use wire::workers::{HeartbeatResponse, Redirect, WorkerHeartbeat};
 
-/// Milliseconds per second between heartbeats after which a worker's next heartbeat should have reached the leader:
-/// one and a half times as long.
-const UNREACHED_MS_PER_S: f64 = 1500.0;
+/// Milliseconds per second of the heartbeat interval after which a worker's next heartbeat should
+/// have reached the leader: 1.5 times the interval.
+const UNREACHED_MS_PER_REPORT_S: f64 = 1500.0;
 
 impl Node {
-    /// Handles the heartbeat of a worker, which came directly or was passed on by a peer.
+    /// Handles a worker's heartbeat, which arrived directly or was forwarded by a peer.
     pub(super) fn on_worker_heartbeat(
         &mut self,
         id: RequestId,
@@ -35,7 +35,8 @@
         if !is_leading && self.handle_as_follower(id, &heartbeat, body, effects) {
             return;
         }
-        // While the leader is loading, an answer would renew the leases of tasks that may have been cancelled.
+        // While the leader is loading its records, an answer would renew the leases of tasks that
+        // may have been cancelled.
         let must_wait = matches!(status, LeaderStatus::Unknown | LeaderStatus::Loading);
         if must_wait && self.pending_heartbeats.has_room() {
             return self.pending_heartbeats.push(id, body, now);
@@ -48,9 +49,9 @@
     }
 
     fn count_direct_heartbeat(&mut self, now: u64) {
-        self.heartbeat.note_worker_heartbeat(now);
+        self.peer_heartbeats.note_worker_heartbeat(now);
         if let Some(partitions) = &mut self.partitions {
-            partitions.load().add_report();
+            partitions.load_meter().add_worker_heartbeat();
         }
     }
 
@@ -63,21 +64,21 @@
         }
     }
 
-    /// Handles a heartbeat at a node that leads.
+    /// Handles a heartbeat if this node is the leader.
     fn handle_as_leader(
         &mut self,
         id: RequestId,
         heartbeat: WorkerHeartbeat,
         effects: &mut Effects,
     ) {
-        match self.owner_to_redirect_to(id, &heartbeat, effects.now.mono) {
+        match self.redirect_target(id, &heartbeat, effects.now.mono) {
             Some(owner) => redirect(Some(owner), id, effects),
             None => self.answer_as_leader(id, heartbeat, effects),
         }
     }
 
-    /// The owner that a worker which reports to this leader should report to instead, if there is one.
-    fn owner_to_redirect_to(
+    /// Returns the owner to which a worker that reports to this leader is redirected, if any.
+    fn redirect_target(
         &mut self,
         id: RequestId,
         heartbeat: &WorkerHeartbeat,
@@ -87,11 +88,13 @@
             return None;
         }
         let leader = self.leader.as_ref()?;
-        self.partitions.as_mut()?.redirect(heartbeat, leader, now)
+        self.partitions
+            .as_mut()?
+            .redirect_target(heartbeat, leader, now)
     }
 
-    /// Handles a heartbeat at a node that does not lead. Returns whether it is handled, because this node owns its
-    /// machine's partition or knows who does.
+    /// Handles a heartbeat if this node is not the leader. Returns true if it was handled, which is
+    /// the case if this node owns the partition of the machine or knows its owner.
     fn handle_as_follower(
         &mut self,
         id: RequestId,
@@ -111,7 +114,7 @@
                 let orders = Vec::new();
                 effects.respond(id, 200, wire::encode(&HeartbeatResponse { term, orders }));
             }
-            Decision::Forward => return self.pass_to_granting_leader(id, body, effects),
+            Decision::Forward => return self.forward_to_granting_leader(id, body, effects),
             Decision::Redirect(Some(owner)) => redirect(Some(owner), id, effects),
             Decision::Redirect(None) => return false,
             Decision::Outdated => effects.refuse(id, 503, "a late copy of a report"),
@@ -119,8 +122,9 @@
         true
     }
 
-    /// Passes a heartbeat on to the leader, as an owner does. Returns false if no leader is alive as far as is known.
-    fn pass_to_granting_leader(
+    /// Forwards a heartbeat to the leader, on behalf of the owner of its partition. Returns false
+    /// if no live leader is known.
+    fn forward_to_granting_leader(
         &mut self,
         id: RequestId,
         body: &[u8],
@@ -131,16 +135,17 @@
         let term = self.election.highest_term();
         let partitions = self.partitions.as_ref();
         let leader = known.or(partitions.and_then(|p| p.granting_leader(term)));
-        let alive = leader.filter(|leader| self.peers.process_of(leader, now).is_some());
+        let alive = leader.filter(|leader| self.peers.live_process(leader, now).is_some());
         let Some(leader) = alive.map(str::to_string) else {
             return false;
         };
         let request = heartbeat_request(id, body);
-        self.forwarded.forward_report(request, leader, effects);
+        self.forwarded_requests
+            .forward_worker_heartbeat(request, leader, effects);
         true
     }
 
-    /// Has the leader of this node answer a heartbeat.
+    /// Lets this node's leader answer a heartbeat.
     fn answer_as_leader(
         &mut self,
         id: RequestId,
@@ -148,10 +153,10 @@
         effects: &mut Effects,
     ) {
         let now = effects.now;
-        if !self.may_answer(now.mono) {
+        if !self.may_answer_workers(now.mono) {
             return effects.refuse(id, 503, "not entitled to answer workers");
         }
-        let active = self.active(now.mono);
+        let active = self.is_active(now.mono);
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -164,7 +169,7 @@
                 effects.respond(id, 200, wire::encode(&response));
             }
             HeartbeatOutcome::Defer(mut deferred) => {
-                if self.is_crowded {
+                if self.has_socket_shortage {
                     deferred.stop_waiting_for_work();
                 }
                 self.deferred_answers.push(id, deferred);
@@ -176,38 +181,42 @@
         }
     }
 
-    /// Lets the owner that passed on a heartbeat answer further ones of the machine, if the machine is steady.
+    /// If the machine is steady, lets the owner that forwarded the heartbeat answer further
+    /// heartbeats of this machine.
     fn delegate_machine(&mut self, id: RequestId, answered: &AnsweredHeartbeat, now: u64) {
         let (Some(partitions), Some(leader)) = (&mut self.partitions, &mut self.leader) else {
             return;
         };
-        if let Some(owner) = self.forwarded.peer_of(id) {
-            partitions.on_answered(owner, answered, leader, now);
+        if let Some(owner) = self.forwarded_requests.forwarding_peer(id) {
+            partitions.on_heartbeat_answered(owner, answered, leader, now);
         }
     }
 
-    /// Redirects a worker to the leader, or passes its heartbeat on to a leader that is alive but that no worker
-    /// reaches. A worker redirected to such a leader would lose another 4 s, and its lease before long.
+    /// Redirects a worker to the leader, or forwards its heartbeat if the leader is alive but not
+    /// reached by any worker. A worker that is redirected to such a leader loses another 4 s, and
+    /// soon its lease.
     fn redirect_to_leader(&mut self, id: RequestId, body: &[u8], effects: &mut Effects) {
         let now = effects.now.mono;
         let unreached = self.leader_unreached_by_workers(now);
-        // Now and then a worker is redirected all the same, to find out whether the leader is reached again.
+        // A worker is occasionally redirected anyway, to find out whether workers reach the leader
+        // again.
         let is_probe = unreached.is_some() && self.leader_probe.take_due(now);
         let forward_to = unreached.filter(|_| !is_probe && !ForwardedRequests::is_from_peer(id));
         match forward_to {
             Some(leader) => {
                 let request = heartbeat_request(id, body);
-                self.forwarded.forward(request, leader, effects);
+                self.forwarded_requests.forward(request, leader, effects);
             }
             None => self.redirect_to_known_leader(id, effects),
         }
     }
 
-    /// The leader, if it has led for long enough to be reached by workers, and is alive, but no worker reaches it.
+    /// Returns the leader if it is alive and has led for long enough to be reached by workers, but
+    /// no worker reaches it.
     fn leader_unreached_by_workers(&self, now: u64) -> Option<String> {
         let report_s = self.settings.deployment.workers.report_s;
-        let unreached_ms = (report_s * UNREACHED_MS_PER_S) as u64 + PEER_HEARTBEAT_MS;
-        if now <= self.election.known_since() + 2 * REPORT_DROP_MS {
+        let unreached_ms = (report_s * UNREACHED_MS_PER_REPORT_S) as u64 + PEER_HEARTBEAT_MS;
+        if now <= self.election.leader_known_since() + 2 * REPORT_DROP_MS {
             return None;
         }
         let leader = self.election.leader_label(now)?;
@@ -216,7 +225,8 @@
             .then(|| leader.to_string())
     }
 
-    /// Redirects a worker to the leader, or to the next controller it knows if this node knows of no other leader.
+    /// Redirects a worker to the leader. If this node knows of no other leader, the worker is
+    /// redirected to the next controller that it knows.
     fn redirect_to_known_leader(&self, id: RequestId, effects: &mut Effects) {
         let leader = self
             .election
@@ -226,16 +236,17 @@
         redirect(leader, id, effects);
     }
 
-    /// Handles heartbeats that were received while no leader was known, or before this one had read its records.
+    /// Handles heartbeats that were received while no leader was known, or before this leader had
+    /// read its records.
     pub(super) fn handle_pending_heartbeats(&mut self, effects: &mut Effects) {
         if self.pending_heartbeats.is_empty() {
             return;
         }
         let now = effects.now.mono;
         let status = self.leader_status(now);
-        // An owner passes on the heartbeats of its partitions.
-        let passes_on = status == LeaderStatus::Elsewhere && self.partitions.is_some();
-        if status == LeaderStatus::Ready || passes_on {
+        // Owners forward the heartbeats of their partitions to the leader.
+        let is_forwarded = status == LeaderStatus::Elsewhere && self.partitions.is_some();
+        if status == LeaderStatus::Ready || is_forwarded {
             for heartbeat in self.pending_heartbeats.take_batch() {
                 self.on_worker_heartbeat(heartbeat.id, &heartbeat.body, effects);
             }
@@ -247,7 +258,7 @@
     }
 }
 
-/// The request by which a worker sent a heartbeat.
+/// Builds the HTTP request with which a worker sent a heartbeat.
 fn heartbeat_request(id: RequestId, body: &[u8]) -> HttpRequest<'_> {
     HttpRequest {
         id,
@@ -257,7 +268,7 @@
     }
 }
 
-/// Redirects a worker to a controller, or to the next one it knows.
+/// Redirects a worker to a controller, or without one to the next controller that the worker knows.
 fn redirect(controller: Option<String>, id: RequestId, effects: &mut Effects) {
     let leader = controller;
     effects.respond(id, 421, wire::encode(&Redirect { leader }));
--- a/crates/control/src/partitions/leading.rs
+++ b/crates/control/src/partitions/leading.rs
@@ -1,5 +1,5 @@
-//! The leader's side of partitions: the ownership table and its moves, answers to owners' requests, permits and
-//! recalls.
+//! The leader's side of partitions: the ownership table and moves, answers to owners' grant
+//! requests, permits and recalls.
 
 mod grants;
 mod moves;
@@ -7,7 +7,7 @@
 mod table;
 
 use super::redirects::Redirects;
-use super::{PartitionsStatus, View};
+use super::{NodeView, PartitionsStatus};
 use crate::effects::Effects;
 use crate::leader::Leader;
 use ::partitions::rebalance::{Pins, Rebalancer};
@@ -16,99 +16,100 @@
 use std::collections::BTreeMap;
 use wire::partitions::{ControllerLoad, Permit};
 
-/// The last request of an owner in this term.
+/// The last grant request of an owner in this term.
 #[derive(Debug, Clone, Copy)]
-struct ReportingOwner {
-    at: u64,
+struct OwnerRequest {
+    received_at: u64,
     load: ControllerLoad,
 }
 
-/// The kind of the request to the state service whose reply is awaited.
+/// Kind of the pending request to the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Pending {
+enum RequestKind {
     Read,
     Write,
 }
 
-/// The leader's side of partitions, for one term.
-pub(super) struct Leading {
+/// The leader's side of partitions in one term.
+pub(super) struct PartitionLeader {
     label: String,
-    /// Term that this controller leads.
+    /// Term in which this controller is the leader.
     term: u64,
-    /// Version of the leader key, by which writes are fenced.
+    /// Version of the leader key, which fences writes.
     leader_version: u64,
-    /// When the term began.
-    since: u64,
-    handover: Handover,
+    /// When this controller was elected.
+    elected_at: u64,
+    mover: Handover,
     rebalancer: Rebalancer,
     redirects: Redirects,
-    owners: BTreeMap<String, ReportingOwner>,
-    /// Permits that wait to be sent, by owner and process.
+    owner_requests: BTreeMap<String, OwnerRequest>,
+    /// Permits to send, by owner and the owner's process.
     permits: BTreeMap<(String, u64), Vec<Permit>>,
-    /// When the permits are sent.
-    next_permits: u64,
+    /// When the permits are due to be sent.
+    permits_due_at: u64,
     /// Number of the last request to the state service.
-    request: u64,
-    pending: Option<Pending>,
-    /// When the next request to the state service may be made.
-    next_request: u64,
-    next_check: u64,
-    next_review: u64,
-    /// A record of the table can't be used. Nothing is granted then.
-    is_unusable: bool,
+    last_request: u64,
+    pending_request: Option<RequestKind>,
+    /// When the next request to the state service may be sent.
+    next_request_at: u64,
+    next_check_at: u64,
+    next_permit_review_at: u64,
+    /// Whether a record of the table is unusable. Nothing is granted in this case.
+    is_table_unusable: bool,
     own_load: ControllerLoad,
 }
 
-impl Leading {
-    /// A controller that has just been elected, with the version of its leader key.
+impl PartitionLeader {
+    /// Creates the state of a controller that was just elected. `leader_version` is the version of
+    /// its leader key.
     pub fn new(label: String, pins: Pins, term: u64, leader_version: u64, now: u64) -> Self {
-        Leading {
-            handover: Handover::new(&label),
+        PartitionLeader {
+            mover: Handover::new(&label),
             rebalancer: Rebalancer::new(pins),
             redirects: Redirects::new(),
             label,
             term,
             leader_version,
-            since: now,
-            owners: BTreeMap::new(),
+            elected_at: now,
+            owner_requests: BTreeMap::new(),
             permits: BTreeMap::new(),
-            next_permits: now,
-            request: 0,
-            pending: None,
-            next_request: now,
-            next_check: now,
-            next_review: now,
-            is_unusable: false,
+            permits_due_at: now,
+            last_request: 0,
+            pending_request: None,
+            next_request_at: now,
+            next_check_at: now,
+            next_permit_review_at: now,
+            is_table_unusable: false,
             own_load: ControllerLoad::default(),
         }
     }
 
-    /// The term that this controller leads.
+    /// Returns the term in which this controller is the leader.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// When [`Leading::tick`] is to be called next.
+    /// Returns when [`PartitionLeader::tick`] must be called next.
     pub fn next_wake(&self) -> u64 {
         match self.permits.is_empty() {
-            true => self.next_check,
-            false => self.next_check.min(self.next_permits),
+            true => self.next_check_at,
+            false => self.next_check_at.min(self.permits_due_at),
         }
     }
 
-    /// Fills in what only the leader knows.
-    pub fn describe(&self, status: &mut PartitionsStatus) {
-        let rows = self.handover.table().rows();
-        status.table = rows
+    /// Sets the fields of `status` that only the leader knows.
+    pub fn fill_status(&self, status: &mut PartitionsStatus) {
+        let rows = self.mover.table().rows();
+        status.ownership = rows
             .map(|(_, row)| (row.owner.clone(), row.epoch))
             .collect();
-        status.moving = self.handover.moves();
+        status.moves_in_progress = self.mover.moves();
     }
 
-    /// The number of partitions of each controller, for the log.
-    pub fn summary(&self) -> String {
+    /// Returns the number of partitions of each controller and of moves in progress, for the log.
+    pub fn ownership_summary(&self) -> String {
         let mut owners: BTreeMap<&str, usize> = BTreeMap::new();
-        for (_, row) in self.handover.table().rows() {
+        for (_, row) in self.mover.table().rows() {
             *owners.entry(&row.owner).or_default() += 1;
         }
         let owners = owners
@@ -117,14 +118,14 @@
         format!(
             "owners={} moving={}",
             owners.collect::<Vec<String>>().join(","),
-            self.handover.moves()
+            self.mover.moves()
         )
     }
 
-    /// Time passed: sends recalls and permits, and moves partitions.
+    /// Performs the work that is due: sends recalls and permits, and moves partitions.
     pub fn tick(
         &mut self,
-        view: &View,
+        view: &NodeView,
         own_load: ControllerLoad,
         leader: &mut Leader,
         effects: &mut Effects,
@@ -136,15 +137,15 @@
         }
         self.send_recalls(leader, effects);
         self.send_permits(effects);
-        if now < self.next_check {
+        if now < self.next_check_at {
             return;
         }
-        self.next_check = now + HOUSEKEEPING_MS;
-        if now >= self.next_review {
-            self.next_review = now + PERMITS_REVIEW_MS;
+        self.next_check_at = now + HOUSEKEEPING_MS;
+        if now >= self.next_permit_review_at {
+            self.next_permit_review_at = now + PERMITS_REVIEW_MS;
             leader.review_delegation(now);
         }
-        if !view.rollout.has_partitions() || self.is_unusable {
+        if !view.rollout.has_partitions() || self.is_table_unusable {
             return;
         }
         self.read_table(effects);
--- a/crates/control/src/partitions/leading/grants.rs
+++ b/crates/control/src/partitions/leading/grants.rs
@@ -1,23 +1,23 @@
-//! Owners' requests for grants, and redirects of workers to owners.
+//! Handles owners' requests for grants and redirects workers to owners.
 
-use super::{Leading, ReportingOwner};
+use super::{OwnerRequest, PartitionLeader};
 use crate::effects::Effects;
 use crate::leader::Leader;
-use crate::partitions::{send, View};
+use crate::partitions::{send, NodeView};
 use crate::peers::Peers;
 use ::partitions::partition_of;
 use constants::{PEER_FRESH_MS, REDIRECT_GRANT_MS};
 use wire::partitions::{GrantRequest, PartitionBody};
 use wire::workers::WorkerHeartbeat;
 
-impl Leading {
-    /// An owner requests a grant for its partitions.
+impl PartitionLeader {
+    /// Handles an owner's request for a grant of its partitions.
     pub fn on_request(
         &mut self,
         from: &str,
         term: u64,
         request: &GrantRequest,
-        view: &View,
+        view: &NodeView,
         leader: &mut Leader,
         effects: &mut Effects,
     ) {
@@ -27,10 +27,10 @@
             return;
         }
         self.note_owner(from, request, now);
-        if !view.rollout.has_partitions() || self.is_unusable || view.grant_ms == 0 {
+        if !view.rollout.has_partitions() || self.is_table_unusable || view.grant_ms == 0 {
             return;
         }
-        let entitled = self.handover.entitled(from);
+        let entitled = self.mover.entitled(from);
         let grant = leader.on_grant_request(from, request, &entitled, view.grant_ms, now);
         match grant {
             Ok(Some(grant)) => send(from, self.term, PartitionBody::Grant(grant), effects),
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Why a request is refused, if it is: it must be of this term and of the process that sends heartbeats.
+    /// Returns why a request is refused, if it is. It must be from this term and from the process
+    /// that sends heartbeats.
     fn reason_to_refuse(
         &self,
         from: &str,
@@ -49,39 +50,46 @@
         now: u64,
     ) -> Option<&'static str> {
         if term != self.term {
-            return Some("of another term");
+            return Some("the request is from another term");
         }
-        let process = peers.process_of(from, now);
-        (process != Some(request.boot)).then_some("not of the process that is heard")
+        let process = peers.live_process(from, now);
+        (process != Some(request.boot))
+            .then_some("the request is not from the process that sends heartbeats")
     }
 
-    /// Notes the request, and whether the owner receives workers' reports.
+    /// Records the request, and whether the owner receives worker heartbeats.
     fn note_owner(&mut self, from: &str, request: &GrantRequest, now: u64) {
         let load = request.load;
-        let before = self
-            .owners
-            .insert(from.to_string(), ReportingOwner { at: now, load });
+        let before = self.owner_requests.insert(
+            from.to_string(),
+            OwnerRequest {
+                received_at: now,
+                load,
+            },
+        );
         if before.is_none_or(|before| load.reports > before.load.reports) {
-            self.redirects.owner_received_reports(from);
+            self.redirects.on_owner_received_heartbeats(from);
         }
     }
 
-    /// The owner to which a worker that reported here is redirected, if it is.
-    pub fn redirect(
+    /// Returns the owner to which a worker that sent a heartbeat to this leader is redirected, if
+    /// any.
+    pub fn redirect_target(
         &mut self,
-        report: &WorkerHeartbeat,
+        heartbeat: &WorkerHeartbeat,
         leader: &Leader,
         now: u64,
     ) -> Option<String> {
-        let partition = partition_of(&report.machine);
+        let partition = partition_of(&heartbeat.machine);
         let owner = leader
             .grant_holder_at(partition, now + REDIRECT_GRANT_MS)?
             .to_string();
-        let heard = self.owners.get(&owner)?;
-        let is_fresh = now < heard.at + PEER_FRESH_MS;
-        let is_current = is_fresh && report.term == self.term;
-        let may_redirect = is_current && leader.may_be_redirected(&report.machine, now);
-        let redirected = may_redirect && self.redirects.try_redirect(&report.machine, &owner, now);
+        let heard = self.owner_requests.get(&owner)?;
+        let is_fresh = now < heard.received_at + PEER_FRESH_MS;
+        let is_current = is_fresh && heartbeat.term == self.term;
+        let may_redirect = is_current && leader.may_be_redirected(&heartbeat.machine, now);
+        let redirected =
+            may_redirect && self.redirects.try_redirect(&heartbeat.machine, &owner, now);
         redirected.then_some(owner)
     }
 }
--- a/crates/control/src/partitions/leading/permits.rs
+++ b/crates/control/src/partitions/leading/permits.rs
@@ -1,35 +1,36 @@
-//! Permits for steady machines, and their recalls.
+//! Issues permits for steady machines, and recalls them.
 
-use super::Leading;
+use super::PartitionLeader;
 use crate::effects::Effects;
 use crate::leader::{AnsweredHeartbeat, Leader};
 use crate::partitions::send;
 use constants::{PERMITS_A_FRAME, PERMITS_WAIT_MS};
 use wire::partitions::PartitionBody;
 
-impl Leading {
-    /// The leader answered a report that a peer forwarded, without orders: the machine may get a permit.
-    pub fn on_answered(
+impl PartitionLeader {
+    /// Handles the leader's answer to a heartbeat that a peer forwarded. The answer contained no
+    /// orders, so the machine may get a permit.
+    pub fn on_heartbeat_answered(
         &mut self,
         peer: &str,
-        report: &AnsweredHeartbeat,
+        heartbeat: &AnsweredHeartbeat,
         leader: &mut Leader,
         now: u64,
     ) {
-        self.redirects.reached(report.machine(), peer);
-        let Some((boot, permit)) = leader.permit_after_heartbeat(peer, report, now) else {
+        self.redirects.on_owner_reached(heartbeat.machine(), peer);
+        let Some((boot, permit)) = leader.permit_after_heartbeat(peer, heartbeat, now) else {
             return;
         };
         if self.permits.is_empty() {
-            self.next_permits = now + PERMITS_WAIT_MS;
+            self.permits_due_at = now + PERMITS_WAIT_MS;
         }
         let key = (peer.to_string(), boot);
         self.permits.entry(key).or_default().push(permit);
     }
 
-    /// Sends the permits that have been collected.
+    /// Sends the collected permits once they are due.
     pub(super) fn send_permits(&mut self, effects: &mut Effects) {
-        if effects.now.mono < self.next_permits {
+        if effects.now.mono < self.permits_due_at {
             return;
         }
         for ((owner, boot), permits) in std::mem::take(&mut self.permits) {
@@ -41,11 +42,11 @@
         }
     }
 
-    /// Sends the recalls of permits that were just withdrawn.
+    /// Sends recalls of the permits that were just withdrawn.
     pub(super) fn send_recalls(&mut self, leader: &mut Leader, effects: &mut Effects) {
         for ((owner, boot), recalled) in leader.urgent_recalls() {
-            // Permits that have not been sent yet must not arrive after their recall.
-            self.next_permits = 0;
+            // Unsent permits must not arrive after their recall.
+            self.permits_due_at = 0;
             self.send_permits(effects);
             for permits in recalled.chunks(PERMITS_A_FRAME) {
                 let permits = permits.to_vec();
--- a/crates/control/src/partitions/load.rs
+++ b/crates/control/src/partitions/load.rs
@@ -1,61 +1,65 @@
-//! The load of this process, for the rebalancing of partitions.
+//! Measures the load of this process, which is an input for rebalancing partitions.
 
 use constants::GRANT_RENEW_MS;
 use wire::partitions::ControllerLoad;
 
-/// Share of the last measurement that the next one replaces.
-const NEW_SHARE: f64 = 0.3;
-/// Load in thousandths of a process that is short of sockets.
-const CROWDED_PERMILLE: u16 = 950;
+/// Weight of a new measurement in the exponential moving average.
+const SMOOTHING_FACTOR: f64 = 0.3;
+/// Socket load, in thousandths, that is reported by a process that is short of sockets.
+const SOCKET_SHORTAGE_PERMILLE: u16 = 950;
 
-/// Measures the time that turns take.
+/// Measures the time that turns take and counts worker heartbeats.
 pub(crate) struct LoadMeter {
-    since: u64,
-    turns_us: u64,
-    processor: f64,
-    is_crowded: bool,
-    reports: u64,
+    measured_since: u64,
+    turn_time_us: u64,
+    processor_share: f64,
+    has_socket_shortage: bool,
+    worker_heartbeats: u64,
 }
 
 impl LoadMeter {
-    /// Begins to measure.
+    /// Starts to measure.
     pub fn new(now: u64) -> Self {
         LoadMeter {
-            since: now,
-            turns_us: 0,
-            processor: 0.0,
-            is_crowded: false,
-            reports: 0,
+            measured_since: now,
+            turn_time_us: 0,
+            processor_share: 0.0,
+            has_socket_shortage: false,
+            worker_heartbeats: 0,
         }
     }
 
-    /// A turn took so many microseconds.
+    /// Adds a turn that took `us` microseconds.
     pub fn add_turn(&mut self, us: u64) {
-        self.turns_us += us;
+        self.turn_time_us += us;
     }
 
-    /// A worker reported here.
-    pub fn add_report(&mut self) {
-        self.reports += 1;
+    /// Counts a worker heartbeat.
+    pub fn add_worker_heartbeat(&mut self) {
+        self.worker_heartbeats += 1;
     }
 
-    /// Notes whether sockets are short.
-    pub fn set_crowded(&mut self, is_crowded: bool) {
-        self.is_crowded = is_crowded;
+    /// Sets whether the process is short of sockets.
+    pub fn set_socket_shortage(&mut self, has_socket_shortage: bool) {
+        self.has_socket_shortage = has_socket_shortage;
     }
 
-    /// The load, smoothed over some seconds.
+    /// Returns the load. The processor load is smoothed over several seconds.
     pub fn measure(&mut self, now: u64) -> ControllerLoad {
-        let passed_ms = now.saturating_sub(self.since);
+        let passed_ms = now.saturating_sub(self.measured_since);
         if passed_ms >= GRANT_RENEW_MS {
-            let share = self.turns_us as f64 / (passed_ms as f64 * 1000.0);
-            self.processor += NEW_SHARE * (share.min(1.0) - self.processor);
-            (self.since, self.turns_us) = (now, 0);
+            let share = self.turn_time_us as f64 / (passed_ms as f64 * 1000.0);
+            self.processor_share += SMOOTHING_FACTOR * (share.min(1.0) - self.processor_share);
+            (self.measured_since, self.turn_time_us) = (now, 0);
         }
         ControllerLoad {
-            processor_permille: (self.processor * 1000.0) as u16,
-            sockets_permille: if self.is_crowded { CROWDED_PERMILLE } else { 0 },
-            reports: self.reports,
+            processor_permille: (self.processor_share * 1000.0) as u16,
+            sockets_permille: if self.has_socket_shortage {
+                SOCKET_SHORTAGE_PERMILLE
+            } else {
+                0
+            },
+            reports: self.worker_heartbeats,
         }
     }
 }
--- a/crates/control/src/partitions/mod.rs
+++ b/crates/control/src/partitions/mod.rs
@@ -1,8 +1,8 @@
-//! Partitions of the fleet in one controller. As an owner it answers workers under the leader's grants. As the leader
-//! it issues grants and moves partitions between controllers.
+//! Partitions of the fleet in one controller. An owner answers workers under grants of the leader.
+//! The leader issues grants and moves partitions between controllers.
 //!
-//! The state machines are in the `partitions` crate. This module connects them to the state service, the peers and the
-//! leader's state.
+//! The state machines are in the `partitions` crate. This module connects them to the state
+//! service, the peers and the leader's state.
 
 mod leading;
 mod load;
@@ -18,7 +18,7 @@
 use ::partitions::rebalance::Pins;
 use ::partitions::{Decision, Owner};
 use constants::PARTITIONS_LOG_MS;
-use leading::Leading;
+use leading::PartitionLeader;
 use load::LoadMeter;
 use wire::partitions::{PartitionBody, PartitionId, PartitionMessage};
 use wire::peers::PeerMessage;
@@ -27,32 +27,34 @@
 /// What a controller knows of partitions, for tests and measurements.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PartitionsStatus {
-    /// Partitions that it may answer for under a grant.
-    pub granted: usize,
-    /// Machines that it answers by itself.
-    pub steady: usize,
-    /// Owner and epoch of each partition, as it has recorded them if it leads.
-    pub table: Vec<(String, u64)>,
-    /// Moves under way, if it leads.
-    pub moving: usize,
+    /// Number of partitions for which the controller may answer under a grant.
+    pub granted_partitions: usize,
+    /// Number of machines that the controller answers by itself.
+    pub steady_machines: usize,
+    /// Owner and epoch of each partition, as recorded by the leader. Empty if the controller is not
+    /// the leader.
+    pub ownership: Vec<(String, u64)>,
+    /// Number of moves in progress, if the controller is the leader.
+    pub moves_in_progress: usize,
 }
 
-/// The state of the rest of the node at this moment.
-pub(crate) struct View<'a> {
-    /// Which features may be used.
+/// The current state of the rest of the node.
+pub(crate) struct NodeView<'a> {
+    /// Tells which features may be used.
     pub rollout: &'a Rollout,
-    /// Which processes of the other controllers are heard.
+    /// Tells which processes of the other controllers send heartbeats.
     pub peers: &'a Peers,
     /// Label of the leader, if one is known.
     pub leader: Option<&'a str>,
-    /// Highest term known.
+    /// The highest term known.
     pub term: u64,
-    /// Milliseconds for which owners may be granted partitions: no longer than this node may answer itself.
+    /// Milliseconds for which owners may be granted partitions: no longer than this node itself may
+    /// answer workers.
     pub grant_ms: u64,
 }
 
-impl<'a> View<'a> {
-    /// The view at the time `now`.
+impl<'a> NodeView<'a> {
+    /// Creates the view at the time `now`.
     pub fn new(
         rollout: &'a Rollout,
         peers: &'a Peers,
@@ -60,7 +62,7 @@
         grant_ms: u64,
         now: u64,
     ) -> Self {
-        View {
+        NodeView {
             rollout,
             peers,
             leader: election.leader_label(now),
@@ -70,7 +72,7 @@
     }
 }
 
-/// A leader that has granted partitions.
+/// A leader that has granted partitions to this controller.
 struct GrantingLeader {
     label: String,
     term: u64,
@@ -81,132 +83,143 @@
     label: String,
     pins: Pins,
     owner: Owner,
-    load: LoadMeter,
-    leading: Option<Leading>,
-    /// The leader that granted us partitions last.
+    load_meter: LoadMeter,
+    partition_leader: Option<PartitionLeader>,
+    /// The last leader that granted partitions to this controller.
     granted_by: Option<GrantingLeader>,
-    next_status_log: u64,
+    next_status_log_at: u64,
 }
 
 impl Partitions {
-    /// A process that has just started.
+    /// Creates the actor of a process that has just started.
     pub fn new(settings: &Settings, pins: Pins, boot: u64, now: u64) -> Self {
         let report_ms = (settings.deployment.workers.report_s * 1000.0) as u64;
         Partitions {
             label: settings.label.clone(),
             pins,
             owner: Owner::new(boot, report_ms),
-            load: LoadMeter::new(now),
-            leading: None,
+            load_meter: LoadMeter::new(now),
+            partition_leader: None,
             granted_by: None,
-            next_status_log: now + PARTITIONS_LOG_MS,
+            next_status_log_at: now + PARTITIONS_LOG_MS,
         }
     }
 
-    /// The meter of this process's load.
-    pub fn load(&mut self) -> &mut LoadMeter {
-        &mut self.load
+    /// Returns the meter of this process's load.
+    pub fn load_meter(&mut self) -> &mut LoadMeter {
+        &mut self.load_meter
     }
 
-    /// What this controller knows of partitions.
+    /// Returns what this controller knows of partitions.
     pub fn status(&self, now: u64) -> PartitionsStatus {
         let mut status = PartitionsStatus {
-            granted: self.owner.partitions_held(now),
-            steady: self.owner.steady_machines(),
+            granted_partitions: self.owner.partitions_held(now),
+            steady_machines: self.owner.steady_machines(),
             ..PartitionsStatus::default()
         };
-        if let Some(leading) = &self.leading {
-            leading.describe(&mut status);
+        if let Some(partition_leader) = &self.partition_leader {
+            partition_leader.fill_status(&mut status);
         }
         status
     }
 
-    /// When [`Partitions::tick`] is to be called next.
+    /// Returns when [`Partitions::tick`] must be called next.
     pub fn next_wake(&self) -> u64 {
-        let leading = self.leading.as_ref().map(Leading::next_wake);
-        let wake = leading.unwrap_or(self.owner.next_wake());
-        wake.min(self.next_status_log)
+        let leader_wake = self
+            .partition_leader
+            .as_ref()
+            .map(PartitionLeader::next_wake);
+        let wake = leader_wake.unwrap_or(self.owner.next_wake());
+        wake.min(self.next_status_log_at)
     }
 
-    /// This node leads now.
+    /// Handles the election of this node.
     pub fn on_elected(&mut self, term: u64, version: u64, now: Now) {
         self.owner.on_term(term, now.mono);
         let (label, pins) = (self.label.clone(), self.pins.clone());
-        self.leading = Some(Leading::new(label, pins, term, version, now.mono));
+        self.partition_leader = Some(PartitionLeader::new(label, pins, term, version, now.mono));
     }
 
-    /// This node leads no longer.
+    /// Handles the loss of leadership of this node.
     pub fn on_stepped_down(&mut self) {
-        self.leading = None;
+        self.partition_leader = None;
     }
 
-    /// Begins to move a partition, if this node leads.
+    /// Starts to move a partition, if this node is the leader.
     pub fn begin_move(&mut self, partition: PartitionId, to: &str, now: u64) -> bool {
-        let leading = self.leading.as_mut();
-        leading.is_some_and(|leading| leading.begin_move(partition, to, now))
+        let partition_leader = self.partition_leader.as_mut();
+        partition_leader
+            .is_some_and(|partition_leader| partition_leader.begin_move(partition, to, now))
     }
 
-    /// The leader of a term, if it has granted us partitions. Known also while the state service is not.
+    /// Returns the leader of a term if it granted partitions to this controller. It is known even
+    /// while the state service is unreachable.
     pub fn granting_leader(&self, term: u64) -> Option<&str> {
         let granted_by = self.granted_by.as_ref();
         let current = granted_by.filter(|leader| leader.term == term);
         current.map(|leader| leader.label.as_str())
     }
 
-    /// What to do with a worker's report at a node that does not lead.
-    pub fn decide(&mut self, report: &WorkerHeartbeat, term: u64, now: u64) -> Decision {
+    /// Decides how to handle a worker heartbeat if this node is not the leader.
+    pub fn decide(&mut self, heartbeat: &WorkerHeartbeat, term: u64, now: u64) -> Decision {
         self.owner.on_term(term, now);
-        self.owner.decide(report, now)
+        self.owner.decide(heartbeat, now)
     }
 
-    /// The owner to which a worker that reported to this leader is redirected, if it is.
-    pub fn redirect(
+    /// Returns the owner to which a worker that sent a heartbeat to this leader is redirected, if
+    /// any.
+    pub fn redirect_target(
         &mut self,
-        report: &WorkerHeartbeat,
+        heartbeat: &WorkerHeartbeat,
         leader: &Leader,
         now: u64,
     ) -> Option<String> {
-        self.leading.as_mut()?.redirect(report, leader, now)
+        self.partition_leader
+            .as_mut()?
+            .redirect_target(heartbeat, leader, now)
     }
 
-    /// The leader answered a report that a peer forwarded, without orders: the machine may be steady.
-    pub fn on_answered(
+    /// Handles the leader's answer to a heartbeat that a peer forwarded. The answer contained no
+    /// orders, so the machine may be steady.
+    pub fn on_heartbeat_answered(
         &mut self,
         peer: &str,
-        report: &AnsweredHeartbeat,
+        heartbeat: &AnsweredHeartbeat,
         leader: &mut Leader,
         now: u64,
     ) {
-        if let Some(leading) = &mut self.leading {
-            leading.on_answered(peer, report, leader, now);
+        if let Some(partition_leader) = &mut self.partition_leader {
+            partition_leader.on_heartbeat_answered(peer, heartbeat, leader, now);
         }
     }
 
-    /// The state service replied to a request of this term and number.
+    /// Handles the state service's reply to the request of this term and number.
     pub fn on_state_reply(&mut self, term: u64, number: u64, reply: StateReply, now: u64) {
-        let leading = self.leading.as_mut();
-        if let Some(leading) = leading.filter(|leading| leading.term() == term) {
-            leading.on_state_reply(number, reply, now);
+        let partition_leader = self.partition_leader.as_mut();
+        if let Some(partition_leader) =
+            partition_leader.filter(|partition_leader| partition_leader.term() == term)
+        {
+            partition_leader.on_state_reply(number, reply, now);
         }
     }
 
-    /// Time passed.
-    pub fn tick(&mut self, view: &View, leader: Option<&mut Leader>, effects: &mut Effects) {
+    /// Performs the work that is due by the clock.
+    pub fn tick(&mut self, view: &NodeView, leader: Option<&mut Leader>, effects: &mut Effects) {
         let now = effects.now.mono;
         self.owner.on_term(view.term, now);
-        match (&mut self.leading, leader) {
-            (Some(leading), Some(leader)) => {
-                leading.tick(view, self.load.measure(now), leader, effects);
+        match (&mut self.partition_leader, leader) {
+            (Some(partition_leader), Some(leader)) => {
+                partition_leader.tick(view, self.load_meter.measure(now), leader, effects);
             }
             _ => self.request_grant(view, effects),
         }
         self.log_status(now);
     }
 
-    /// Requests a grant from the leader, if that is due and the leader has partitions.
-    fn request_grant(&mut self, view: &View, effects: &mut Effects) {
+    /// Requests a grant from the leader, if that is due and the leader supports partitions.
+    fn request_grant(&mut self, view: &NodeView, effects: &mut Effects) {
         let now = effects.now.mono;
-        let load = self.load.measure(now);
+        let load = self.load_meter.measure(now);
         let Some(request) = self.owner.request(load, now) else {
             return;
         };
@@ -223,12 +236,12 @@
         send(leader, view.term, body, effects);
     }
 
-    /// A message of a peer about partitions arrived.
+    /// Handles a peer's message about partitions.
     pub fn on_message(
         &mut self,
         from: &str,
         message: PartitionMessage,
-        view: &View,
+        view: &NodeView,
         leader: Option<&mut Leader>,
         effects: &mut Effects,
     ) {
@@ -236,11 +249,12 @@
         let PartitionMessage { term, body } = message;
         match body {
             PartitionBody::Request(request) => {
-                let (Some(leading), Some(leader)) = (&mut self.leading, leader) else {
-                    log::debug!("event=grant_request_refused from={from} why=\"does not lead\"");
+                let (Some(partition_leader), Some(leader)) = (&mut self.partition_leader, leader)
+                else {
+                    log::debug!("event=grant_request_refused from={from} why=\"this node is not the leader\"");
                     return;
                 };
-                leading.on_request(from, term, &request, view, leader, effects);
+                partition_leader.on_request(from, term, &request, view, leader, effects);
             }
             PartitionBody::Grant(grant) => {
                 let number = grant.number;
@@ -250,7 +264,7 @@
                 } else {
                     log::info!(
                         "event=grant_refused from={from} term={term} number={number} \
-                         why=\"of another term or process, or not the newest\""
+                         why=\"the grant is from another term or process, or is not the newest\""
                     );
                 }
             }
@@ -264,17 +278,17 @@
     }
 
     fn log_status(&mut self, now: u64) {
-        if now < self.next_status_log {
+        if now < self.next_status_log_at {
             return;
         }
-        self.next_status_log = now + PARTITIONS_LOG_MS;
+        self.next_status_log_at = now + PARTITIONS_LOG_MS;
         log::info!(
             "event=partitions_status granted={} steady={} {}",
             self.owner.partitions_held(now),
             self.owner.steady_machines(),
-            self.leading
+            self.partition_leader
                 .as_ref()
-                .map_or_else(String::new, Leading::summary)
+                .map_or_else(String::new, PartitionLeader::ownership_summary)
         );
     }
 }
--- a/crates/control/src/partitions/redirects.rs
+++ b/crates/control/src/partitions/redirects.rs
@@ -1,5 +1,5 @@
-//! Redirects of workers from the leader to the owners of their partitions: rate-limited, and with a growing pause for
-//! workers that come back.
+//! Redirects workers from the leader to the owners of their partitions, at a limited rate and with
+//! increasing pauses for workers that return.
 
 use crate::token_bucket::TokenBucket;
 use constants::{
@@ -9,89 +9,89 @@
 
 /// The last redirect of a worker.
 #[derive(Debug)]
-struct Redirected {
+struct LastRedirect {
     owner: String,
-    at: u64,
-    /// How often it has come back.
-    returns: u32,
-    /// Whether it has come back after this redirect.
+    redirected_at: u64,
+    /// Number of times that the worker has returned.
+    return_count: u32,
+    /// Whether the worker has returned after this redirect.
     has_returned: bool,
 }
 
-/// Workers in a row that came back from an owner.
+/// Consecutive workers that returned from an owner.
 #[derive(Debug, Default)]
-struct Failures {
+struct FailedRedirects {
     count: u32,
-    last_at: u64,
+    last_failure_at: u64,
 }
 
-/// Redirects of one term.
+/// The redirects of one term.
 pub(super) struct Redirects {
     rate: TokenBucket,
-    workers: HashMap<String, Redirected>,
-    /// Failed redirects in a row, by owner.
-    failures: HashMap<String, Failures>,
+    last_redirects: HashMap<String, LastRedirect>,
+    /// Consecutive failed redirects, by owner.
+    failed_redirects: HashMap<String, FailedRedirects>,
 }
 
 impl Redirects {
-    /// Nothing has been redirected in this term.
+    /// Creates the state for a term in which nothing has been redirected yet.
     pub fn new() -> Self {
         Redirects {
             rate: TokenBucket::new(REDIRECTS_A_SECOND, REDIRECTS_A_SECOND),
-            workers: HashMap::new(),
-            failures: HashMap::new(),
+            last_redirects: HashMap::new(),
+            failed_redirects: HashMap::new(),
         }
     }
 
-    /// Notes a redirect of a worker that reports to the leader, if it may be redirected to its owner now. Returns
-    /// whether it may.
+    /// Decides whether a worker that reports to the leader may be redirected to its owner now. If
+    /// so, records the redirect and returns true.
     pub fn try_redirect(&mut self, machine: &str, owner: &str, now: u64) -> bool {
-        let mut returns = 0;
-        if let Some(last) = self.workers.get_mut(machine) {
+        let mut return_count = 0;
+        if let Some(last) = self.last_redirects.get_mut(machine) {
             if !last.has_returned {
                 last.has_returned = true;
-                last.returns += 1;
-                let failures = self.failures.entry(last.owner.clone()).or_default();
+                last.return_count += 1;
+                let failures = self.failed_redirects.entry(last.owner.clone()).or_default();
                 failures.count += 1;
-                failures.last_at = now;
+                failures.last_failure_at = now;
             }
-            let pause_ms = REDIRECT_PAUSE_MS << (last.returns - 1).min(REDIRECT_DOUBLINGS);
-            if now < last.at + pause_ms {
+            let pause_ms = REDIRECT_PAUSE_MS << (last.return_count - 1).min(REDIRECT_DOUBLINGS);
+            if now < last.redirected_at + pause_ms {
                 return false;
             }
-            returns = last.returns;
+            return_count = last.return_count;
         }
         if !self.rate.take(now, 1.0) {
             return false;
         }
-        if self.workers.len() >= REDIRECTED_MAX {
-            self.workers.clear();
+        if self.last_redirects.len() >= REDIRECTED_MAX {
+            self.last_redirects.clear();
         }
-        let redirected = Redirected {
+        let redirected = LastRedirect {
             owner: owner.to_string(),
-            at: now,
-            returns,
+            redirected_at: now,
+            return_count,
             has_returned: false,
         };
-        self.workers.insert(machine.to_string(), redirected);
+        self.last_redirects.insert(machine.to_string(), redirected);
         true
     }
 
-    /// An owner forwarded a worker's report: the worker reached it.
-    pub fn reached(&mut self, machine: &str, owner: &str) {
-        self.workers.remove(machine);
-        self.failures.remove(owner);
+    /// Handles a worker's heartbeat that an owner forwarded: the worker has reached the owner.
+    pub fn on_owner_reached(&mut self, machine: &str, owner: &str) {
+        self.last_redirects.remove(machine);
+        self.failed_redirects.remove(owner);
     }
 
-    /// An owner has received workers' reports.
-    pub fn owner_received_reports(&mut self, owner: &str) {
-        self.failures.remove(owner);
+    /// Records that an owner has received worker heartbeats, so it is reachable.
+    pub fn on_owner_received_heartbeats(&mut self, owner: &str) {
+        self.failed_redirects.remove(owner);
     }
 
-    /// Whether workers that were recently redirected to an owner came back.
+    /// Returns whether workers that were recently redirected to an owner returned.
     pub fn is_unreachable(&self, owner: &str, now: u64) -> bool {
-        self.failures.get(owner).is_some_and(|failures| {
-            failures.count >= REDIRECTS_FAILED && now < failures.last_at + REDIRECT_PAUSE_MS
+        self.failed_redirects.get(owner).is_some_and(|failures| {
+            failures.count >= REDIRECTS_FAILED && now < failures.last_failure_at + REDIRECT_PAUSE_MS
         })
     }
 }
--- a/crates/control/src/peer_heartbeats/tests.rs
+++ b/crates/control/src/peer_heartbeats/tests.rs
@@ -1,12 +1,13 @@
-//! Notices of jobs that have ended.
+//! Tests of the notices of jobs that have ended.
 
 use super::*;
 use crate::effects::Now;
 use wire::peers::encode_frame;
 
-/// A message beyond the size of a frame is not sent at all.
+/// A message that exceeds the size of a frame is not sent at all, so many ended jobs must be split
+/// over several messages.
 #[test]
-fn any_number_of_ended_jobs_goes_in_messages_that_fit_a_frame() {
+fn ended_jobs_are_split_into_messages_that_fit_a_frame() {
     let mut heartbeats = PeerHeartbeats::new(1, 0);
     let ids: Vec<String> = (0..12_000).map(|n| format!("run-{n:06}")).collect();
     for id in &ids {
@@ -21,7 +22,7 @@
         };
         let mut frame = Vec::new();
         encode_frame(&mut frame, &message);
-        assert!(!frame.is_empty(), "it fits");
+        assert!(!frame.is_empty(), "the message must fit a frame");
         if let PeerMessage::Over { jobs } = message {
             notified.extend(jobs.into_iter().map(|(id, _)| id));
         }
--- a/crates/control/src/peers/cancellations.rs
+++ b/crates/control/src/peers/cancellations.rs
@@ -1,27 +1,29 @@
-//! Notices of cancellations that a peer has confirmed to users, and whether any of them was missed.
+//! Tracks notices of cancellations that a peer confirmed to users, and whether any notice was
+//! missed.
 
 use super::PeerHeartbeat;
 
-/// The cancellations confirmed by one process of a peer that are known here.
+/// Known cancellations that were confirmed by one process of a peer.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ConfirmedCancellations {
-    /// Number of the process.
+    /// Random number that identifies the process.
     boot: u64,
-    /// How many there are.
+    /// Number of these cancellations.
     count: u64,
-    /// When the count was last taken from a heartbeat, 0 if never: no notice has been missed from then on.
-    since: u64,
+    /// When the count was last taken from a heartbeat, or 0 if never. No notice has been missed
+    /// since then.
+    complete_since: u64,
 }
 
 impl ConfirmedCancellations {
-    /// Handles a heartbeat. If it is of another process, or a notice was lost with a broken connection, counting
-    /// begins anew.
+    /// Handles a heartbeat. If it comes from another process, or a notice was lost with a broken
+    /// connection, counting starts again.
     pub fn on_heartbeat(&mut self, heartbeat: &PeerHeartbeat) {
-        if self.boot != heartbeat.boot || self.count != heartbeat.aborts {
+        if self.boot != heartbeat.boot || self.count != heartbeat.cancellation_count {
             *self = ConfirmedCancellations {
                 boot: heartbeat.boot,
-                count: heartbeat.aborts,
-                since: heartbeat.at,
+                count: heartbeat.cancellation_count,
+                complete_since: heartbeat.received_at,
             };
         }
     }
@@ -33,8 +35,8 @@
         }
     }
 
-    /// Whether no notice has been missed since a moment.
+    /// Returns whether no notice has been missed since `moment`.
     pub fn are_complete_since(&self, moment: u64) -> bool {
-        self.since > 0 && self.since <= moment
+        self.complete_since > 0 && self.complete_since <= moment
     }
 }
--- a/crates/control/src/peers/tests.rs
+++ b/crates/control/src/peers/tests.rs
@@ -1,4 +1,4 @@
-//! Up to when heartbeats prove that all cancellations of a peer are known.
+//! Tests up to when heartbeats prove that all cancellations of a peer are known.
 
 use super::*;
 
@@ -6,10 +6,10 @@
 
 fn heartbeat(at: u64, boot: u64, aborts: u64) -> PeerHeartbeat {
     PeerHeartbeat {
-        at,
-        echo: BASE + at - 10,
+        received_at: at,
+        echoed_clock: BASE + at - 10,
         boot,
-        aborts,
+        cancellation_count: aborts,
         ..PeerHeartbeat::default()
     }
 }
@@ -23,25 +23,26 @@
         "no heartbeat yet"
     );
     peers.on_heartbeat("a", heartbeat(100, 7, 0));
-    peers.on_abort("a", 1);
+    peers.on_cancellation_notice("a", 1);
     peers.on_heartbeat("a", heartbeat(900, 7, 1));
     assert_eq!(peers.cancellations_known_until(500), 890);
-    // A notice that never came.
+    // A notice was lost.
     peers.on_heartbeat("a", heartbeat(1_000, 7, 2));
     assert_eq!(peers.cancellations_known_until(500), 500);
     assert_eq!(
         peers.cancellations_known_until(1_000),
         1_000,
-        "known from the records since"
+        "known from a later read of the records"
     );
     peers.on_heartbeat("a", heartbeat(1_200, 7, 2));
     assert_eq!(peers.cancellations_known_until(1_000), 1_190);
-    // Another process.
+    // The peer runs another process.
     peers.on_heartbeat("a", heartbeat(1_400, 8, 0));
     assert_eq!(peers.cancellations_known_until(1_000), 1_000);
 }
 
-/// The peer has not heard this process yet and echoes the clock of the one before, which ran for longer.
+/// The peer has received nothing from this process yet and echoes the clock of the previous
+/// process, which ran for longer.
 #[test]
 fn an_echo_of_an_earlier_process_proves_nothing() {
     let mut peers = Peers::new(["a".to_string()].into_iter(), BASE);
@@ -49,7 +50,7 @@
         peers.on_heartbeat(
             "a",
             PeerHeartbeat {
-                echo,
+                echoed_clock: echo,
                 ..heartbeat(1_000, 7, 0)
             },
         );
--- a/crates/control/src/pending_heartbeats.rs
+++ b/crates/control/src/pending_heartbeats.rs
@@ -1,7 +1,8 @@
-//! Heartbeats of workers whose answers wait.
+//! Worker heartbeats whose answers wait.
 //!
-//! [`PendingHeartbeats`] have not been handled yet: no leader is known, or this node leads and is still reading its
-//! records. [`DeferredAnswers`] belong to heartbeats that the leader has handled.
+//! [`PendingHeartbeats`] have not been handled yet, because no leader is known or because this node
+//! is the leader and is still reading its records. [`DeferredAnswers`] belong to heartbeats that
+//! the leader has already handled.
 
 mod deferred_answers;
 
@@ -18,16 +19,16 @@
 pub(crate) enum LeaderStatus {
     /// No leader is known.
     Unknown,
-    /// Another node leads.
+    /// Another node is the leader.
     Elsewhere,
-    /// This node leads and is reading its records.
+    /// This node is the leader and is still reading its records.
     Loading,
-    /// This node leads and answers workers.
+    /// This node is the leader and answers workers.
     Ready,
 }
 
 impl LeaderStatus {
-    /// Milliseconds for which a heartbeat may be pending.
+    /// Returns the milliseconds for which a heartbeat may stay pending.
     fn heartbeat_timeout_ms(self) -> u64 {
         match self {
             LeaderStatus::Loading => PENDING_HEARTBEAT_LOADING_MS,
@@ -45,29 +46,30 @@
     received_at: u64,
 }
 
-/// Heartbeats received while no leader was known, or before this one had read its records.
+/// Heartbeats received while no leader was known, or before this leader had read its records.
 pub(crate) struct PendingHeartbeats {
     heartbeats: Vec<PendingHeartbeat>,
     capacity: usize,
-    next_check: u64,
+    next_check_at: u64,
 }
 
 impl PendingHeartbeats {
-    /// Room for `capacity` heartbeats: as many as workers may be connected.
+    /// Creates an empty list with room for `capacity` heartbeats, which is the number of workers
+    /// that may be connected.
     pub fn new(capacity: usize) -> Self {
         PendingHeartbeats {
             heartbeats: Vec::new(),
             capacity,
-            next_check: 0,
+            next_check_at: 0,
         }
     }
 
-    /// Whether none is pending.
+    /// Returns whether no heartbeat is pending.
     pub fn is_empty(&self) -> bool {
         self.heartbeats.is_empty()
     }
 
-    /// Whether another one may be added.
+    /// Returns whether another heartbeat may be added.
     pub fn has_room(&self) -> bool {
         self.heartbeats.len() < self.capacity
     }
@@ -81,7 +83,7 @@
         });
     }
 
-    /// When the heartbeats are to be checked again; at once if the leader can answer them.
+    /// Returns when the heartbeats must be checked again: at once if the leader can answer them.
     pub fn next_wake(&self, leader_is_ready: bool, now: u64) -> Option<u64> {
         match (self.is_empty(), leader_is_ready) {
             (true, _) => None,
@@ -90,28 +92,29 @@
         }
     }
 
-    /// Removes the next heartbeats for a leader that is ready: a few at a time, the oldest first.
+    /// Removes and returns the next heartbeats for a leader that is ready: a limited number, oldest
+    /// first.
     pub fn take_batch(&mut self) -> Vec<PendingHeartbeat> {
         let count = PENDING_HEARTBEATS_PER_TURN.min(self.heartbeats.len());
         self.heartbeats.drain(..count).collect()
     }
 
-    /// Removes the heartbeats whose workers should try another node: all of them if another node leads, else those
-    /// that have waited as long as they may.
+    /// Removes the heartbeats whose workers should try another node: all of them if another node is
+    /// the leader, otherwise those that have waited for the maximum time.
     pub fn take_redirected(&mut self, leader: LeaderStatus, now: u64) -> Vec<RequestId> {
         let is_elsewhere = leader == LeaderStatus::Elsewhere;
-        if !is_elsewhere && now < self.next_check {
+        if !is_elsewhere && now < self.next_check_at {
             return Vec::new();
         }
-        self.next_check = now + PENDING_HEARTBEATS_CHECK_MS;
+        self.next_check_at = now + PENDING_HEARTBEATS_CHECK_MS;
         let timeout_ms = leader.heartbeat_timeout_ms();
         let mut redirected = Vec::new();
         self.heartbeats.retain(|heartbeat| {
-            let is_pending = !is_elsewhere && now <= heartbeat.received_at + timeout_ms;
-            if !is_pending {
+            let stays_pending = !is_elsewhere && now <= heartbeat.received_at + timeout_ms;
+            if !stays_pending {
                 redirected.push(heartbeat.id);
             }
-            is_pending
+            stays_pending
         });
         redirected
     }
--- a/crates/control/src/rollout/features.rs
+++ b/crates/control/src/rollout/features.rs
@@ -64,7 +64,7 @@
             return None;
         }
         let candidates = peers
-            .all_with_state(now)
+            .peers_reaching_state(now)
             .filter(|label| machine.peer_has(label, Feature::PlannedHandover, now));
         candidates
             .max_by_key(|label| machine.peer_newest(label))
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,4 +1,5 @@
-//! Client of the state service: sends requests by priority within a budget, and interprets replies.
+//! Client of the state service. Sends requests by priority within a budget and interprets the
+//! replies.
 
 mod budget;
 mod calls;
@@ -14,23 +15,23 @@
 use replies::decode_reply;
 use std::collections::{HashMap, VecDeque};
 
-/// HTTP status of a request beyond the rate limit.
+/// HTTP status of a request that exceeds the rate limit.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// What a call came to: status and body, or why there is no reply.
+/// Result of a call: status and body, or the reason why there is no reply.
 type CallResult = Result<(u16, Vec<u8>), CallError>;
 
-/// A request, with who sent it.
+/// A request and its sender.
 struct Request {
     op: StateOp,
     tag: StateTag,
 }
 
-/// A request that waits for the budget.
+/// A request that waits until the budget allows it.
 struct QueuedRequest {
     request: Request,
     /// When it was queued.
-    since: u64,
+    queued_at: u64,
 }
 
 /// Sends the requests of a node's actors to the state service.
@@ -39,74 +40,77 @@
     /// One queue for each priority.
     queues: [VecDeque<QueuedRequest>; Priority::ALL.len()],
     in_flight: HashMap<CallId, Request>,
-    /// Until when nothing but elections and renewals is sent, after a request that failed.
+    /// Until when only requests of [`Priority::Leadership`] are sent, after a failed request.
     paused_until: u64,
-    /// Whether a single read goes ahead of proofs, with which it shares a rate: the last request sent was a proof.
-    question_is_next: bool,
-    wake: Option<u64>,
+    /// Whether status queries go ahead of read validations, with which they share a rate. True if
+    /// the last request of either kind was a read validation.
+    status_query_is_next: bool,
+    next_send_at: Option<u64>,
     last_success_at: u64,
     last_failure_at: u64,
 }
 
 impl StateClient {
-    /// A client of one of `nodes` controllers that share these rates of requests and writes a second.
-    pub fn new(rps: f64, write_rps: f64, nodes: usize) -> Self {
+    /// Creates the client of one of `controller_count` controllers that share these rates of
+    /// requests and writes per second.
+    pub fn new(rps: f64, write_rps: f64, controller_count: usize) -> Self {
         StateClient {
-            budget: RequestBudget::new(rps, write_rps, nodes),
+            budget: RequestBudget::new(rps, write_rps, controller_count),
             queues: Default::default(),
             in_flight: HashMap::new(),
             paused_until: 0,
-            question_is_next: false,
-            wake: None,
+            status_query_is_next: false,
+            next_send_at: None,
             last_success_at: 0,
             last_failure_at: 0,
         }
     }
 
-    /// Divides these rates from now on.
+    /// Sets the rates that the controllers share from now on.
     pub fn set_rates(&mut self, rps: f64, write_rps: f64) {
         self.budget.set_rates(rps, write_rps);
     }
 
-    /// Whether requests have lately been answered well.
-    pub fn is_up(&self, now: u64) -> bool {
+    /// Returns whether the state service has recently answered requests successfully.
+    pub fn is_available(&self, now: u64) -> bool {
         let last_succeeded = self.last_success_at >= self.last_failure_at;
         self.last_success_at > 0 && (last_succeeded || now < self.last_success_at + STATE_DOWN_MS)
     }
 
-    /// Moment of the last good answer, 0 if there was none.
-    pub fn last_good(&self) -> u64 {
+    /// Returns the time of the last successful reply, or 0 if there has been none.
+    pub fn last_success_at(&self) -> u64 {
         self.last_success_at
     }
 
-    /// Queues a request. It is sent by [`StateClient::pump`].
-    pub fn push(&mut self, now: Now, priority: Priority, op: StateOp, tag: StateTag) {
+    /// Queues a request. It is sent by [`StateClient::send_due`].
+    pub fn enqueue(&mut self, now: Now, priority: Priority, op: StateOp, tag: StateTag) {
         let request = Request { op, tag };
-        let since = now.mono;
-        self.queues[priority as usize].push_back(QueuedRequest { request, since });
+        let queued_at = now.mono;
+        self.queues[priority as usize].push_back(QueuedRequest { request, queued_at });
     }
 
-    /// Drops what a former leader still wanted to write.
+    /// Drops the queued writes of a former leader.
     pub fn drop_leader_requests(&mut self) {
         self.queues[Priority::LeaderRecords as usize].clear();
     }
 
-    /// Sends what the budget allows. Requests that have waited too long are returned as refused.
-    pub fn pump(
+    /// Sends the queued requests that the budget allows. Requests that have waited too long are
+    /// added to `expired` as refused.
+    pub fn send_due(
         &mut self,
         next_call: &mut CallId,
         effects: &mut Effects,
         expired: &mut Vec<(StateTag, StateReply)>,
     ) {
         let now = effects.now.mono;
-        self.wake = None;
+        self.next_send_at = None;
         self.budget.recover_leader_writes(now);
         for priority in self.send_order() {
-            self.send_queued(priority, next_call, effects, expired);
+            self.send_from_queue(priority, next_call, effects, expired);
         }
     }
 
-    fn send_queued(
+    fn send_from_queue(
         &mut self,
         priority: Priority,
         next_call: &mut CallId,
@@ -116,7 +120,7 @@
         let now = effects.now.mono;
         let queue = priority as usize;
         while let Some(first) = self.queues[queue].front() {
-            if priority.is_for_user() && now > first.since + USER_DEADLINE_MS {
+            if priority.is_for_user() && now > first.queued_at + USER_DEADLINE_MS {
                 if let Some(queued) = self.queues[queue].pop_front() {
                     expired.push((queued.request.tag, StateReply::Refused));
                 }
@@ -124,7 +128,7 @@
             }
             let writes = write_count(&first.request.op);
             if let Some(at) = self.blocked_until(priority, writes, now) {
-                self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
+                self.next_send_at = Some(self.next_send_at.map_or(at, |next| next.min(at)));
                 return;
             }
             self.budget.spend(priority, writes);
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Until when a request has to wait; nothing if it may be sent now.
+    /// Returns until when a request must wait, or `None` if it may be sent now.
     fn blocked_until(&mut self, priority: Priority, writes: f64, now: u64) -> Option<u64> {
         if priority != Priority::Leadership && now < self.paused_until {
             return Some(self.paused_until);
@@ -148,11 +152,13 @@
         (wait_ms > 0).then_some(now + wait_ms)
     }
 
-    /// Proofs and single reads share a rate and take turns at it. With 4,000 machines there was always a proof to
-    /// send, and a question that needs reads first, about a job that waits for others, was never answered.
+    /// Returns the order in which the queues are served. Read validations and status queries share
+    /// a rate and take turns. Otherwise, with 4,000 machines, there was always a read validation to
+    /// send, and a status query that needs reads of its own, for a job that depends on other jobs,
+    /// was never answered.
     fn send_order(&self) -> [Priority; Priority::ALL.len()] {
         let mut order = Priority::ALL;
-        if self.question_is_next {
+        if self.status_query_is_next {
             let last = order.len() - 1;
             order.swap(last - 1, last);
         }
@@ -161,18 +167,18 @@
 
     fn note_sent(&mut self, priority: Priority) {
         match priority {
-            Priority::ReadValidation => self.question_is_next = true,
-            Priority::Question => self.question_is_next = false,
+            Priority::ReadValidation => self.status_query_is_next = true,
+            Priority::Question => self.status_query_is_next = false,
             _ => {}
         }
     }
 
-    /// When [`StateClient::pump`] has to be called again for requests that wait.
+    /// Returns when [`StateClient::send_due`] must be called again for queued requests.
     pub fn next_wake(&self) -> Option<u64> {
-        self.wake
+        self.next_send_at
     }
 
-    /// Takes a reply if the call was one of this client's.
+    /// Interprets a reply if the call is one of this client's.
     pub fn on_reply(
         &mut self,
         now: Now,
@@ -190,14 +196,16 @@
 
     fn on_failure(&mut self, now: u64, op: &StateOp, result: &CallResult) {
         if matches!(result, Ok((TOO_MANY_REQUESTS, _))) {
-            // A rate limit that was hit is no outage: users need not be turned away for it.
+            // Hitting the rate limit is not an outage, so users' requests must not be refused
+            // because of it.
             if write_count(op) > 0.0 {
                 self.budget.throttle_leader_writes(now);
             }
             self.paused_until = now + RATE_RETRY_MS;
             return;
         }
-        // A watch that breaks says little: it may just have been open when the connection was lost.
+        // A failed watch is a weak sign of an outage: it may just have been open when the
+        // connection was lost.
         if !matches!(op, StateOp::Watch { .. }) {
             self.last_failure_at = now;
         }
@@ -205,7 +213,7 @@
     }
 }
 
-/// Writes that a request takes of the budget.
+/// Returns the number of writes that a request takes from the budget.
 fn write_count(op: &StateOp) -> f64 {
     match op {
         StateOp::Txn(txn) => txn.writes.len() as f64,
--- a/crates/control/src/state/budget.rs
+++ b/crates/control/src/state/budget.rs
@@ -1,4 +1,5 @@
-//! How many requests and writes a node may send to the state service, whose rate limits all nodes share.
+//! Limits the requests and writes that a node sends to the state service, whose rate limits all
+//! nodes share.
 
 use crate::requests::Priority;
 use crate::token_bucket::TokenBucket;
@@ -8,12 +9,12 @@
     STATE_RPS_SHARE, STATE_WRITE_SHARE, USER_WRITE_BURST, USER_WRITE_SHARE,
 };
 
-/// Seconds' worth of their rate that all requests, and the leader's writes, may take at once.
+/// Burst, in seconds at the full rate, of all requests together and of the leader's writes.
 const DEFAULT_BURST_S: f64 = 0.5;
-/// Tokens that a request takes of a bucket that counts requests.
+/// Tokens that a request takes from a bucket that counts requests.
 const ONE_REQUEST: f64 = 1.0;
 
-/// A rate a second and a burst.
+/// A rate per second and a burst.
 #[derive(Clone, Copy)]
 struct RateLimit {
     rate: f64,
@@ -26,21 +27,22 @@
     }
 }
 
-/// What one node may send.
+/// The limits of one node.
 struct NodeLimits {
     requests: RateLimit,
     change_reads: RateLimit,
-    questions: RateLimit,
+    status_queries: RateLimit,
     user_writes: RateLimit,
     leader_writes: RateLimit,
 }
 
 impl NodeLimits {
-    /// The limits of one of `nodes` that share these rates of requests and writes a second.
-    fn new(rps: f64, write_rps: f64, nodes: usize) -> Self {
+    /// Computes the limits of one of `controller_count` nodes that share these rates of requests
+    /// and writes per second.
+    fn new(rps: f64, write_rps: f64, controller_count: usize) -> Self {
         let requests = rps * STATE_RPS_SHARE;
-        let change_reads = rps * CHANGE_READ_SHARE / nodes as f64;
-        let questions = rps * QUESTION_SHARE / nodes as f64;
+        let change_reads = rps * CHANGE_READ_SHARE / controller_count as f64;
+        let status_queries = rps * QUESTION_SHARE / controller_count as f64;
         let leader_writes = write_rps * STATE_WRITE_SHARE;
         NodeLimits {
             requests: RateLimit {
@@ -51,9 +53,9 @@
                 rate: change_reads,
                 burst: change_reads * CHANGE_READ_BURST_S,
             },
-            questions: RateLimit {
-                rate: questions,
-                burst: questions * QUESTION_BURST_S,
+            status_queries: RateLimit {
+                rate: status_queries,
+                burst: status_queries * QUESTION_BURST_S,
             },
             user_writes: RateLimit {
                 rate: write_rps * USER_WRITE_SHARE,
@@ -67,58 +69,62 @@
     }
 }
 
-/// The share of its rate that the leader's writes take at present.
+/// The share of its rate that the leader's writes currently use.
 struct Throttle {
     share: f64,
     /// When the share was computed.
-    at: u64,
+    updated_at: u64,
 }
 
 impl Throttle {
-    /// The share after some of what was taken away has come back.
+    /// Returns the share after the recovery since it was computed.
     fn recovered(&self, now: u64) -> f64 {
-        let passed_s = now.saturating_sub(self.at) as f64 / 1000.0;
+        let passed_s = now.saturating_sub(self.updated_at) as f64 / 1000.0;
         (self.share + passed_s * LEADER_THROTTLE_RECOVERY_PER_S).min(1.0)
     }
 }
 
-/// The budget of one node, with a bucket for all requests and one for each kind of them.
+/// The budget of one node: a token bucket for all requests and one for each kind of request.
 pub(super) struct RequestBudget {
-    /// Controllers that share the state service's rates.
-    nodes: usize,
+    /// Number of controllers that share the rates of the state service.
+    controller_count: usize,
     requests: TokenBucket,
     change_reads: TokenBucket,
-    questions: TokenBucket,
+    status_queries: TokenBucket,
     user_writes: TokenBucket,
     leader_writes: TokenBucket,
-    /// Limit of the leader's writes as long as they are not throttled.
+    /// Limit of the leader's writes while they are not throttled.
     leader_limit: RateLimit,
     throttle: Throttle,
 }
 
 impl RequestBudget {
-    /// The full budget of one of `nodes` that share these rates of requests and writes a second.
-    pub fn new(rps: f64, write_rps: f64, nodes: usize) -> Self {
-        let limits = NodeLimits::new(rps, write_rps, nodes);
+    /// Creates the full budget of one of `controller_count` nodes that share these rates of
+    /// requests and writes per second.
+    pub fn new(rps: f64, write_rps: f64, controller_count: usize) -> Self {
+        let limits = NodeLimits::new(rps, write_rps, controller_count);
         RequestBudget {
-            nodes,
+            controller_count,
             requests: limits.requests.bucket(),
             change_reads: limits.change_reads.bucket(),
-            questions: limits.questions.bucket(),
+            status_queries: limits.status_queries.bucket(),
             user_writes: limits.user_writes.bucket(),
             leader_writes: limits.leader_writes.bucket(),
             leader_limit: limits.leader_writes,
-            throttle: Throttle { share: 1.0, at: 0 },
+            throttle: Throttle {
+                share: 1.0,
+                updated_at: 0,
+            },
         }
     }
 
-    /// Goes on with other rates of requests and writes a second.
+    /// Changes the rates of requests and writes per second.
     pub fn set_rates(&mut self, rps: f64, write_rps: f64) {
-        let limits = NodeLimits::new(rps, write_rps, self.nodes);
+        let limits = NodeLimits::new(rps, write_rps, self.controller_count);
         let buckets = [
             (&mut self.requests, limits.requests),
             (&mut self.change_reads, limits.change_reads),
-            (&mut self.questions, limits.questions),
+            (&mut self.status_queries, limits.status_queries),
             (&mut self.user_writes, limits.user_writes),
         ];
         for (bucket, limit) in buckets {
@@ -128,24 +134,31 @@
         self.apply_throttle();
     }
 
-    /// Gives the leader's writes back some of what they lost to [`RequestBudget::throttle_leader_writes`].
+    /// Restores part of the rate that [`RequestBudget::throttle_leader_writes`] took from the
+    /// leader's writes.
     pub fn recover_leader_writes(&mut self, now: u64) {
         let share = self.throttle.recovered(now);
         if share != self.throttle.share {
-            self.throttle = Throttle { share, at: now };
+            self.throttle = Throttle {
+                share,
+                updated_at: now,
+            };
             self.apply_throttle();
         }
     }
 
-    /// The rate limit was hit, which nodes share and which may have fallen without notice: the leader's writes take
-    /// less for a while.
+    /// Reduces the rate of the leader's writes for a while, because the rate limit was hit. The
+    /// nodes share this limit, and it may have been lowered without notice.
     pub fn throttle_leader_writes(&mut self, now: u64) {
-        if now < self.throttle.at + RATE_RETRY_MS {
+        if now < self.throttle.updated_at + RATE_RETRY_MS {
             return;
         }
         let share =
             (self.throttle.recovered(now) * LEADER_THROTTLE_FACTOR).max(LEADER_THROTTLE_MIN);
-        self.throttle = Throttle { share, at: now };
+        self.throttle = Throttle {
+            share,
+            updated_at: now,
+        };
         self.apply_throttle();
     }
 
@@ -155,40 +168,43 @@
             .set_limits(rate * self.throttle.share, burst);
     }
 
-    /// Milliseconds until a request with that many writes may be sent.
+    /// Returns the milliseconds until a request with this number of writes may be sent.
     pub fn wait_ms(&mut self, priority: Priority, writes: f64, now: u64) -> u64 {
         self.requests.refill(now);
-        let for_all = self.requests.wait(ONE_REQUEST);
-        let (own, tokens) = self.own_bucket(priority, writes);
-        own.refill(now);
+        let shared_wait_ms = self.requests.wait(ONE_REQUEST);
+        let (bucket, tokens) = self.priority_bucket(priority, writes);
+        bucket.refill(now);
         match priority {
-            // Elections and renewals are never delayed by what others have used up.
+            // Elections and lease renewals are never delayed by the usage of other requests.
             Priority::Leadership => 0,
-            _ => own.wait(tokens).max(for_all),
+            _ => bucket.wait(tokens).max(shared_wait_ms),
         }
     }
 
-    /// Takes a request with that many writes from the budget.
+    /// Takes a request with this number of writes from the budget.
     pub fn spend(&mut self, priority: Priority, writes: f64) {
         self.requests.spend(ONE_REQUEST);
-        let (own, tokens) = self.own_bucket(priority, writes);
-        own.spend(tokens);
+        let (bucket, tokens) = self.priority_bucket(priority, writes);
+        bucket.spend(tokens);
     }
 
-    /// The bucket that a priority has to itself, and the tokens that a request takes from it.
+    /// Returns the bucket of a priority, and the tokens that a request takes from it.
     ///
-    /// With one rate for all, users' questions, which go before the leader's records, left those nothing during a
-    /// flood, and submissions waited behind questions until they were refused.
-    fn own_bucket(&mut self, priority: Priority, writes: f64) -> (&mut TokenBucket, f64) {
+    /// When all priorities shared one rate, status queries, which go ahead of the leader's records,
+    /// left no rate for those records during a flood, and submissions waited behind status queries
+    /// until they were refused.
+    fn priority_bucket(&mut self, priority: Priority, writes: f64) -> (&mut TokenBucket, f64) {
         match priority {
             Priority::Leadership | Priority::LeaderRecords => (&mut self.leader_writes, writes),
             Priority::Change => (&mut self.user_writes, writes),
             Priority::ChangeRead => (&mut self.change_reads, ONE_REQUEST),
-            Priority::ReadValidation | Priority::Question => (&mut self.questions, ONE_REQUEST),
+            Priority::ReadValidation | Priority::Question => {
+                (&mut self.status_queries, ONE_REQUEST)
+            }
         }
     }
 
-    /// Writes a second that the leader may send at present.
+    /// Returns the writes per second that the leader may currently send.
     #[cfg(test)]
     pub fn leader_write_rate(&self) -> f64 {
         self.leader_writes.rate()
--- a/crates/control/src/state/calls.rs
+++ b/crates/control/src/state/calls.rs
@@ -5,7 +5,7 @@
 use constants::{LIST_PAGE, STATE_TIMEOUT_MS, WATCH_HOLD_MS};
 use wire::state::LeaseRequest;
 
-/// The HTTP call of a request.
+/// Encodes a request as an HTTP call.
 pub(super) fn encode_call(op: &StateOp, call: CallId) -> Output {
     Output::Call {
         call,
@@ -54,9 +54,9 @@
 
 fn timeout_ms(op: &StateOp) -> u64 {
     match op {
-        // A page of many records takes longer than one.
+        // A page of many records takes longer than a single record.
         StateOp::List { .. } => 2 * STATE_TIMEOUT_MS,
-        // The state service answers once something changes, or after this while.
+        // The state service replies once something changes, or after the hold time.
         StateOp::Watch { .. } => WATCH_HOLD_MS + STATE_TIMEOUT_MS,
         _ => STATE_TIMEOUT_MS,
     }
--- a/crates/control/src/state/replies.rs
+++ b/crates/control/src/state/replies.rs
@@ -6,17 +6,17 @@
 use wire::state::{Lease, TxnResponse};
 use wire::DecodeError;
 
-/// What the body of a refused transaction contains if a lease that it names does not exist.
+/// Text in the body of a refused transaction that names a lease that doesn't exist.
 const NO_SUCH_LEASE: &str = "no such lease";
 
-/// The outcome of a request.
+/// Decodes the outcome of a request.
 pub(super) fn decode_reply(op: &StateOp, result: &CallResult) -> StateReply {
     match result {
         Err(CallError::NotSent) => StateReply::Refused,
         Err(CallError::Unknown) => StateReply::Unknown,
         Ok((429 | 503, _)) => StateReply::Refused,
         Ok((500.., _)) => StateReply::Unknown,
-        // A body that can't be read leaves open what was done.
+        // If the body is unreadable, it is unknown whether the request was executed.
         Ok((status, body)) => decode_body(op, *status, body).unwrap_or(StateReply::Unknown),
     }
 }
--- a/crates/control/src/state/tests.rs
+++ b/crates/control/src/state/tests.rs
@@ -1,11 +1,12 @@
-//! Budgets of the state service's client.
+//! Tests of the request budgets of the state service's client.
 
 use super::*;
 use crate::effects::Output;
 use constants::{STATE_WRITE_SHARE, USER_WRITE_SHARE};
 use wire::state::{Txn, Write};
 
-/// At a limit that was lowered without notice, the leader and users would go on displacing each other.
+/// The rate limit was lowered without notice. Without throttling, the leader and users would keep
+/// displacing each other's requests.
 #[test]
 fn leader_writes_are_throttled_when_the_rate_limit_is_hit_and_recover_later() {
     let mut client = StateClient::new(100.0, 50.0, 3);
@@ -25,13 +26,13 @@
     }
     assert!(client.budget.leader_write_rate() < 0.7 * full);
     assert!(client.budget.leader_write_rate() > 0.45 * full);
-    // It does not count as an outage: users are not turned away for it.
+    // Does not count as an outage: users' requests are not refused because of it.
     assert_eq!(client.last_failure_at, 0);
     let mut effects = Effects::new(Now {
         mono: 60_000,
         unix: 60_000,
     });
-    client.pump(&mut 1, &mut effects, &mut Vec::new());
+    client.send_due(&mut 1, &mut effects, &mut Vec::new());
     assert!((client.budget.leader_write_rate() - full).abs() < 1e-6);
 }
 
@@ -39,18 +40,19 @@
     StateOp::Get("j/run-1".into())
 }
 
-/// Calls that go out within a second, by the priority that they were pushed with, when far too many of some wait.
+/// Returns the number of calls sent within a second for each entry of `waiting`, when far more
+/// requests are queued than the budget allows.
 fn sent_in_a_second(client: &mut StateClient, waiting: &[(Priority, StateOp)]) -> Vec<usize> {
     let at = |mono| Now { mono, unix: mono };
     for n in 0..500 {
         for (i, (priority, op)) in waiting.iter().enumerate() {
             let tag = StateTag::User(1_000 * i as u64 + n);
-            client.push(at(10_000), *priority, op.clone(), tag);
+            client.enqueue(at(10_000), *priority, op.clone(), tag);
         }
     }
     let mut next_call = 0;
     for mono in (10_000..11_000).step_by(10) {
-        client.pump(&mut next_call, &mut Effects::new(at(mono)), &mut Vec::new());
+        client.send_due(&mut next_call, &mut Effects::new(at(mono)), &mut Vec::new());
     }
     let mut sent = vec![0; waiting.len()];
     for request in client.in_flight.values() {
@@ -61,9 +63,10 @@
     sent
 }
 
-/// At one rate for all, questions and users' changes went before the leader's records, which got nothing.
+/// When all priorities shared one rate, status queries and users' changes went ahead of the
+/// leader's records, and none of these were sent.
 #[test]
-fn user_requests_of_every_kind_leave_the_leaders_records_their_rate() {
+fn user_requests_do_not_use_up_the_rate_of_the_leaders_records() {
     let write = StateOp::Txn(Txn {
         compares: vec![],
         writes: vec![Write::delete("k")],
@@ -86,14 +89,14 @@
     }
 }
 
-/// There is always a proof to send, since each is followed by another. A question that needs a read is sent all the
-/// same.
+/// There is always a read validation to send, because each is followed by another. A status query
+/// that needs a read must be sent nevertheless.
 #[test]
-fn endless_proofs_leave_single_reads_their_turn() {
+fn status_queries_are_sent_despite_continuous_read_validations() {
     let mut client = StateClient::new(100.0, 25.0, 5);
-    let evidence = || StateOp::Txn(Txn::default());
+    let validation = || StateOp::Txn(Txn::default());
     let (mut call, mut expired) = (0, Vec::new());
-    let (mut proofs, mut reads) = (0, 0);
+    let (mut validations, mut reads) = (0, 0);
     for step in 0..400 {
         let now = Now {
             mono: 1_000 + 10 * step,
@@ -101,29 +104,32 @@
         };
         let waits = |client: &StateClient, p: Priority| !client.queues[p as usize].is_empty();
         if !waits(&client, Priority::ReadValidation) {
-            client.push(
+            client.enqueue(
                 now,
                 Priority::ReadValidation,
-                evidence(),
+                validation(),
                 StateTag::ReadValidation(step),
             );
         }
         if step.is_multiple_of(10) && !waits(&client, Priority::Question) {
             let read = StateOp::Get("j/run-1".into());
-            client.push(now, Priority::Question, read, StateTag::User(step));
+            client.enqueue(now, Priority::Question, read, StateTag::User(step));
         }
         let mut effects = Effects::new(now);
-        client.pump(&mut call, &mut effects, &mut expired);
+        client.send_due(&mut call, &mut effects, &mut expired);
         for output in effects.outputs {
             match output {
                 Output::Call { method: "GET", .. } => reads += 1,
-                Output::Call { .. } => proofs += 1,
+                Output::Call { .. } => validations += 1,
                 _ => {}
             }
         }
     }
-    // Ten a second for both, in four seconds.
+    // Both kinds together are sent 10 times per second, for 4 seconds.
     assert!((15..=25).contains(&reads), "{reads} reads");
-    assert!((15..=35).contains(&proofs), "{proofs} proofs");
+    assert!(
+        (15..=35).contains(&validations),
+        "{validations} validations"
+    );
     assert!(expired.is_empty());
 }
--- a/crates/control/tests/partitions.rs
+++ b/crates/control/tests/partitions.rs
@@ -104,7 +104,8 @@
 
 /// Partitions that a node holds a grant for.
 fn granted(w: &World, node: usize) -> usize {
-    w.partitions_status(node).map_or(0, |s| s.granted)
+    w.partitions_status(node)
+        .map_or(0, |s| s.granted_partitions)
 }
 
 /// Whether nothing moves any more, each running controller has a share, and all that the leader does not own are granted.
@@ -118,7 +119,9 @@
     let has_share = |n: &usize| shares.get(&label(*n)).is_some_and(|count| *count >= least);
     let is_granted = |n: &usize| Some(granted(w, *n)) == shares.get(&label(*n)).copied();
     let others: Vec<usize> = running.iter().copied().filter(|n| *n != leader).collect();
-    let moving = w.partitions_status(leader).map_or(0, |s| s.moving);
+    let moving = w
+        .partitions_status(leader)
+        .map_or(0, |s| s.moves_in_progress);
     shares.values().sum::<usize>() == PARTITIONS_ALL
         && moving == 0
         && others.iter().all(has_share)
@@ -128,7 +131,7 @@
 /// Machines that owners answer by themselves.
 fn steady(w: &World) -> usize {
     let status = (0..w.node_count()).filter_map(|n| w.partitions_status(n));
-    status.map(|s| s.steady).sum()
+    status.map(|s| s.steady_machines).sum()
 }
 
 /// A job that fills every machine for so long.
--- a/crates/fakes/src/world/nodes.rs
+++ b/crates/fakes/src/world/nodes.rs
@@ -51,7 +51,7 @@
     /// Notifies a node whether its sockets are short.
     pub fn set_crowded(&mut self, i: usize, is_crowded: bool) {
         if let Some(node) = &mut self.nodes[i].node {
-            node.set_crowded(is_crowded);
+            node.set_socket_shortage(is_crowded);
         }
     }
 
@@ -79,7 +79,7 @@
 
     /// The node that leads, if any does.
     pub fn leader(&self) -> Option<usize> {
-        let term = |slot: &NodeSlot| slot.node.as_ref().and_then(Node::leads);
+        let term = |slot: &NodeSlot| slot.node.as_ref().and_then(Node::leading_term);
         (0..self.nodes.len())
             .filter(|&i| term(&self.nodes[i]).is_some())
             .max_by_key(|&i| term(&self.nodes[i]))
@@ -87,7 +87,7 @@
 
     /// Term of a node, if it leads.
     pub fn term_of(&self, i: usize) -> Option<u64> {
-        self.nodes[i].node.as_ref().and_then(Node::leads)
+        self.nodes[i].node.as_ref().and_then(Node::leading_term)
     }
 
     /// How many controllers there are, those that are down included.
--- a/crates/vetchmount/src/daemon.rs
+++ b/crates/vetchmount/src/daemon.rs
@@ -115,7 +115,8 @@
             self.route_event(event.key, buffer, now.mono);
         }
         self.expire_calls(now.mono);
-        self.node.set_crowded(self.servers.is_crowded(now.mono));
+        self.node
+            .set_socket_shortage(self.servers.is_crowded(now.mono));
         self.feed_node(now);
         if now.mono >= self.node.next_wake() {
             self.node.tick(now);
