--- a/crates/vetchmount/src/daemon.rs
+++ b/crates/vetchmount/src/daemon.rs
@@ -1,24 +1,24 @@
 //! The controller process: one thread that waits for sockets and deadlines and drives a [`control::Node`].
 //!
-//! This module holds the main loop. Its submodules start the process, route the poller's events, feed the node and
-//! carry out the node's outputs.
+//! This module holds the main loop, one iteration of which is called a turn. The submodules start the process, route
+//! the poller's events, deliver inputs to the node and execute the node's outputs.
 
 mod clock;
 mod error;
-mod node_feed;
-mod outputs;
+mod node_inputs;
+mod node_outputs;
 mod routing;
 mod startup;
 
-use crate::clients::{CallOutcome, Clients};
-use crate::net::{KeySequence, Listener};
-use crate::peer_links::PeerLinks;
-use crate::servers::{ReceivedRequest, Servers};
+use crate::http_client::{CallOutcome, HttpClient};
+use crate::http_server::{HttpServer, ReceivedRequest};
+use crate::net::{KeyAllocator, Listener};
+use crate::peer_connections::PeerConnections;
 use clock::ProcessClock;
 use constants::{EVENTS_A_TURN, LOOP_MAX_MS, LOOP_MIN_MS, READ_CHUNK, SLOW_TURN_MS};
 use control::{Node, Now};
 pub use error::DaemonError;
-use outputs::ServiceAddresses;
+use node_outputs::ServiceAddresses;
 use polling::{Events, Poller};
 pub use startup::run;
 use std::collections::VecDeque;
@@ -33,13 +33,13 @@
     public_listener: Listener,
     /// Listener for the other controllers.
     peer_listener: Listener,
-    servers: Servers,
-    clients: Clients,
-    peers: PeerLinks,
-    keys: KeySequence,
-    services: ServiceAddresses,
+    http_server: HttpServer,
+    http_client: HttpClient,
+    peers: PeerConnections,
+    poller_keys: KeyAllocator,
+    service_addresses: ServiceAddresses,
     pending: PendingInputs,
-    /// Workers' reports that wait until users and the leader's lease have been served.
+    /// Workers' reports, which wait until users' requests and the renewal of the leader's lease have been handled.
     worker_reports: VecDeque<ReceivedRequest>,
     node: Node,
     clock: ProcessClock,
@@ -47,24 +47,24 @@
     stop_requested: Arc<AtomicBool>,
 }
 
-/// What the sockets have yielded and the node has not handled yet.
+/// Inputs from the sockets that the node has not handled yet.
 #[derive(Default)]
 struct PendingInputs {
     requests: Vec<ReceivedRequest>,
-    outcomes: Vec<CallOutcome>,
+    call_outcomes: Vec<CallOutcome>,
 }
 
 impl PendingInputs {
     fn is_empty(&self) -> bool {
-        self.requests.is_empty() && self.outcomes.is_empty()
+        self.requests.is_empty() && self.call_outcomes.is_empty()
     }
 }
 
-/// Whether the main loop goes on after a turn.
+/// Whether the main loop continues after a turn.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum TurnEnd {
+enum LoopControl {
     Continue,
-    Stopped,
+    Exit,
 }
 
 impl Daemon {
@@ -77,16 +77,16 @@
         let mut events = Events::with_capacity(EVENTS_A_TURN);
         let mut buffer = vec![0u8; READ_CHUNK];
         loop {
-            self.wait(&mut events)?;
-            if self.run_turn(&events, &mut buffer) == TurnEnd::Stopped {
+            self.wait_for_events(&mut events)?;
+            if self.run_turn(&events, &mut buffer) == LoopControl::Exit {
                 return Ok(());
             }
         }
     }
 
-    /// Waits for events, or until the node or a call has to be looked after.
-    fn wait(&self, events: &mut Events) -> Result<(), DaemonError> {
-        let timeout = Duration::from_millis(self.wait_ms());
+    /// Waits for events, at most until the next deadline of the node or of the HTTP client.
+    fn wait_for_events(&self, events: &mut Events) -> Result<(), DaemonError> {
+        let timeout = Duration::from_millis(self.poll_timeout_ms());
         events.clear();
         self.poller
             .wait(events, Some(timeout))
@@ -96,44 +96,49 @@
 
     /// Milliseconds to wait for events.
     ///
-    /// The loop waits even if a deadline has passed: events that are ready end the wait at once, and a deadline that
-    /// nobody acts upon must never become a loop that takes the whole processor share.
-    fn wait_ms(&self) -> u64 {
+    /// Unless workers' reports are pending, the loop waits even if a deadline has passed. Events that are ready end the
+    /// wait at once, and a deadline that no code handles must not turn the loop into a busy loop that takes the whole
+    /// processor share.
+    fn poll_timeout_ms(&self) -> u64 {
         let now = self.now().mono;
-        let wake = self.node.next_wake().min(self.clients.next_wake());
+        let next_wake = self.node.next_wake().min(self.http_client.next_wake());
         if self.worker_reports.is_empty() {
-            wake.saturating_sub(now).clamp(LOOP_MIN_MS, LOOP_MAX_MS)
+            next_wake
+                .saturating_sub(now)
+                .clamp(LOOP_MIN_MS, LOOP_MAX_MS)
         } else {
             0
         }
     }
 
-    /// Handles events and deadlines once. Workers' reports come last, so that they delay nothing else.
-    fn run_turn(&mut self, events: &Events, buffer: &mut [u8]) -> TurnEnd {
+    /// Handles events and deadlines once. Workers' reports are handled last, so that they delay nothing else.
+    fn run_turn(&mut self, events: &Events, buffer: &mut [u8]) -> LoopControl {
         let now = self.now();
         for event in events.iter() {
             self.route_event(event.key, buffer, now.mono);
         }
         self.expire_calls(now.mono);
-        self.node.set_crowded(self.servers.is_crowded(now.mono));
-        self.feed_node(now);
+        self.node
+            .set_crowded(self.http_server.has_socket_shortage(now.mono));
+        self.deliver_inputs(now);
         if now.mono >= self.node.next_wake() {
             self.node.tick(now);
         }
-        self.peers.tick(&self.poller, &mut self.keys, now.mono);
-        self.feed_node(now);
-        self.feed_worker_reports();
+        self.peers
+            .tick(&self.poller, &mut self.poller_keys, now.mono);
+        self.deliver_inputs(now);
+        self.deliver_worker_reports();
         if self.stop_requested.load(Ordering::Relaxed) && self.stop_node() {
-            return TurnEnd::Stopped;
+            return LoopControl::Exit;
         }
         self.log_if_slow(now, events.len());
-        TurnEnd::Continue
+        LoopControl::Continue
     }
 
     fn expire_calls(&mut self, now: u64) {
-        let outcomes = &mut self.pending.outcomes;
-        self.clients
-            .expire(&self.poller, &mut self.keys, now, outcomes);
+        let outcomes = &mut self.pending.call_outcomes;
+        self.http_client
+            .expire(&self.poller, &mut self.poller_keys, now, outcomes);
     }
 
     fn log_if_slow(&self, turn_start: Now, events: usize) {
--- a/crates/vetchmount/src/daemon/error.rs
+++ b/crates/vetchmount/src/daemon/error.rs
@@ -1,22 +1,22 @@
-//! What ends the process with an error.
+//! Errors that end the process.
 
 use std::io;
 use thiserror::Error;
 
-/// Why the process could not start, or could not go on.
+/// Why the process could not start, or could not continue.
 #[derive(Debug, Error)]
 pub enum DaemonError {
     /// The poller could not be created.
-    #[error("poller: {0}")]
+    #[error("cannot create the poller: {0}")]
     CreatePoller(#[source] io::Error),
     /// The poller failed while the process was waiting for events.
-    #[error("poll: {0}")]
+    #[error("cannot wait for events: {0}")]
     Poll(#[source] io::Error),
-    /// An address of the settings is not an IPv4 address with a port.
-    #[error("bad address {0:?}")]
-    BadAddress(String),
+    /// An address is not an IPv4 address with a port.
+    #[error("{0:?} is not an IPv4 address with a port")]
+    InvalidAddress(String),
     /// A listener could not be opened.
-    #[error("{address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// Address as the settings give it.
         address: String,
@@ -24,6 +24,6 @@
         source: io::Error,
     },
     /// The handler of the termination signal could not be installed.
-    #[error("SIGTERM: {0}")]
+    #[error("cannot install the SIGTERM handler: {0}")]
     SignalHandler(#[source] io::Error),
 }
--- a/crates/vetchmount/src/daemon/outputs.rs
+++ b/crates/vetchmount/src/daemon/node_outputs.rs
@@ -1,9 +1,9 @@
-//! Carrying out of the node's outputs: responses, calls and messages to peers.
+//! Execution of the node's outputs: responses, calls and messages to peers.
 
 use super::startup::parse_address;
 use super::{Daemon, DaemonError};
-use crate::clients::{Call, CallOutcome};
-use crate::servers::Response;
+use crate::http_client::{Call, CallOutcome};
+use crate::http_server::Response;
 use control::{CallError, CallId, Now, Output, Target};
 use std::net::SocketAddrV4;
 
@@ -21,20 +21,20 @@
         match target {
             Target::State => Ok(self.state),
             Target::Cloud => Ok(self.cloud),
-            Target::Worker(text) => parse_address(text),
+            Target::Worker(address) => parse_address(address),
         }
     }
 }
 
 impl Daemon {
-    /// Carries out all outputs that the node has ready.
-    pub(super) fn carry_out_outputs(&mut self, now: Now) {
+    /// Executes all outputs that the node has ready.
+    pub(super) fn execute_outputs(&mut self, now: Now) {
         while let Some(output) = self.node.next_output() {
-            self.carry_out(now, output);
+            self.execute_output(now, output);
         }
     }
 
-    fn carry_out(&mut self, now: Now, output: Output) {
+    fn execute_output(&mut self, now: Now, output: Output) {
         match output {
             Output::Respond {
                 id,
@@ -69,7 +69,7 @@
                     body,
                     deadline: now.mono + timeout_ms,
                 };
-                self.send_call(now, call);
+                self.start_call(now, call);
             }
             Output::Peer { to, message } => self.peers.send(&self.poller, to.as_deref(), &message),
         }
@@ -77,23 +77,28 @@
 
     fn respond(&mut self, now: Now, response: &Response) {
         let requests = &mut self.pending.requests;
-        self.servers
+        self.http_server
             .respond(&self.poller, response, now.mono, requests);
     }
 
-    /// The address of a call's recipient. A call to an address that can't be read fails as never sent.
+    /// Returns the address of a call's recipient. If the address can't be parsed, the call fails as never sent.
     fn resolve_or_fail(&mut self, call: CallId, target: &Target) -> Option<SocketAddrV4> {
-        let address = self.services.resolve(target).ok();
+        let address = self.service_addresses.resolve(target).ok();
         if address.is_none() {
             let outcome = CallOutcome::failed(call, CallError::NotSent);
-            self.pending.outcomes.push(outcome);
+            self.pending.call_outcomes.push(outcome);
         }
         address
     }
 
-    fn send_call(&mut self, now: Now, call: Call) {
-        let outcomes = &mut self.pending.outcomes;
-        self.clients
-            .call(&self.poller, call, &mut self.keys, now.mono, outcomes);
+    fn start_call(&mut self, now: Now, call: Call) {
+        let outcomes = &mut self.pending.call_outcomes;
+        self.http_client.start_call(
+            &self.poller,
+            call,
+            &mut self.poller_keys,
+            now.mono,
+            outcomes,
+        );
     }
 }
--- a/crates/vetchmount/src/daemon/startup.rs
+++ b/crates/vetchmount/src/daemon/startup.rs
@@ -1,13 +1,13 @@
 //! Start of the process: listeners, addresses, signal handler and the node.
 
-use super::clock::{stopwatch_us, ProcessClock};
-use super::outputs::ServiceAddresses;
+use super::clock::{monotonic_us, ProcessClock};
+use super::node_outputs::ServiceAddresses;
 use super::routing::{FIRST_CONNECTION_KEY, PEER_LISTENER_KEY, PUBLIC_LISTENER_KEY};
 use super::{Daemon, DaemonError, PendingInputs};
-use crate::clients::Clients;
-use crate::net::{KeySequence, Listener};
-use crate::peer_links::{PeerAddress, PeerLinks};
-use crate::servers::Servers;
+use crate::http_client::HttpClient;
+use crate::http_server::HttpServer;
+use crate::net::{KeyAllocator, Listener};
+use crate::peer_connections::{PeerAddress, PeerConnections};
 use control::{Node, Operator, Settings};
 use polling::Poller;
 use signal_hook::consts::SIGTERM;
@@ -16,10 +16,10 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-/// Low bits that are dropped from the random number of a process: 52 bits remain.
-const BOOT_DROPPED_BITS: u32 = 12;
+/// Low bits dropped from the random boot id of a process, which leaves 52 bits.
+const BOOT_ID_DROPPED_BITS: u32 = 12;
 
-/// Runs a controller until it is killed, or has stopped as asked.
+/// Runs a controller until it is killed, or has stopped on request.
 pub fn run(settings: Settings, operator: Operator) -> Result<(), DaemonError> {
     Daemon::start(settings, operator)?.serve()
 }
@@ -28,29 +28,29 @@
     fn start(settings: Settings, operator: Operator) -> Result<Self, DaemonError> {
         let poller = Poller::new().map_err(DaemonError::CreatePoller)?;
         let max_connections = settings.deployment.quota.max_connections;
-        // When a leader fails, all workers connect anew within a second or two.
+        // When a leader fails, all workers reconnect within a second or two.
         let backlog = max_connections as i32;
         let public_listener = listen(&poller, &settings.public_addr, PUBLIC_LISTENER_KEY, backlog)?;
         let peer_listener = listen(&poller, &settings.back, PEER_LISTENER_KEY, backlog)?;
-        let peers = PeerLinks::new(settings.label.clone(), sibling_addresses(&settings)?);
+        let peers = PeerConnections::new(settings.label.clone(), sibling_addresses(&settings)?);
         let clock = ProcessClock::start();
-        let boot = fastrand::u64(..) >> BOOT_DROPPED_BITS;
-        let services = ServiceAddresses {
+        let boot_id = fastrand::u64(..) >> BOOT_ID_DROPPED_BITS;
+        let service_addresses = ServiceAddresses {
             state: parse_address(&settings.outside.state)?,
             cloud: parse_address(&settings.outside.cloud)?,
         };
-        log_start(&settings, boot);
+        log_start(&settings, boot_id);
         let stop_requested = stop_flag(&operator)?;
-        let node = Node::new(settings, operator, clock.now(), boot, stopwatch_us);
+        let node = Node::new(settings, operator, clock.now(), boot_id, monotonic_us);
         Ok(Daemon {
             poller,
             public_listener,
             peer_listener,
-            servers: Servers::new(max_connections),
-            clients: Clients::default(),
+            http_server: HttpServer::new(max_connections),
+            http_client: HttpClient::default(),
             peers,
-            keys: KeySequence::starting_at(FIRST_CONNECTION_KEY),
-            services,
+            poller_keys: KeyAllocator::starting_at(FIRST_CONNECTION_KEY),
+            service_addresses,
             pending: PendingInputs::default(),
             worker_reports: VecDeque::new(),
             node,
@@ -60,10 +60,10 @@
     }
 }
 
-/// Reads an address of the settings or of a worker.
+/// Parses an address of the settings or of a worker.
 pub(super) fn parse_address(text: &str) -> Result<SocketAddrV4, DaemonError> {
     text.parse()
-        .map_err(|_| DaemonError::BadAddress(text.to_string()))
+        .map_err(|_| DaemonError::InvalidAddress(text.to_string()))
 }
 
 fn listen(
@@ -94,9 +94,9 @@
         .collect()
 }
 
-fn log_start(settings: &Settings, boot: u64) {
+fn log_start(settings: &Settings, boot_id: u64) {
     log::info!(
-        "event=start node={} boot={boot} public={} back={}",
+        "event=start node={} boot={boot_id} public={} back={}",
         settings.label,
         settings.public_addr,
         settings.back
--- a/crates/vetchmount/src/clients/tests.rs
+++ b/crates/vetchmount/src/http_client/tests.rs
@@ -1,7 +1,7 @@
-//! Calls that wait for a connection, against a listener that never answers.
+//! Expiry of calls that wait for a connection, against a listener that never answers.
 
-use super::{Call, CallError, CallOutcome, Clients};
-use crate::net::KeySequence;
+use super::{Call, CallError, CallOutcome, HttpClient};
+use crate::net::KeyAllocator;
 use constants::{CLIENT_CONNS, CONNECT_TIMEOUT_MS};
 use polling::{Events, Poller};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener};
@@ -11,7 +11,7 @@
 const LONG_DEADLINE: u64 = NOW + 60_000;
 const SHORT_DEADLINE: u64 = NOW + 1_200;
 
-/// A listener that accepts connections and never answers, as a peer behind a cut.
+/// A listener that accepts connections and never answers, like a service behind a network partition.
 fn silent_listener() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     match listener.local_addr().expect("the bound address") {
@@ -20,7 +20,7 @@
     }
 }
 
-fn call(id: u64, addr: SocketAddrV4, deadline: u64) -> Call {
+fn get_call(id: u64, addr: SocketAddrV4, deadline: u64) -> Call {
     Call {
         id,
         addr,
@@ -31,13 +31,13 @@
     }
 }
 
-/// Clients of one silent listener, with all that their calls need.
+/// An HTTP client and one silent listener that it calls.
 struct Fixture {
     addr: SocketAddrV4,
     _listener: TcpListener,
     poller: Poller,
-    clients: Clients,
-    keys: KeySequence,
+    client: HttpClient,
+    keys: KeyAllocator,
     /// Outcomes of calls so far.
     outcomes: Vec<CallOutcome>,
 }
@@ -49,20 +49,20 @@
             addr,
             _listener,
             poller: Poller::new().expect("a poller"),
-            clients: Clients::default(),
-            keys: KeySequence::starting_at(0),
+            client: HttpClient::default(),
+            keys: KeyAllocator::starting_at(0),
             outcomes: Vec::new(),
         }
     }
 
-    fn call(&mut self, id: u64, deadline: u64) {
-        let call = call(id, self.addr, deadline);
-        self.clients
-            .call(&self.poller, call, &mut self.keys, NOW, &mut self.outcomes);
+    fn start_call(&mut self, id: u64, deadline: u64) {
+        let call = get_call(id, self.addr, deadline);
+        self.client
+            .start_call(&self.poller, call, &mut self.keys, NOW, &mut self.outcomes);
     }
 
     fn expire(&mut self, now: u64) {
-        self.clients
+        self.client
             .expire(&self.poller, &mut self.keys, now, &mut self.outcomes);
     }
 
@@ -78,7 +78,7 @@
                 break;
             }
             for event in events.iter() {
-                self.clients.on_event(
+                self.client.on_event(
                     &self.poller,
                     event.key,
                     &mut buffer,
@@ -92,46 +92,50 @@
     }
 }
 
-/// All connections are taken up by calls that are not answered. Of two calls that wait behind them the second has the
-/// earlier deadline: it was not given up before the first, while the main loop was asked to wake for it at once, again
-/// and again. A controller cut off from the state service used up its processor share with that, and was ended when it
-/// never waited at all.
+/// All connections are busy with calls that get no response, and of two calls waiting behind them the second has the
+/// earlier deadline. It must fail at that deadline. When it stayed in the queue until the first was over, `next_wake`
+/// lay in the past and the main loop woke at once again and again. A controller that was cut off from the state service
+/// used up its processor share in this way, and was ended when its main loop did not wait at all.
 #[test]
-fn a_call_that_waits_is_given_up_at_its_own_deadline() {
+fn a_waiting_call_fails_at_its_own_deadline() {
     let mut fixture = Fixture::new();
     for id in 0..CLIENT_CONNS as u64 {
-        fixture.call(id, LONG_DEADLINE);
+        fixture.start_call(id, LONG_DEADLINE);
     }
     fixture.connect_all();
-    fixture.call(100, LONG_DEADLINE);
-    fixture.call(101, SHORT_DEADLINE);
-    assert_eq!(fixture.clients.next_wake(), SHORT_DEADLINE);
+    fixture.start_call(100, LONG_DEADLINE);
+    fixture.start_call(101, SHORT_DEADLINE);
+    assert_eq!(fixture.client.next_wake(), SHORT_DEADLINE);
     assert!(fixture.outcomes.is_empty(), "{:?}", fixture.outcomes);
 
     fixture.expire(SHORT_DEADLINE);
 
     let not_sent = CallOutcome::failed(101, CallError::NotSent);
     assert_eq!(fixture.outcomes, vec![not_sent]);
-    assert_eq!(fixture.clients.next_wake(), LONG_DEADLINE);
+    assert_eq!(fixture.client.next_wake(), LONG_DEADLINE);
 }
 
-/// After each expiry of calls the next wake lies in the future: whatever was due has been acted upon.
+/// After each expiry the next wake must be in the future. A wake in the past means that something due was not handled,
+/// and would make the main loop spin.
 #[test]
-fn the_next_wake_lies_in_the_future_once_calls_have_expired() {
+fn the_next_wake_is_in_the_future_after_calls_have_expired() {
     let mut fixture = Fixture::new();
     let mut random = fastrand::Rng::with_seed(7);
     let calls = 4 * CLIENT_CONNS as u64;
     for id in 0..calls {
         let deadline = NOW + random.u64(1..3 * CONNECT_TIMEOUT_MS);
-        fixture.call(id, deadline);
+        fixture.start_call(id, deadline);
     }
     fixture.connect_all();
     while fixture.outcomes.len() < calls as usize {
-        let now = fixture.clients.next_wake();
-        let over = fixture.outcomes.len();
-        assert!(now < u64::MAX, "{over} of {calls} calls are over");
+        let now = fixture.client.next_wake();
+        let ended = fixture.outcomes.len();
+        assert!(now < u64::MAX, "{ended} of {calls} calls have ended");
         fixture.expire(now);
-        assert!(fixture.clients.next_wake() > now, "a wake at {now} remains");
+        assert!(
+            fixture.client.next_wake() > now,
+            "the wake at {now} is still due"
+        );
     }
     let mut ids: Vec<u64> = fixture
         .outcomes
@@ -139,9 +143,5 @@
         .map(|outcome| outcome.call)
         .collect();
     ids.sort_unstable();
-    assert_eq!(
-        ids,
-        (0..calls).collect::<Vec<_>>(),
-        "each call is over once"
-    );
+    assert_eq!(ids, (0..calls).collect::<Vec<_>>(), "each call ends once");
 }
--- a/crates/vetchmount/src/clients/waiting.rs
+++ b/crates/vetchmount/src/http_client/waiting_calls.rs
@@ -13,7 +13,7 @@
 }
 
 impl WaitingCalls {
-    /// Appends a call to the queue of its address; returns the call if the queue is full.
+    /// Appends a call to the queue of its address. Returns the call as the error if the queue is full.
     pub(super) fn push(&mut self, call: Call) -> Result<(), Call> {
         let queue = self.queues.entry(call.addr).or_default();
         if queue.len() >= CLIENT_QUEUE {
@@ -23,28 +23,28 @@
         Ok(())
     }
 
-    /// Takes the first call of an address.
+    /// Removes the first call from the queue of an address.
     pub(super) fn pop(&mut self, addr: SocketAddrV4) -> Option<Call> {
         self.queues.get_mut(&addr)?.pop_front()
     }
 
-    /// Number of calls that wait for an address.
+    /// Number of calls in the queue of an address.
     pub(super) fn count(&self, addr: SocketAddrV4) -> usize {
         self.queues.get(&addr).map_or(0, VecDeque::len)
     }
 
-    /// Fails all calls of an address as never sent.
+    /// Fails all calls in the queue of an address as never sent.
     pub(super) fn fail_all(&mut self, addr: SocketAddrV4, outcomes: &mut Vec<CallOutcome>) {
         let calls = self.queues.remove(&addr).into_iter().flatten();
         outcomes.extend(calls.map(|call| CallOutcome::failed(call.id, CallError::NotSent)));
     }
 
-    /// Fails calls that have waited for a connection until their deadline.
+    /// Fails calls whose deadline has passed as never sent.
     ///
-    /// Each call has its own deadline, whatever its position in the queue: a watch may wait four times as long as the
-    /// transaction behind it. A call that is overdue but left in the queue would make
-    /// [`WaitingCalls::next_deadline`] ask for a turn of the main loop at once, again and again, until the calls
-    /// before it are over.
+    /// Checks every call, not only the first of each queue, because deadlines are not in queue order: a watch may wait
+    /// four times as long as the transaction behind it. If an overdue call stayed in the queue behind calls that are
+    /// not overdue, [`WaitingCalls::next_deadline`] would return a time in the past until those are over, and the main
+    /// loop would spin.
     pub(super) fn expire(&mut self, now: u64, outcomes: &mut Vec<CallOutcome>) {
         for queue in self.queues.values_mut() {
             queue.retain(|call| {
--- a/crates/vetchmount/src/main.rs
+++ b/crates/vetchmount/src/main.rs
@@ -1,10 +1,10 @@
-//! The controller daemon: command line, settings, logging and the loop around a [`control::Node`].
+//! The controller daemon: command line, settings, logging and the main loop that drives a [`control::Node`].
 
-mod clients;
 mod daemon;
+mod http_client;
+mod http_server;
 mod net;
-mod peer_links;
-mod servers;
+mod peer_connections;
 mod settings;
 
 use clap::Parser;
@@ -21,7 +21,7 @@
     /// The platform's settings (TOML).
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operators' own settings (JSON, see schema/operator.schema.json); defaults hold without them.
+    /// The operators' own settings (JSON, see schema/operator.schema.json); defaults apply without this file.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
     /// Check the settings and exit.
@@ -32,8 +32,8 @@
     print_schema: bool,
 }
 
-/// Exit code for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for a missing `--config` or invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -43,13 +43,13 @@
     }
     let Some(config) = &cli.config else {
         eprintln!("vetchmount: --config FILE is required, see --help");
-        return ExitCode::from(BAD_SETTINGS);
+        return ExitCode::from(EXIT_INVALID_SETTINGS);
     };
     let (settings, operator) = match load_settings(config, cli.operator.as_deref()) {
         Ok(loaded) => loaded,
         Err(error) => {
             eprintln!("vetchmount: {error}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if cli.check {
@@ -59,33 +59,33 @@
     start_logging();
     match daemon::run(settings, operator) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            log::error!("event=fatal why={why}");
+        Err(error) => {
+            log::error!("event=fatal why={error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Reads the platform's settings and the operators' own, whose defaults hold if no file is given.
+/// Loads the platform's settings and the operators' own settings. The defaults of the latter apply if no file is given.
 fn load_settings(
     config: &Path,
     operator: Option<&Path>,
 ) -> Result<(Settings, Operator), SettingsError> {
-    let settings = settings::load(config)?;
+    let settings = settings::load_platform(config)?;
     let operator = match operator {
         Some(path) => settings::load_operator(path)?,
         None => Operator::default(),
     };
-    settings::check_match(&operator, &settings)?;
+    settings::check_compatibility(&operator, &settings)?;
     Ok((settings, operator))
 }
 
-/// Variable of the environment that sets the log level.
+/// Environment variable that sets the log level.
 const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
-/// Log level without that variable.
+/// Log level if the environment variable is not set.
 const DEFAULT_LOG_LEVEL: &str = "error";
 
-/// Writes log lines as `key=value` to standard error. The poller's own lines are left out, errors excepted.
+/// Writes log lines as `key=value` to standard error. The `polling` crate's own lines are left out, except for errors.
 fn start_logging() {
     let level = std::env::var(LOG_LEVEL_VARIABLE).unwrap_or_else(|_| DEFAULT_LOG_LEVEL.into());
     let filter = level.parse().unwrap_or(log::LevelFilter::Error);
--- a/crates/vetchmount/src/net.rs
+++ b/crates/vetchmount/src/net.rs
@@ -1,4 +1,4 @@
-//! Non-blocking TCP: connections with their output buffers, listeners and the poller's keys.
+//! Non-blocking TCP: connections with output buffers, listeners and the allocation of poller keys.
 
 use constants::READ_CHUNK;
 use polling::{Event, PollMode, Poller};
@@ -6,27 +6,27 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 
-/// `EINPROGRESS` of Linux: a connection attempt goes on in the background.
+/// `EINPROGRESS` of Linux: the connection attempt continues in the background.
 const EINPROGRESS: i32 = 115;
 
-/// A connection that is registered with the poller under a key.
-pub struct Connection {
+/// A TCP connection that is registered with the poller under a key.
+pub struct TcpConnection {
     stream: TcpStream,
     key: usize,
     output: Vec<u8>,
     /// Number of bytes at the start of `output` that have been written.
     written: usize,
-    /// Whether the poller reports when the stream can be written.
-    watches_write: bool,
+    /// Whether the poller reports when the stream becomes writable.
+    has_write_interest: bool,
 }
 
-impl Connection {
-    /// Takes over a stream that a listener has accepted.
-    pub fn accepted(poller: &Poller, stream: TcpStream, key: usize) -> io::Result<Self> {
-        Connection::new(poller, stream, key, false)
+impl TcpConnection {
+    /// Registers a stream that a listener has accepted.
+    pub fn from_accepted(poller: &Poller, stream: TcpStream, key: usize) -> io::Result<Self> {
+        TcpConnection::register(poller, stream, key, false)
     }
 
-    /// Starts to connect.
+    /// Starts to connect to an address.
     pub fn connect(poller: &Poller, addr: SocketAddrV4, key: usize) -> io::Result<Self> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -37,25 +37,32 @@
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(error) => return Err(error),
         }
-        Connection::new(poller, socket.into(), key, true)
+        TcpConnection::register(poller, socket.into(), key, true)
     }
 
-    /// Registers a stream. While it is `connecting`, the poller reports when it can be written, which ends the attempt.
-    fn new(poller: &Poller, stream: TcpStream, key: usize, connecting: bool) -> io::Result<Self> {
+    /// Registers a stream with the poller. If the stream `is_connecting`, the poller reports when it becomes writable,
+    /// which is when the connection attempt ends.
+    fn register(
+        poller: &Poller,
+        stream: TcpStream,
+        key: usize,
+        is_connecting: bool,
+    ) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
-        let event = Event::new(key, true, connecting);
-        // The stream is removed from the poller before it is dropped, in `close`.
-        register(poller, &stream, event)?;
-        Ok(Connection {
+        let event = Event::new(key, true, is_connecting);
+        // `close` removes the stream from the poller before it is dropped.
+        add_to_poller(poller, &stream, event)?;
+        Ok(TcpConnection {
             stream,
             key,
             output: Vec::new(),
             written: 0,
-            watches_write: connecting,
+            has_write_interest: is_connecting,
         })
     }
 
-    /// Fails if the connection attempt has failed. Meant for the first event after [`Connection::connect`].
+    /// Returns an error if the connection attempt has failed. To be called at the first event after
+    /// [`TcpConnection::connect`].
     pub fn check_connected(&self) -> io::Result<()> {
         match self.stream.take_error()? {
             Some(error) => Err(error),
@@ -63,23 +70,23 @@
         }
     }
 
-    /// Number of bytes that are waiting to be written.
-    pub fn backlog(&self) -> usize {
+    /// Number of output bytes that have not been written yet.
+    pub fn unwritten_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
     /// The output buffer, to which callers append.
-    pub fn output(&mut self) -> &mut Vec<u8> {
+    pub fn output_buffer(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
 
-    /// Writes what can be written now, and has the poller report when the rest can be.
+    /// Writes as much output as the socket accepts. If some is left, the poller reports when the socket is writable.
     pub fn flush(&mut self, poller: &Poller) -> io::Result<()> {
         self.write_output()?;
         if self.written >= self.output.len() {
-            self.reset_output();
+            self.clear_output();
         }
-        self.watch_write(poller, !self.output.is_empty())
+        self.set_write_interest(poller, !self.output.is_empty())
     }
 
     fn write_output(&mut self) -> io::Result<()> {
@@ -95,8 +102,8 @@
         Ok(())
     }
 
-    /// Empties the output buffer. The memory of a large one is released.
-    fn reset_output(&mut self) {
+    /// Empties the output buffer, and releases its memory if it has grown large.
+    fn clear_output(&mut self) {
         self.written = 0;
         self.output.clear();
         if self.output.capacity() > READ_CHUNK {
@@ -104,35 +111,35 @@
         }
     }
 
-    fn watch_write(&mut self, poller: &Poller, watch: bool) -> io::Result<()> {
-        if watch == self.watches_write {
+    fn set_write_interest(&mut self, poller: &Poller, is_wanted: bool) -> io::Result<()> {
+        if is_wanted == self.has_write_interest {
             return Ok(());
         }
-        self.watches_write = watch;
-        let event = Event::new(self.key, true, watch);
+        self.has_write_interest = is_wanted;
+        let event = Event::new(self.key, true, is_wanted);
         poller.modify_with_mode(&self.stream, event, PollMode::Level)
     }
 
-    /// Passes all bytes that can be read now to `take`, and writes what can be written. Returns whether the connection
-    /// is still open in both directions.
-    pub fn exchange(
+    /// Passes all bytes that are available to `on_bytes`, and writes as much output as the socket accepts. Returns
+    /// whether the connection is still open in both directions.
+    pub fn read_and_flush(
         &mut self,
         poller: &Poller,
         buffer: &mut [u8],
-        take: impl FnMut(&[u8]),
+        on_bytes: impl FnMut(&[u8]),
     ) -> bool {
-        let read = self.read(buffer, take);
+        let read = self.read(buffer, on_bytes);
         let flushed = self.flush(poller);
         flushed.is_ok() && matches!(read, Ok(true))
     }
 
-    /// Passes all bytes that can be read now to `take`. Returns false once the other side has closed the connection.
-    fn read(&mut self, buffer: &mut [u8], mut take: impl FnMut(&[u8])) -> io::Result<bool> {
+    /// Passes all bytes that are available to `on_bytes`. Returns false once the remote side has closed the connection.
+    fn read(&mut self, buffer: &mut [u8], mut on_bytes: impl FnMut(&[u8])) -> io::Result<bool> {
         loop {
             match self.stream.read(buffer) {
                 Ok(0) => return Ok(false),
                 Ok(count) => {
-                    take(&buffer[..count]);
+                    on_bytes(&buffer[..count]);
                     if count < buffer.len() {
                         return Ok(true);
                     }
@@ -150,27 +157,27 @@
     }
 }
 
-/// Registers a stream with the poller.
 #[allow(unsafe_code)]
-fn register(poller: &Poller, stream: &TcpStream, event: Event) -> io::Result<()> {
-    // SAFETY: every stream is deleted from the poller in `Connection::close`, the only way a `Connection` is disposed
-    // of while the poller lives; a stream dropped by an early error path is closed, which epoll forgets by itself.
+fn add_to_poller(poller: &Poller, stream: &TcpStream, event: Event) -> io::Result<()> {
+    // SAFETY: `TcpConnection::close` deletes the stream from the poller, and a `TcpConnection` is disposed of in no
+    // other way while the poller lives. A stream that an early error path drops is closed, and epoll removes closed
+    // streams by itself.
     unsafe { poller.add_with_mode(stream, event, PollMode::Level) }
 }
 
-/// Allocates keys of the poller, each once.
-pub struct KeySequence {
+/// Allocates poller keys. No key is allocated twice.
+pub struct KeyAllocator {
     next: usize,
 }
 
-impl KeySequence {
-    /// A sequence that begins with the key `first`.
+impl KeyAllocator {
+    /// An allocator whose first key is `first`.
     pub fn starting_at(first: usize) -> Self {
-        KeySequence { next: first }
+        KeyAllocator { next: first }
     }
 
-    /// The next key. No other connection or listener has it.
-    pub fn take(&mut self) -> usize {
+    /// Returns a key that no other connection or listener has.
+    pub fn allocate(&mut self) -> usize {
         let key = self.next;
         self.next += 1;
         key
@@ -197,7 +204,7 @@
         Ok(Listener { inner })
     }
 
-    /// Accepts the next connection that waits, if one does.
+    /// Accepts the next pending connection, if there is one.
     pub fn accept(&self) -> Option<TcpStream> {
         loop {
             match self.inner.accept() {
--- a/crates/vetchmount/src/settings.rs
+++ b/crates/vetchmount/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reading of the settings files. Every error names the file and the field.
+//! Reading of the settings files. Errors name the file and the field that they concern.
 
 use control::{Operator, Settings};
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why the settings can't be used.
+/// Why the settings are not accepted.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// A file could not be read.
@@ -17,7 +17,7 @@
         /// Cause.
         source: io::Error,
     },
-    /// The content of a file is not accepted.
+    /// The content of a file is invalid.
     #[error("{}: {source}", .path.display())]
     Invalid {
         /// The file.
@@ -25,20 +25,20 @@
         /// What is wrong with the content.
         source: InvalidContent,
     },
-    /// The operators' settings do not fit those of the platform.
+    /// The operators' settings are not compatible with those of the platform.
     #[error("{0}")]
-    Mismatch(String),
+    Incompatible(String),
 }
 
 /// What is wrong with the content of a settings file.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum InvalidContent {
-    /// It can't be parsed.
+    /// The content can't be parsed.
     #[error("{0}")]
     Unparsable(String),
-    /// It breaks the schema of the operators' settings.
+    /// The content violates the schema of the operators' settings.
     #[error("{field}: {reason}")]
-    AgainstSchema {
+    SchemaViolation {
         /// Path of the field within the file.
         field: String,
         /// What the schema demands.
@@ -46,30 +46,32 @@
     },
     /// A value is not allowed.
     #[error("{0}")]
-    Rejected(String),
+    InvalidValue(String),
 }
 
-/// Reads and checks the platform's settings.
-pub fn load(path: &Path) -> Result<Settings, SettingsError> {
-    load_with(path, parse)
+/// Reads and validates the platform's settings.
+pub fn load_platform(path: &Path) -> Result<Settings, SettingsError> {
+    load(path, parse_platform)
 }
 
-/// Reads and checks the operators' own settings.
+/// Reads the operators' own settings and validates them against their schema.
 pub fn load_operator(path: &Path) -> Result<Operator, SettingsError> {
-    load_with(path, parse_operator)
+    load(path, parse_operator)
 }
 
-/// Checks that the operators' settings fit those of the platform.
-pub fn check_match(operator: &Operator, settings: &Settings) -> Result<(), SettingsError> {
-    operator.validate(settings).map_err(SettingsError::Mismatch)
+/// Checks that the operators' settings are compatible with those of the platform.
+pub fn check_compatibility(operator: &Operator, settings: &Settings) -> Result<(), SettingsError> {
+    operator
+        .validate(settings)
+        .map_err(SettingsError::Incompatible)
 }
 
-/// The schema of the operators' settings, generated from the types.
+/// The JSON schema of the operators' settings, generated from their Rust types.
 pub fn schema_text() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(Operator)).unwrap_or_default()
 }
 
-fn load_with<T>(
+fn load<T>(
     path: &Path,
     parse: impl FnOnce(&str) -> Result<T, InvalidContent>,
 ) -> Result<T, SettingsError> {
@@ -83,10 +85,10 @@
     })
 }
 
-fn parse(text: &str) -> Result<Settings, InvalidContent> {
+fn parse_platform(text: &str) -> Result<Settings, InvalidContent> {
     let settings: Settings =
         toml::from_str(text).map_err(|error| unparsable(one_line(&error.to_string())))?;
-    settings.validate().map_err(InvalidContent::Rejected)?;
+    settings.validate().map_err(InvalidContent::InvalidValue)?;
     Ok(settings)
 }
 
@@ -111,14 +113,14 @@
         path
     };
     let reason = one_line(&error.to_string());
-    Err(InvalidContent::AgainstSchema { field, reason })
+    Err(InvalidContent::SchemaViolation { field, reason })
 }
 
 fn unparsable(error: impl std::fmt::Display) -> InvalidContent {
     InvalidContent::Unparsable(error.to_string())
 }
 
-/// Joins the lines of an error text, so that each error is one line of output.
+/// Joins the lines of an error message, so that each error is one line of output.
 fn one_line(text: &str) -> String {
     let lines: Vec<&str> = text.lines().map(str::trim).collect();
     lines.join(" ")
--- a/crates/vetchmount/src/settings/tests.rs
+++ b/crates/vetchmount/src/settings/tests.rs
@@ -1,8 +1,8 @@
-//! Which settings are accepted, and that a refusal names the field.
+//! Valid settings are accepted; the error for invalid ones names the field.
 
-use super::{parse, parse_operator, schema_text};
+use super::{parse_operator, parse_platform, schema_text};
 
-const GOOD: &str = r#"
+const VALID_SETTINGS: &str = r#"
 label = "a"
 area = "z"
 public_addr = "127.0.0.1:1"
@@ -32,16 +32,16 @@
 "#;
 
 #[test]
-fn good_settings_pass_and_bad_ones_name_the_field() {
-    assert!(parse(GOOD).is_ok());
-    let next = |text: &str| {
-        let with = format!("[deployment.state.next]\n{text}\n[deployment.cloud]");
-        parse(&GOOD.replace("[deployment.cloud]", &with))
+fn valid_settings_are_accepted_and_errors_for_invalid_ones_name_the_field() {
+    assert!(parse_platform(VALID_SETTINGS).is_ok());
+    let parse_with_next = |next: &str| {
+        let sections = format!("[deployment.state.next]\n{next}\n[deployment.cloud]");
+        parse_platform(&VALID_SETTINGS.replace("[deployment.cloud]", &sections))
     };
-    let larger = next("value_kb = 64.0\ntxn_ops = 40\nunheard_of = 1").expect("allowed");
+    let larger = parse_with_next("value_kb = 64.0\ntxn_ops = 40\nunheard_of = 1").expect("allowed");
     assert_eq!(larger.deployment.state.least().txn_ops, 12);
     assert_eq!(
-        next("value_kb = 2.0")
+        parse_with_next("value_kb = 2.0")
             .expect("ok")
             .deployment
             .state
@@ -56,8 +56,8 @@
         ("write_rps = -1.0", "state.next.write_rps"),
         ("txn_ops = -1", "txn_ops"),
     ] {
-        let why = next(text).expect_err(text).to_string();
-        assert!(why.contains(field), "{why} should name {field}");
+        let error = parse_with_next(text).expect_err(text).to_string();
+        assert!(error.contains(field), "{error} should name {field}");
     }
     for (from, to, field) in [
         ("lease_s = 12.0", "", "lease_s"),
@@ -70,14 +70,16 @@
         ("txn_ops = 12", "txn_ops = 1", "deployment.state.txn_ops"),
         ("label = \"a\"", "label = 4", "label"),
     ] {
-        let why = parse(&GOOD.replace(from, to)).expect_err(to).to_string();
-        assert!(why.contains(field), "{why} should name {field}");
-        assert!(!why.contains('\n'), "{why:?} should be one line");
+        let error = parse_platform(&VALID_SETTINGS.replace(from, to))
+            .expect_err(to)
+            .to_string();
+        assert!(error.contains(field), "{error} should name {field}");
+        assert!(!error.contains('\n'), "{error:?} should be one line");
     }
 }
 
 #[test]
-fn the_committed_schema_is_the_generated_one_and_is_enforced() {
+fn the_committed_schema_equals_the_generated_one_and_is_enforced() {
     let committed = include_str!("../../../../schema/operator.schema.json");
     assert_eq!(committed.trim(), schema_text().trim());
     assert_eq!(
@@ -89,7 +91,7 @@
         (r#"{"thin": 2}"#, "thin"),
         (r#"{"queues": "x"}"#, "queues"),
     ] {
-        let why = parse_operator(text).expect_err(text).to_string();
-        assert!(why.contains(field), "{why} should name {field}");
+        let error = parse_operator(text).expect_err(text).to_string();
+        assert!(error.contains(field), "{error} should name {field}");
     }
 }
