--- a/crates/control/src/cloud.rs
+++ b/crates/control/src/cloud.rs
@@ -60,8 +60,8 @@
         self.wake = None;
         for queue in &mut self.queues {
             while !queue.is_empty() {
-                if now < self.paused_until || !self.bucket.take(now, ONE_CALL) {
-                    let wait_ms = self.bucket.wait(ONE_CALL).max(MIN_WAIT_MS);
+                if now < self.paused_until || !self.bucket.try_take(now, ONE_CALL) {
+                    let wait_ms = self.bucket.wait_ms(ONE_CALL).max(MIN_WAIT_MS);
                     self.wake = Some(self.paused_until.max(now + wait_ms));
                     return;
                 }
--- a/crates/control/src/cloud/calls.rs
+++ b/crates/control/src/cloud/calls.rs
@@ -1,7 +1,7 @@
 //! Encodes requests to the cloud as HTTP calls, and decodes its replies.
 
 use super::CallResult;
-use crate::effects::{CallError, CallId, Output, Target};
+use crate::effects::{CallError, CallId, CallTarget, Output};
 use crate::requests::{CloudOp, CloudReply};
 use constants::{CLOUD_TIMEOUT_MS, LIST_MAX};
 use wire::cloud::{MachineNames, MachineTypes};
@@ -14,7 +14,7 @@
 pub(super) fn encode_call(op: &CloudOp, call: CallId) -> Output {
     Output::Call {
         call,
-        target: Target::Cloud,
+        target: CallTarget::Cloud,
         method: method(op),
         path: path(op),
         body: body(op),
--- a/crates/control/src/effects.rs
+++ b/crates/control/src/effects.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of a node, and what its actors ask of each other.
+//! Inputs and outputs of a node, and the effects that its actors request from each other.
 
 mod actor_effects;
 mod node_event;
@@ -6,4 +6,4 @@
 
 pub(crate) use actor_effects::{CloudCall, Effects, StateRequest, WorkerMessage};
 pub(crate) use node_event::NodeEvent;
-pub use node_io::{CallError, CallId, Input, Now, Output, RequestId, Target};
+pub use node_io::{CallError, CallId, CallTarget, Input, Now, Output, RequestId};
--- a/crates/control/src/effects/actor_effects.rs
+++ b/crates/control/src/effects/actor_effects.rs
@@ -1,7 +1,7 @@
-//! What the actors of a node ask of each other.
+//! Effects that the actors of a node request from each other.
 //!
-//! An actor never calls another one. It records what it wants in [`Effects`], and the node carries that out once the
-//! actor has returned.
+//! An actor never calls another actor. It records the effects that it requests in [`Effects`], and the node executes
+//! them after the actor has returned.
 
 use super::{NodeEvent, Now, Output, RequestId};
 use crate::requests::{CloudOp, CloudTag, Priority, StateOp, StateTag};
@@ -9,32 +9,32 @@
 use wire::peers::PeerMessage;
 use wire::users::Refusal;
 
-/// HTTP status: the caller sends too many requests.
+/// HTTP status code: the client has sent too many requests.
 const TOO_MANY_REQUESTS: u16 = 429;
-/// HTTP status: the request can't be served at the moment.
+/// HTTP status code: the request can't be served at the moment.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
 /// A request to the state service.
 #[derive(Debug)]
 pub(crate) struct StateRequest {
-    /// Its place in the order of sending.
+    /// Priority with which the request is sent.
     pub priority: Priority,
-    /// What the state service is to do.
+    /// Operation that the state service executes.
     pub op: StateOp,
-    /// Who takes the reply.
+    /// Identifies the receiver of the reply.
     pub tag: StateTag,
 }
 
 /// A request to the cloud.
 #[derive(Debug)]
 pub(crate) struct CloudCall {
-    /// What the cloud is to do.
+    /// Operation that the cloud executes.
     pub op: CloudOp,
-    /// Who takes the reply.
+    /// Identifies the receiver of the reply.
     pub tag: CloudTag,
 }
 
-/// A message that is sent to a worker directly, rather than with the answer to a heartbeat.
+/// A message that is sent to a worker directly instead of in the answer to a heartbeat.
 #[derive(Debug)]
 pub(crate) struct WorkerMessage {
     /// The worker's own address.
@@ -43,10 +43,10 @@
     pub body: Vec<u8>,
 }
 
-/// What an actor wants done by others once it has returned. Each list is carried out in the order of its entries.
+/// Effects that an actor requests, to be executed after it has returned. Each list is executed in order.
 #[derive(Default)]
 pub(crate) struct Effects {
-    /// The moment at which the actor was called.
+    /// Time at which the actor was called.
     pub now: Now,
     /// Requests to the state service.
     pub state_requests: Vec<StateRequest>,
@@ -61,7 +61,7 @@
 }
 
 impl Effects {
-    /// No effects yet.
+    /// Creates an empty list of effects.
     pub fn new(now: Now) -> Self {
         Effects {
             now,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether nothing is left to carry out.
+    /// Whether no effects remain to be executed.
     pub fn is_empty(&self) -> bool {
         self.state_requests.is_empty()
             && self.cloud_requests.is_empty()
@@ -78,12 +78,12 @@
             && self.outputs.is_empty()
     }
 
-    /// Sends a request to the state service. The tag says who takes the reply.
+    /// Sends a request to the state service. The tag identifies the receiver of the reply.
     pub fn request_state(&mut self, priority: Priority, op: StateOp, tag: StateTag) {
         self.state_requests.push(StateRequest { priority, op, tag });
     }
 
-    /// Sends a request to the cloud. The tag says who takes the reply.
+    /// Sends a request to the cloud. The tag identifies the receiver of the reply.
     pub fn request_cloud(&mut self, op: CloudOp, tag: CloudTag) {
         self.cloud_requests.push(CloudCall { op, tag });
     }
@@ -93,7 +93,7 @@
         self.events.push(event);
     }
 
-    /// Sends a message to the worker at this address. No actor takes the reply.
+    /// Sends a message to the worker at this address. No actor receives the reply.
     pub fn send_to_worker(&mut self, address: String, body: Vec<u8>) {
         self.worker_messages.push(WorkerMessage { address, body });
     }
@@ -109,7 +109,7 @@
         self.outputs.push(Output::Peer { to: None, message });
     }
 
-    /// Answers a request.
+    /// Answers a request, without a retry hint.
     pub fn respond(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
         self.outputs.push(Output::Respond {
             id,
@@ -119,8 +119,8 @@
         });
     }
 
-    /// Answers a request. Where its status says that the request may succeed later, the answer says when to try again.
-    pub fn respond_or_retry(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
+    /// Answers a request. If the status indicates that the request may succeed later, the answer states when to retry.
+    pub fn respond_with_retry_after(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
         let is_temporary = matches!(status, TOO_MANY_REQUESTS | SERVICE_UNAVAILABLE);
         self.outputs.push(Output::Respond {
             id,
@@ -130,11 +130,11 @@
         });
     }
 
-    /// Refuses a request. Where it may succeed later, the answer says when to try again.
+    /// Refuses a request. If the status indicates that it may succeed later, the answer states when to retry.
     pub fn refuse(&mut self, id: RequestId, status: u16, reason: &str) {
         let body = wire::encode(&Refusal {
             error: reason.to_string(),
         });
-        self.respond_or_retry(id, status, body);
+        self.respond_with_retry_after(id, status, body);
     }
 }
--- a/crates/control/src/effects/node_event.rs
+++ b/crates/control/src/effects/node_event.rs
@@ -10,12 +10,12 @@
     Elected {
         /// Fencing term of the new leader.
         term: u64,
-        /// Version of the leader key, which every transaction of this leader is conditional on.
+        /// Version of the leader key. Every transaction of this leader requires that version.
         version: u64,
     },
     /// This node has lost or given up leadership.
     SteppedDown {
-        /// Why, for the log.
+        /// Reason, for the log.
         reason: &'static str,
     },
     /// A job has reached its final state.
@@ -30,14 +30,14 @@
         /// Id of the job.
         job: String,
     },
-    /// No controller is left that can't read the records of generation 1.
+    /// Every controller can read the records of generation 1.
     Upgraded,
     /// An observation proves that every controller runs generation 1.
     UpgradeEvidence {
         /// What was observed, for the log.
         observation: &'static str,
     },
-    /// A write failed since the cluster's feature level has changed.
+    /// A write failed because the cluster's feature level has changed.
     LevelChanged,
     /// The machine types were read, or have changed.
     MachineTypesRead(Vec<MachineType>),
--- a/crates/control/src/effects/node_io.rs
+++ b/crates/control/src/effects/node_io.rs
@@ -1,42 +1,42 @@
-//! The interface between a node and the process that runs it: inputs, outputs, calls and the time.
+//! The interface between a node and the process that runs it: inputs, outputs, calls and the current time.
 
 use wire::peers::PeerMessage;
 
-/// A moment in milliseconds: the steady clock for timeouts, the time of day for records.
+/// A point in time, in milliseconds, on two clocks: the monotonic clock for timeouts and the wall clock for records.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Now {
-    /// Steady clock.
+    /// Monotonic clock.
     pub mono: u64,
-    /// Time of day.
+    /// Wall clock.
     pub unix: u64,
 }
 
-/// Identifies a request from outside that wants an answer.
+/// Identifies an incoming request that has to be answered.
 pub type RequestId = u64;
-/// Identifies a call of this node that will get a reply.
+/// Identifies an outgoing call of this node, which will receive a reply.
 pub type CallId = u64;
 
 /// The recipient of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Target {
+pub enum CallTarget {
     /// The state service.
     State,
     /// The cloud.
     Cloud,
-    /// A worker, at its own address.
+    /// The worker with this address.
     Worker(String),
 }
 
-/// Why a call has no reply.
+/// Reason why a call has no reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// The call was never sent, so it was certainly not executed.
+    /// The call was not sent, so it was not executed.
     NotSent,
-    /// The call may have been executed, or may still be.
+    /// The call may have been executed, or may still be executed.
     Unknown,
 }
 
-/// Something that happens to a node.
+/// An input of a node.
 #[derive(Debug, Clone)]
 pub enum Input {
     /// A user, a worker or a load balancer sent a request.
@@ -45,20 +45,20 @@
         id: RequestId,
         /// HTTP method.
         method: String,
-        /// HTTP target.
+        /// HTTP request target.
         target: String,
         /// Body.
         body: Vec<u8>,
     },
     /// A call of this node has completed or failed.
     Reply {
-        /// The call, as in [`Output::Call`].
+        /// Identifies the call, as in [`Output::Call`].
         call: CallId,
-        /// HTTP status and body.
+        /// HTTP status code and body, or the reason why there is no reply.
         result: Result<(u16, Vec<u8>), CallError>,
     },
-    /// A peer's process has probably ended: its connection broke, and a new one is refused.
-    PeerRefused {
+    /// A peer refused a new connection after the previous one broke, so its process has probably ended.
+    PeerConnectionRefused {
         /// Label of the peer.
         from: String,
     },
@@ -69,20 +69,20 @@
         /// The message.
         message: PeerMessage,
     },
-    /// The process is asked to stop.
+    /// The process has been asked to stop.
     Stop,
 }
 
-/// Something that a node asks its process to do.
+/// An output of a node: an action that its process executes.
 #[derive(Debug, Clone)]
 pub enum Output {
     /// Answer a request.
     Respond {
-        /// The request, as in [`Input::Request`].
+        /// Identifies the request, as in [`Input::Request`].
         id: RequestId,
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// Seconds after which the caller should try again.
+        /// Seconds after which the client should retry.
         retry_after_s: Option<u32>,
         /// Body.
         body: Vec<u8>,
@@ -92,10 +92,10 @@
         /// Identifies the call in [`Input::Reply`].
         call: CallId,
         /// The recipient.
-        target: Target,
+        target: CallTarget,
         /// HTTP method.
         method: &'static str,
-        /// HTTP target.
+        /// HTTP request target.
         path: String,
         /// Body.
         body: Vec<u8>,
--- a/crates/control/src/forwarding.rs
+++ b/crates/control/src/forwarding.rs
@@ -160,7 +160,7 @@
             return;
         }
         if let Some(pending) = self.pending.remove(&call) {
-            effects.respond_or_retry(pending.request, status, body);
+            effects.respond_with_retry_after(pending.request, status, body);
         }
     }
 
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -1,20 +1,21 @@
-//! Requests of users: submissions, cancellations and status questions.
+//! Processes users' requests: submissions, cancellations and status queries.
 //!
-//! Each request is decided against the state service. A cache answers alone only where what it holds is final: a job
-//! that is done or cancelled never changes again. Everything else in the cache only tells what to ask.
+//! The state service decides the answer to each request. The cache alone answers a request only if the cached data is
+//! final: a job that is done or cancelled never changes again. All other cached data only determines which requests to
+//! send to the state service.
 //!
 //! A request passes through these modules:
 //!
-//! - `intake` reads it and chooses its first stage, with `admission` for submissions;
-//! - `pending` holds it, with its operation and its stage, while it waits;
-//! - `sending` sends what a stage needs, and `replies` routes what comes back;
-//! - `submit`, `cancel` and `status` decide the three operations;
+//! - `intake` parses it and chooses its first stage, using `admission` for submissions;
+//! - `pending` stores it, with its operation and its stage, until it is answered;
+//! - `sending` sends the state service request of a stage, and `replies` routes the reply;
+//! - `submit`, `cancel` and `status` implement the three operations;
 //! - `read_validation` and `unknown_ids` answer many requests with one transaction;
-//! - `dependency_state` and `dependency_reads` look at the jobs that a job needs.
+//! - `dependency_state` and `dependency_reads` evaluate the jobs on which a job depends.
 //!
-//! Around them, `job_cache` stores what is known of jobs, `events` takes in what the rest of the node reports,
-//! `job_records` lays out a job's stored records, `compares` builds conditions, and `rejection` lists every reason to
-//! refuse a request.
+//! In addition, `job_cache` caches data about jobs, `events` handles reports from the rest of the node, `job_records`
+//! defines the stored records of a job, `compares` builds the conditions of transactions, and `rejection` lists all
+//! reasons for refusing a request.
 
 mod admission;
 mod cancel;
@@ -44,10 +45,10 @@
 use rejection::Rejection;
 use unknown_ids::UnknownIds;
 
-/// Conditions that a transaction may hold for each write that it may hold; the protocol says so.
+/// Number of compares that the state service protocol permits in a transaction per permitted write.
 const COMPARES_PER_WRITE: usize = 4;
 
-/// A node's users: their requests in hand, and what is known of the jobs they ask about.
+/// Serves a node's users: holds their pending requests and the cached data about jobs.
 pub(crate) struct Gateway {
     admission: Admission,
     records: JobRecordWriter,
@@ -55,12 +56,12 @@
     pending: PendingRequests,
     validation: ReadValidation,
     unknown_ids: UnknownIds,
-    /// Conditions that one transaction can hold under any limits, today's or those to come.
+    /// Number of compares that a transaction may contain under both the current and the future limits.
     max_compares: usize,
 }
 
 impl Gateway {
-    /// A gateway without requests, for these teams and limits of the state service.
+    /// Creates a gateway for these teams and state service limits.
     pub fn new(teams: Vec<Team>, limits: &StateLimits) -> Self {
         Gateway {
             admission: Admission::new(teams),
@@ -69,38 +70,39 @@
             pending: PendingRequests::default(),
             validation: ReadValidation::default(),
             unknown_ids: UnknownIds::default(),
-            max_compares: COMPARES_PER_WRITE * limits.least().txn_ops,
+            max_compares: COMPARES_PER_WRITE * limits.strictest().txn_ops,
         }
     }
 
-    /// Refuses requests that are past their deadline, and sends the transactions that are due.
+    /// Refuses requests whose deadline has passed, and sends the transactions that are due.
     pub fn tick(&mut self, effects: &mut Effects) {
-        for number in self.pending.past_deadline(effects.now.mono) {
-            self.refuse(number, &Rejection::DeadlineExceeded, effects);
+        for pending_id in self.pending.past_deadline(effects.now.mono) {
+            self.refuse(pending_id, &Rejection::DeadlineExceeded, effects);
         }
         self.send_validation(effects);
-        self.send_id_search(effects);
+        self.send_unknown_id_check(effects);
     }
 
-    /// When [`Gateway::tick`] next has a transaction to send; `u64::MAX` if nothing waits for one.
+    /// When [`Gateway::tick`] has to send the next transaction; `u64::MAX` if no request waits for one.
     pub fn next_wake(&self) -> u64 {
-        self.next_validation_at().min(self.next_id_search_at())
+        self.next_validation_at()
+            .min(self.next_unknown_id_check_at())
     }
 
-    /// Refuses every request in hand, with 503.
-    pub fn refuse_all(&mut self, why: &str, effects: &mut Effects) {
+    /// Refuses all pending requests with status 503.
+    pub fn refuse_all(&mut self, reason: &str, effects: &mut Effects) {
         for pending in self.pending.drain() {
-            effects.refuse(pending.request, rejection::UNAVAILABLE, why);
+            effects.refuse(pending.request, rejection::UNAVAILABLE, reason);
         }
     }
 
-    /// Whether no request waits for an answer.
+    /// Whether no request is pending.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Whether the machine types are known, without which no submission can be accepted.
-    pub fn knows_types(&self) -> bool {
-        self.admission.knows_types()
+    /// Whether the machine types are known. No submission can be accepted without them.
+    pub fn knows_machine_types(&self) -> bool {
+        self.admission.knows_machine_types()
     }
 }
--- a/crates/control/src/gateway/admission.rs
+++ b/crates/control/src/gateway/admission.rs
@@ -1,21 +1,21 @@
-//! Whether a submission may be accepted: its form, its team's limits, and the machines that its tasks fit.
+//! Admission checks of submissions: valid fields, the team's limits, and a machine type that a task fits.
 
 use super::rejection::Rejection;
 use crate::settings::Team;
 use wire::cloud::MachineType;
 use wire::users::{is_job_id, Shape, Submission};
 
-/// Difference up to which amounts of CPUs, GPUs and memory count as equal: they are sums of decimal fractions.
+/// Tolerance for comparing amounts of CPUs, GPUs and memory, which are sums of decimal fractions.
 const RESOURCE_TOLERANCE: f64 = 1e-6;
 
-/// What submissions are checked against.
+/// The teams and machine types against which submissions are checked.
 pub(super) struct Admission {
     teams: Vec<Team>,
     machine_types: Option<Vec<MachineType>>,
 }
 
 impl Admission {
-    /// Checks for these teams; the machine types are not known yet.
+    /// Creates the checks for these teams. The machine types are not known yet.
     pub(super) fn new(teams: Vec<Team>) -> Self {
         Admission {
             teams,
@@ -23,22 +23,22 @@
         }
     }
 
-    /// Replaces the machine types.
-    pub(super) fn set_types(&mut self, types: Vec<MachineType>) {
+    /// Sets the known machine types.
+    pub(super) fn set_machine_types(&mut self, types: Vec<MachineType>) {
         self.machine_types = Some(types);
     }
 
     /// Whether the machine types are known.
-    pub(super) fn knows_types(&self) -> bool {
+    pub(super) fn knows_machine_types(&self) -> bool {
         self.machine_types.is_some()
     }
 
-    /// Checks a submission without asking whether the jobs that it needs exist.
+    /// Checks a submission, except for whether its dependencies exist.
     pub(super) fn check(&self, spec: &Submission) -> Result<(), Rejection> {
         if let Some(field) = spec.invalid_field() {
             return Err(Rejection::InvalidField(field));
         }
-        // A job can't need itself, and no job has an id of another form.
+        // A job can't depend on itself, and no job has an ID that is not well-formed.
         let is_impossible = |id: &&String| **id == spec.id || !is_job_id(id);
         if let Some(id) = spec.needs.iter().find(is_impossible) {
             return Err(Rejection::UnknownDependency(id.clone()));
@@ -47,7 +47,7 @@
         self.check_machine_types(spec)
     }
 
-    /// A job that exceeds its team's limit even when nothing else runs could never run.
+    /// Rejects a job that exceeds its team's limit even if no other job runs, since it could never run.
     fn check_team_limit(&self, spec: &Submission) -> Result<(), Rejection> {
         let Some(team) = self.teams.iter().find(|team| team.name == spec.team) else {
             return Err(Rejection::UnknownTeam(spec.team.clone()));
@@ -77,13 +77,13 @@
     }
 }
 
-/// Whether a task may run on an empty machine of a type.
+/// Whether a task can run on an empty machine of this type.
 fn fits(spec: &Submission, machine_type: &MachineType) -> bool {
     let type_allowed = spec
         .types
         .as_ref()
         .is_none_or(|names| names.contains(&machine_type.name));
-    // A type without zones is offered in all of them.
+    // A type that lists no zones is available in all zones.
     let zone_allowed = spec
         .zone
         .as_ref()
--- a/crates/control/src/gateway/dependency_reads.rs
+++ b/crates/control/src/gateway/dependency_reads.rs
@@ -1,4 +1,4 @@
-//! Reads of jobs that a job needs and of which nothing is known.
+//! Reads of jobs on which a job depends and that are not in the cache.
 
 use super::job_cache::JobVersion;
 use super::pending::{Operation, RecordKind, Stage};
@@ -10,20 +10,20 @@
 use wire::state::Item;
 
 impl Gateway {
-    /// Reads a job that a request's job needs: the open record first, then the final one.
-    pub(super) fn read_dependency(&mut self, number: u64, id: String, effects: &mut Effects) {
+    /// Reads a job on which a request's job depends: first the open record, then the final record.
+    pub(super) fn read_dependency(&mut self, pending_id: u64, id: String, effects: &mut Effects) {
         let record = RecordKind::Open;
-        self.advance(number, Stage::ReadingDependency { id, record }, effects);
+        self.advance(pending_id, Stage::ReadingDependency { id, record }, effects);
     }
 
-    /// A record of a needed job was read.
+    /// Handles the reply to a read of a dependency's record.
     pub(super) fn on_dependency_read(
         &mut self,
-        number: u64,
+        pending_id: u64,
         reply: StateReply,
         effects: &mut Effects,
     ) {
-        let Some(pending) = self.pending.get(number) else {
+        let Some(pending) = self.pending.get(pending_id) else {
             return;
         };
         let Stage::ReadingDependency { id, record } = &pending.stage else {
@@ -34,16 +34,16 @@
             (StateReply::Item(item), _) => self.remember_dependency(id, record, item, effects),
             (StateReply::Missing, RecordKind::Open) => {
                 let record = RecordKind::Final;
-                return self.advance(number, Stage::ReadingDependency { id, record }, effects);
+                return self.advance(pending_id, Stage::ReadingDependency { id, record }, effects);
             }
             (StateReply::Missing, RecordKind::Final) => {
-                return self.on_dependency_absent(number, id, effects);
+                return self.on_dependency_absent(pending_id, id, effects);
             }
             _ => Err(Rejection::StateUnreachable),
         };
         match read {
-            Ok(()) => self.resume(number, effects),
-            Err(why) => self.refuse(number, &why, effects),
+            Ok(()) => self.resume(pending_id, effects),
+            Err(rejection) => self.refuse(pending_id, &rejection, effects),
         }
     }
 
@@ -58,50 +58,50 @@
             RecordKind::Open => {
                 let record: JobRecord = read_record(&item)?;
                 if record.aborted {
-                    // This node may answer so from now on.
+                    // From now on this node may answer that the job is cancelled.
                     effects.emit(NodeEvent::JobCancelled { job: id.clone() });
                 }
                 let observed = JobVersion::new(item.version, record.aborted, &record.spec.needs);
                 self.cache.remember_version(&id, observed);
             }
             RecordKind::Final => {
-                let end: Final = read_record(&item)?;
-                self.cache.remember_final(id, end);
+                let outcome: Final = read_record(&item)?;
+                self.cache.remember_outcome(id, outcome);
             }
         }
         Ok(())
     }
 
-    /// A needed job is neither open nor over: it was never accepted. A submission is refused for it, unless its own id
-    /// turns out to be known.
-    fn on_dependency_absent(&mut self, number: u64, needed: String, effects: &mut Effects) {
-        let Some(pending) = self.pending.get_mut(number) else {
+    /// Handles a dependency that is neither open nor ended, so that it was never accepted. A submission is refused for
+    /// that reason, unless a job with its own ID exists.
+    fn on_dependency_absent(&mut self, pending_id: u64, dependency: String, effects: &mut Effects) {
+        let Some(pending) = self.pending.get_mut(pending_id) else {
             return;
         };
         match &mut pending.operation {
             operation @ (Operation::Submit(_) | Operation::RejectedSubmit(_)) => {
-                *operation = Operation::RejectedSubmit(Rejection::UnknownDependency(needed));
-                self.advance(number, Stage::ReadingOpen, effects);
+                *operation = Operation::RejectedSubmit(Rejection::UnknownDependency(dependency));
+                self.advance(pending_id, Stage::ReadingOpen, effects);
             }
             Operation::Status | Operation::Cancel => {
-                let id = &pending.id;
-                log::error!("event=needed_job_missing job={id} needs={needed}");
-                self.refuse(number, &Rejection::DependencyMissing, effects);
+                let id = &pending.job_id;
+                log::error!("event=needed_job_missing job={id} needs={dependency}");
+                self.refuse(pending_id, &Rejection::DependencyMissing, effects);
             }
         }
     }
 
-    /// Goes on with a request after a needed job was read.
-    fn resume(&mut self, number: u64, effects: &mut Effects) {
-        // A known id that is submitted again asks only for its state.
-        let creates = self.pending.get(number).is_some_and(|pending| {
+    /// Resumes a request after a dependency was read.
+    fn resume(&mut self, pending_id: u64, effects: &mut Effects) {
+        // The repeated submission of a known ID only queries the job's state.
+        let creates = self.pending.get(pending_id).is_some_and(|pending| {
             matches!(pending.operation, Operation::Submit(_))
-                && self.cache.known_version(&pending.id).is_none()
+                && self.cache.known_version(&pending.job_id).is_none()
         });
         if creates {
-            self.continue_submission(number, effects)
+            self.continue_submission(pending_id, effects)
         } else {
-            self.start_validation(number, effects)
+            self.start_validation(pending_id, effects)
         }
     }
 }
--- a/crates/control/src/gateway/dependency_state.rs
+++ b/crates/control/src/gateway/dependency_state.rs
@@ -1,43 +1,47 @@
-//! Whether a job that a job needs, directly or not, is cancelled, as far as this node knows.
+//! Determines from the cache whether a direct or transitive dependency of a job is cancelled.
 //!
-//! What jobs a job needs is written with it and never changes; done and cancelled are final. So the search through the
-//! graph of dependencies rests on what was read before, and only the versions of open records have to be validated
-//! again.
+//! A job's dependencies are written when it is created and never change, and the states done and cancelled are final.
+//! The search through the dependency graph can therefore use cached data; only the versions of open records have to be
+//! validated.
 
 use super::job_cache::JobCache;
 use super::pending::RecordVersions;
 use std::collections::HashSet;
 use wire::records::Final;
 
-/// What is known of some jobs and of all jobs that they need.
+/// Cached state of some jobs and of all their transitive dependencies.
 pub(super) enum DependencyState {
-    /// One of them is cancelled, for good.
+    /// One of the jobs is cancelled, which is final.
     Cancelled,
-    /// Nothing is known of this one: it was never read, or has changed since.
+    /// The cache has no data on the job with this ID: it was never read, or has changed since.
     Unknown(String),
-    /// None was cancelled, as long as these open records have these versions.
+    /// None of the jobs is cancelled, provided that these open records still have these versions.
     Open(RecordVersions),
 }
 
 impl JobCache {
-    /// Searches from some jobs, themselves included, through all that they need. Ends that are known need no
+    /// Searches the dependency graph from the root jobs, which are included. Jobs whose outcome is known need no
     /// validation.
     pub(super) fn dependency_state<'a>(
         &'a self,
-        from: impl Iterator<Item = &'a String>,
+        roots: impl Iterator<Item = &'a String>,
     ) -> DependencyState {
-        let mut stack: Vec<&String> = from.collect();
+        let mut stack: Vec<&String> = roots.collect();
         let mut seen: HashSet<&String> = stack.iter().copied().collect();
         let mut versions = RecordVersions::new();
         let mut unknown = None;
         while let Some(id) = stack.pop() {
-            match (self.known_final(id), self.known_version(id)) {
+            match (self.known_outcome(id), self.known_version(id)) {
                 (Some(Final::Done), _) => {}
                 (Some(Final::Aborted), _) => return DependencyState::Cancelled,
                 (None, Some(job)) if job.cancelled => return DependencyState::Cancelled,
                 (None, Some(job)) => {
                     versions.insert(id.clone(), job.version);
-                    stack.extend(job.needs.iter().filter(|needed| seen.insert(needed)));
+                    stack.extend(
+                        job.needs
+                            .iter()
+                            .filter(|dependency| seen.insert(dependency)),
+                    );
                 }
                 (None, None) => unknown = Some(id),
             }
--- a/crates/control/src/gateway/events.rs
+++ b/crates/control/src/gateway/events.rs
@@ -1,4 +1,4 @@
-//! What the rest of the node, its peers and the leader report to the gateway.
+//! Reports to the gateway from the rest of the node, its peers and the leader.
 
 use super::Gateway;
 use crate::effects::NodeEvent;
@@ -6,33 +6,33 @@
 use wire::records::Final;
 
 impl Gateway {
-    /// Takes over what an event of this node says about jobs, machine types or the upgrade.
+    /// Handles a node event that concerns jobs, machine types or the upgrade.
     pub fn on_event(&mut self, event: &NodeEvent) {
         match event {
-            NodeEvent::JobEnded { job, outcome } => self.remember_final(job.clone(), *outcome),
+            NodeEvent::JobEnded { job, outcome } => self.remember_outcome(job.clone(), *outcome),
             NodeEvent::JobCancelled { job } => self.remember_cancelled(job),
-            NodeEvent::MachineTypesRead(types) => self.admission.set_types(types.clone()),
+            NodeEvent::MachineTypesRead(types) => self.admission.set_machine_types(types.clone()),
             NodeEvent::Upgraded | NodeEvent::UpgradeEvidence { .. } => self.records.set_upgraded(),
             _ => {}
         }
     }
 
-    /// Notes how a job ended.
-    pub fn remember_final(&mut self, id: String, end: Final) {
-        self.cache.remember_final(id, end);
+    /// Caches the outcome of a job.
+    pub fn remember_outcome(&mut self, id: String, outcome: Final) {
+        self.cache.remember_outcome(id, outcome);
     }
 
-    /// Notes that a cancellation is recorded: no answer about the job may be older from now on.
+    /// Caches that a job's cancellation is recorded. From now on no answer may show an older state of the job.
     pub fn remember_cancelled(&mut self, id: &str) {
         self.cache.remember_cancelled(id);
     }
 
-    /// Jobs that are known to be cancelled, for a leader that has yet to read its records.
+    /// IDs of the jobs known to be cancelled, for a leader that has not read its records yet.
     pub fn known_cancelled(&self) -> impl Iterator<Item = &String> {
         self.cache.known_cancelled()
     }
 
-    /// Takes over what the leader says of open jobs.
+    /// Applies the leader's updates about open jobs.
     pub fn on_job_updates(&mut self, jobs: &[JobUpdate]) {
         self.cache.apply_job_updates(jobs);
     }
--- a/crates/control/src/gateway/intake.rs
+++ b/crates/control/src/gateway/intake.rs
@@ -1,4 +1,4 @@
-//! Reads a user's request, refuses what can't be taken, and starts the rest.
+//! Parses users' requests, refuses those that can't be processed, and starts the others.
 
 use super::pending::{Operation, PendingRequest, Stage};
 use super::rejection::Rejection;
@@ -9,7 +9,7 @@
 const SUBMISSIONS_PATH: &str = "/submissions";
 const CANCEL_SUFFIX: &str = "/abort";
 
-/// What a request's method and path ask for.
+/// Operation that a request's method and path select. A status query or cancellation has the job ID from the path.
 enum Route<'a> {
     Submit,
     Status(&'a str),
@@ -34,15 +34,14 @@
     }
 }
 
-/// A request that has been read.
+/// A parsed request, with the ID of its job.
 struct UserRequest {
     operation: Operation,
-    /// The job that it is about.
-    id: String,
+    job_id: String,
 }
 
 impl Gateway {
-    /// Takes a request of a user. Without the state service only ends that are known are answered.
+    /// Handles a user's request. If the state service is unavailable, only jobs whose outcome is known are answered.
     pub fn on_request(
         &mut self,
         request: RequestId,
@@ -52,20 +51,22 @@
         state_available: bool,
         effects: &mut Effects,
     ) {
-        let UserRequest { operation, id } = match self.read_request(method, path, body) {
+        let UserRequest { operation, job_id } = match self.read_request(method, path, body) {
             Ok(read) => read,
-            Err(why) => return effects.refuse(request, why.status(), &why.to_string()),
+            Err(rejection) => {
+                return effects.refuse(request, rejection.status(), &rejection.to_string())
+            }
         };
-        if let Some(end) = self.cache.known_final(&id) {
-            return self.answer_final(request, &id, end, effects);
+        if let Some(outcome) = self.cache.known_outcome(&job_id) {
+            return self.answer_final(request, &job_id, outcome, effects);
         }
-        let stage = self.first_stage(&operation, &id);
-        if let Err(why) = self.check_capacity(&operation, &stage, state_available) {
-            return effects.refuse(request, why.status(), &why.to_string());
+        let stage = self.first_stage(&operation, &job_id);
+        if let Err(rejection) = self.check_capacity(&operation, &stage, state_available) {
+            return effects.refuse(request, rejection.status(), &rejection.to_string());
         }
-        let pending = PendingRequest::new(request, id, operation, stage, effects.now.mono);
-        let number = self.pending.insert(pending);
-        self.start(number, effects);
+        let pending = PendingRequest::new(request, job_id, operation, stage, effects.now.mono);
+        let pending_id = self.pending.insert(pending);
+        self.start(pending_id, effects);
     }
 
     fn read_request(
@@ -78,37 +79,37 @@
             Route::Submit => self.read_submission(body).inspect_err(log_refused)?,
             Route::Status(id) => UserRequest {
                 operation: Operation::Status,
-                id: id.to_string(),
+                job_id: id.to_string(),
             },
             Route::Cancel(id) => UserRequest {
                 operation: Operation::Cancel,
-                id: id.to_string(),
+                job_id: id.to_string(),
             },
         };
-        if is_job_id(&user_request.id) {
+        if is_job_id(&user_request.job_id) {
             Ok(user_request)
         } else {
             Err(Rejection::NoSuchJob)
         }
     }
 
-    /// Reads a submission. One without a readable id is refused here; any other fault is answered only once it is
-    /// certain that the id is not that of an accepted job.
+    /// Parses a submission. A submission without a readable ID is refused immediately. Any other error is answered only
+    /// after it is certain that no accepted job has the ID.
     fn read_submission(&self, body: &[u8]) -> Result<UserRequest, Rejection> {
         let user_request = match wire::decode::<Submission>(body) {
             Ok(spec) => self.check_submission(spec),
-            Err(why) => {
-                let malformed = Rejection::Malformed(why.to_string());
-                let Ok(SubmissionId { id }) = wire::decode(body) else {
+            Err(error) => {
+                let malformed = Rejection::Malformed(error.to_string());
+                let Ok(SubmissionId { id: job_id }) = wire::decode(body) else {
                     return Err(malformed);
                 };
                 UserRequest {
                     operation: Operation::RejectedSubmit(malformed),
-                    id,
+                    job_id,
                 }
             }
         };
-        if is_job_id(&user_request.id) {
+        if is_job_id(&user_request.job_id) {
             Ok(user_request)
         } else {
             Err(Rejection::InvalidField("id"))
@@ -117,28 +118,29 @@
 
     fn check_submission(&self, mut spec: Submission) -> UserRequest {
         spec.dedup_needs();
-        let id = spec.id.clone();
+        let job_id = spec.id.clone();
         let checked = self.admission.check(&spec);
         let operation = match checked.and_then(|()| self.records.check_size(&spec)) {
             Ok(()) => Operation::Submit(Box::new(spec)),
-            Err(why) => Operation::RejectedSubmit(why),
+            Err(rejection) => Operation::RejectedSubmit(rejection),
         };
-        UserRequest { operation, id }
+        UserRequest { operation, job_id }
     }
 
-    /// The first stage of a request about a job whose end is not known.
+    /// The first stage of a request about a job whose outcome is not known.
     fn first_stage(&self, operation: &Operation, id: &str) -> Stage {
         let version_known = self.cache.known_version(id).is_some();
         match operation {
             Operation::Submit(_) => Stage::Creating,
-            _ if !version_known => Stage::SearchingId,
-            // Users ask every few seconds about every open job: a read each would use up the state service's rate.
+            _ if !version_known => Stage::CheckingUnknownId,
+            // Users query every open job every few seconds. A separate read for each query would exhaust the state
+            // service's request rate.
             Operation::Status => Stage::Validating,
             Operation::RejectedSubmit(_) | Operation::Cancel => Stage::ReadingOpen,
         }
     }
 
-    /// Whether a request can be decided in time.
+    /// Checks that a request can be decided in time.
     fn check_capacity(
         &self,
         operation: &Operation,
@@ -152,31 +154,31 @@
         if self.pending.is_full(is_change) {
             return Err(Rejection::TooManyRequests);
         }
-        if matches!(stage, Stage::SearchingId) && self.is_id_search_full(is_change) {
+        if matches!(stage, Stage::CheckingUnknownId) && self.is_unknown_id_check_full(is_change) {
             return Err(Rejection::TooManyUnknownIds);
         }
         Ok(())
     }
 
-    /// Takes the first step of a request.
-    fn start(&mut self, number: u64, effects: &mut Effects) {
-        let Some(pending) = self.pending.get(number) else {
+    /// Starts the first stage of a request.
+    fn start(&mut self, pending_id: u64, effects: &mut Effects) {
+        let Some(pending) = self.pending.get(pending_id) else {
             return;
         };
         let is_change = pending.operation.is_change();
         match (&pending.stage, &pending.operation) {
-            (Stage::Validating, _) => self.validation.push_back(number),
-            (Stage::SearchingId, _) => self.unknown_ids.push_back(number, is_change),
+            (Stage::Validating, _) => self.validation.push_back(pending_id),
+            (Stage::CheckingUnknownId, _) => self.unknown_ids.push_back(pending_id, is_change),
             (Stage::Creating, Operation::Submit(spec)) if !spec.needs.is_empty() => {
-                self.continue_submission(number, effects);
+                self.continue_submission(pending_id, effects);
             }
-            _ => self.send(number, effects),
+            _ => self.send(pending_id, effects),
         }
     }
 }
 
-fn log_refused(why: &Rejection) {
-    let status = why.status();
-    let why = why.to_string();
-    log::info!("event=job_refused status={status} why={why:?}");
+fn log_refused(rejection: &Rejection) {
+    let status = rejection.status();
+    let reason = rejection.to_string();
+    log::info!("event=job_refused status={status} why={reason:?}");
 }
--- a/crates/control/src/gateway/job_cache.rs
+++ b/crates/control/src/gateway/job_cache.rs
@@ -1,8 +1,8 @@
-//! What this node knows of jobs without asking the state service.
+//! Cache of data about jobs.
 //!
-//! How a job ended is final, so it may be answered from here. The version of an open job's record is a hint about
-//! what to ask and never an answer: only a transaction that compares it with the store, sent after the question came,
-//! makes it one.
+//! The outcome of a job is final and may be answered from the cache. The cached version of an open job's record is only
+//! a hint for the next request to the state service. It may be answered only after a transaction that was sent after
+//! the user's request has found that it is still the stored version.
 
 use crate::recent_map::RecentMap;
 use constants::{FINAL_CACHE, JOB_UPDATES_MAX, VERSION_CACHE};
@@ -11,28 +11,28 @@
 use wire::peers::JobUpdate;
 use wire::records::Final;
 
-/// How many of a job's tasks are done and running, for display.
+/// Numbers of a job's done and running tasks, for display.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct TaskCounts {
-    /// Tasks that are done.
+    /// Number of done tasks.
     pub(super) done: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub(super) running: u32,
 }
 
-/// An open job's record as last seen.
+/// The last known version of an open job's record.
 #[derive(Clone)]
 pub(super) struct JobVersion {
     /// Version of the record.
     pub(super) version: u64,
-    /// Whether that version says that the job is cancelled.
+    /// Whether the job is cancelled in this version.
     pub(super) cancelled: bool,
-    /// Jobs that it needs; none once all of them are known to be done.
+    /// IDs of the job's dependencies. Empty once all of them are known to be done.
     pub(super) needs: Rc<[String]>,
 }
 
 impl JobVersion {
-    /// A record that was read or written.
+    /// Creates the version of a record that was read or written.
     pub(super) fn new(version: u64, cancelled: bool, needs: &[String]) -> Self {
         JobVersion {
             version,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A record of which it is known that no job before it is left to wait for.
+    /// Creates the version of a record whose job is released: it has no dependency left to wait for.
     pub(super) fn released(version: u64, cancelled: bool) -> Self {
         JobVersion {
             version,
@@ -50,14 +50,14 @@
         }
     }
 
-    /// Whether no job before it is left to wait for.
+    /// Whether the job is released: it has no dependency left to wait for.
     pub(super) fn is_released(&self) -> bool {
         self.needs.is_empty()
     }
 
-    /// What is known after a further observation; `None` if that is nothing new.
+    /// The new cache entry after a further observation, or `None` if the observation changes nothing.
     ///
-    /// An older version changes nothing, except that a job stays released once it has been seen released.
+    /// An observation of an older version is ignored, except that a job that was observed as released stays released.
     fn merge(&self, observed: JobVersion) -> Option<JobVersion> {
         let released = self.is_released() || observed.is_released();
         if observed.version > self.version {
@@ -72,55 +72,55 @@
     }
 }
 
-/// Ends, versions and counts of the jobs that this node has seen lately.
+/// Outcomes, record versions and task counts of jobs that this node has seen recently.
 pub(super) struct JobCache {
-    finals: RecentMap<Final>,
-    /// Jobs whose cancellation is recorded, as this node or a peer has seen. That is final, so it may be answered at
-    /// once, and it must be wherever a read tells something older.
+    outcomes: RecentMap<Final>,
+    /// Jobs whose cancellation is recorded, as observed by this node or a peer. A cancellation is final, so it may be
+    /// answered immediately. It must be answered even if a read returns an older state.
     cancelled: RecentMap<()>,
     counts: HashMap<String, TaskCounts>,
     versions: RecentMap<JobVersion>,
 }
 
 impl JobCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub(super) fn new() -> Self {
         JobCache {
-            finals: RecentMap::new(FINAL_CACHE),
+            outcomes: RecentMap::new(FINAL_CACHE),
             cancelled: RecentMap::new(FINAL_CACHE),
             counts: HashMap::new(),
             versions: RecentMap::new(VERSION_CACHE),
         }
     }
 
-    /// Notes how a job ended.
-    pub(super) fn remember_final(&mut self, id: String, end: Final) {
+    /// Caches the outcome of a job and drops its other entries.
+    pub(super) fn remember_outcome(&mut self, id: String, outcome: Final) {
         self.counts.remove(&id);
         self.versions.remove(&id);
-        self.finals.insert(id, end);
+        self.outcomes.insert(id, outcome);
     }
 
-    /// Notes that a job's cancellation is recorded.
+    /// Caches that a job's cancellation is recorded.
     pub(super) fn remember_cancelled(&mut self, id: &str) {
         if !self.cancelled.contains(id) {
             self.cancelled.insert(id.to_string(), ());
         }
     }
 
-    /// Jobs that are known to be cancelled.
+    /// IDs of the jobs known to be cancelled.
     pub(super) fn known_cancelled(&self) -> impl Iterator<Item = &String> {
         self.cancelled.keys()
     }
 
-    /// How a job ends or has ended, where that is certain.
-    pub(super) fn known_final(&self, id: &str) -> Option<Final> {
+    /// The outcome of a job if it is certain, even if the job has not ended yet.
+    pub(super) fn known_outcome(&self, id: &str) -> Option<Final> {
         let cancelled = || self.cancelled.get(id).map(|()| Final::Aborted);
-        self.finals.get(id).copied().or_else(cancelled)
+        self.outcomes.get(id).copied().or_else(cancelled)
     }
 
-    /// Notes a version of an open job's record. What is known to be final is not overwritten by it.
+    /// Caches a version of an open job's record. Does nothing if the job's outcome is known.
     pub(super) fn remember_version(&mut self, id: &str, observed: JobVersion) {
-        if self.known_final(id).is_some() {
+        if self.known_outcome(id).is_some() {
             return;
         }
         let entry = match self.versions.get(id) {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Notes that all jobs before an open job are done.
+    /// Caches that all dependencies of an open job are done.
     pub(super) fn remember_released(&mut self, id: &str) {
         if let Some(known) = self.versions.get(id) {
             let released = JobVersion::released(known.version, known.cancelled);
@@ -145,24 +145,24 @@
         self.versions.get(id)
     }
 
-    /// Drops a version that is known to be out of date.
+    /// Drops a version that is known to be outdated.
     pub(super) fn forget_version(&mut self, id: &str) {
         self.versions.remove(id);
     }
 
-    /// Whether the id is certainly that of a job, open or over.
+    /// Whether the ID certainly belongs to a job, open or ended.
     pub(super) fn is_known(&self, id: &str) -> bool {
-        self.known_final(id).is_some() || self.known_version(id).is_some()
+        self.known_outcome(id).is_some() || self.known_version(id).is_some()
     }
 
-    /// Counts of an open job's tasks; zeros if nothing is known of it.
+    /// Task counts of an open job; zero if they are not known.
     pub(super) fn task_counts(&self, id: &str) -> TaskCounts {
         self.counts.get(id).copied().unwrap_or_default()
     }
 
-    /// Takes over what the leader says of open jobs: only of those for which no job before them is left to wait for.
+    /// Applies the leader's updates about open jobs. The leader sends them only for released jobs.
     pub(super) fn apply_job_updates(&mut self, jobs: &[JobUpdate]) {
-        // A full message names some of the jobs, any other names all of them.
+        // A message with the maximum number of jobs may omit some jobs; any other message lists all of them.
         if jobs.len() < JOB_UPDATES_MAX {
             self.counts.clear();
         }
--- a/crates/control/src/gateway/job_records.rs
+++ b/crates/control/src/gateway/job_records.rs
@@ -1,79 +1,79 @@
-//! Submissions as stored records: one, or several where the state service's values are small.
+//! Stored records of submissions: one record, or several if the state service accepts only small values.
 
 use super::rejection::Rejection;
-use crate::settings::{Limits, StateLimits};
+use crate::settings::{EffectiveLimits, StateLimits};
 use constants::MORE_RECORDS;
 use wire::records::{job_key, job_overflow_key, JobOverflowRecord, JobRecord};
 use wire::state::Write;
 use wire::users::Submission;
 
-/// Time of acceptance that sizes are computed with: the largest of 53 bits, so that no real one takes more bytes.
-const LONGEST_TIME_MS: u64 = u64::MAX >> 11;
-/// Bytes reserved in a job's record for the mark of a cancellation, which is written into the same record.
+/// Acceptance time used to compute record sizes: the largest 53-bit number, so that no actual time takes more bytes.
+const MAX_ACCEPTED_AT_MS: u64 = u64::MAX >> 11;
+/// Bytes reserved in a job's record for the cancellation mark, which is written into the same record later.
 const CANCELLATION_MARK_BYTES: usize = 16;
-/// Bytes that separate two names in a list.
-const SEPARATOR_BYTES: usize = 1;
-/// Writes of a transaction that are not for further records: the one that files a finished job away also deletes the
-/// open record and writes the final one.
-const WRITES_WITHOUT_MORE: usize = 2;
+/// Bytes that separate two names in a stored list.
+const LIST_SEPARATOR_BYTES: usize = 1;
+/// Writes of a transaction that are not available for overflow records: the transaction that archives a finished job
+/// also deletes the open record and writes the final record.
+const NON_OVERFLOW_WRITES: usize = 2;
 
-/// Writes jobs' records within the state service's limits.
+/// Builds the records of jobs within the state service's limits.
 pub(super) struct JobRecordWriter {
-    /// Today's limits.
-    now: Limits,
-    /// The smaller of today's limits and those to come.
-    least: Limits,
-    /// No process is left that reads only what the version before the pipelines writes.
+    /// Current limits.
+    current: EffectiveLimits,
+    /// The smaller of the current and the future limits.
+    strictest: EffectiveLimits,
+    /// Whether no process remains that can read only the record format of the version before pipelines.
     upgraded: bool,
 }
 
 impl JobRecordWriter {
-    /// A writer for these limits, before the end of the upgrade is known.
+    /// Creates a writer for these limits. The upgrade is not known to be complete yet.
     pub(super) fn new(limits: &StateLimits) -> Self {
         JobRecordWriter {
-            now: limits.now(),
-            least: limits.least(),
+            current: limits.current(),
+            strictest: limits.strictest(),
             upgraded: false,
         }
     }
 
-    /// Whether the end of the upgrade is known.
+    /// Whether the upgrade is known to be complete.
     pub(super) fn is_upgraded(&self) -> bool {
         self.upgraded
     }
 
-    /// Notes that the upgrade is over.
+    /// Marks the upgrade as complete.
     pub(super) fn set_upgraded(&mut self) {
         self.upgraded = true;
     }
 
-    /// Whether a submission may be written in a form that old processes can't read: only when none can come back. A
-    /// submission that needs others shows that by itself.
-    fn may_use_new_form(&self, spec: &Submission) -> bool {
+    /// Whether a submission may be written in a format that old processes can't read. It may once no old process can
+    /// return, and a submission with dependencies is itself evidence of that.
+    fn may_use_new_format(&self, spec: &Submission) -> bool {
         self.upgraded || !spec.needs.is_empty()
     }
 
-    fn limits_for(&self, spec: &Submission) -> Limits {
-        if self.may_use_new_form(spec) {
-            self.least
+    fn limits_for(&self, spec: &Submission) -> EffectiveLimits {
+        if self.may_use_new_format(spec) {
+            self.strictest
         } else {
-            self.now
+            self.current
         }
     }
 
-    /// Refuses a submission that is too long to be stored.
+    /// Rejects a submission that is too large to be stored.
     pub(super) fn check_size(&self, spec: &Submission) -> Result<(), Rejection> {
-        self.creation_writes(spec, LONGEST_TIME_MS).map(|_| ())
+        self.creation_writes(spec, MAX_ACCEPTED_AT_MS).map(|_| ())
     }
 
-    /// Whether a submission's one record is larger than the limits to come allow.
-    pub(super) fn is_larger_than_least(&self, spec: &Submission) -> bool {
-        let record = JobRecord::new(spec.clone(), LONGEST_TIME_MS);
-        wire::json_bytes(&record) > self.least.value_bytes
+    /// Whether a submission, stored as a single record, exceeds the strictest value size limit.
+    pub(super) fn exceeds_strictest_limits(&self, spec: &Submission) -> bool {
+        let record = JobRecord::new(spec.clone(), MAX_ACCEPTED_AT_MS);
+        wire::json_bytes(&record) > self.strictest.value_bytes
     }
 
-    /// The writes that store a submission accepted at a time of day. Machine types that do not fit into the job's own
-    /// record go into further ones.
+    /// The writes that store a submission accepted at `accepted_at`, by the wall clock. Machine types that do not fit
+    /// into the job's main record are stored in overflow records.
     pub(super) fn creation_writes(
         &self,
         spec: &Submission,
@@ -86,35 +86,36 @@
         if bytes <= limits.value_bytes {
             return Ok(vec![Write::put(key, &record)]);
         }
-        let more = if self.may_use_new_form(spec) {
-            move_types_out(&mut record, limits.value_bytes)
+        let overflow = if self.may_use_new_format(spec) {
+            split_off_machine_types(&mut record, limits.value_bytes)
         } else {
             Vec::new()
         };
-        let more_records = MORE_RECORDS.min(limits.txn_ops.saturating_sub(WRITES_WITHOUT_MORE));
-        let own_bytes = wire::json_bytes(&record) + CANCELLATION_MARK_BYTES;
-        if more.len() > more_records || own_bytes > limits.value_bytes {
+        let max_overflow_records =
+            MORE_RECORDS.min(limits.txn_ops.saturating_sub(NON_OVERFLOW_WRITES));
+        let main_bytes = wire::json_bytes(&record) + CANCELLATION_MARK_BYTES;
+        if overflow.len() > max_overflow_records || main_bytes > limits.value_bytes {
             return Err(Rejection::TooLong {
                 bytes,
                 value_bytes: limits.value_bytes,
-                more_records,
+                max_overflow_records,
             });
         }
         let mut writes = vec![Write::put(key, &record)];
-        for (number, record) in (1..).zip(&more) {
+        for (number, record) in (1..).zip(&overflow) {
             writes.push(Write::put(job_overflow_key(&spec.id, number), record));
         }
         Ok(writes)
     }
 
-    /// The record of a job as its cancellation leaves it. One that was written under larger limits loses what nobody
-    /// needs any more.
-    pub(super) fn cancelled(&self, record: JobRecord) -> JobRecord {
+    /// The record of a job with the cancellation mark. If a record that was written under larger limits would be too
+    /// large, data that is no longer needed is removed.
+    pub(super) fn with_cancellation(&self, record: JobRecord) -> JobRecord {
         let mut record = JobRecord {
             aborted: true,
             ..record
         };
-        if wire::json_bytes(&record) > self.least.value_bytes {
+        if wire::json_bytes(&record) > self.strictest.value_bytes {
             record.spec.types = None;
             record.spec.needs.clear();
         }
@@ -122,21 +123,21 @@
     }
 }
 
-/// Moves a record's machine types into further records of at most so many bytes each.
-fn move_types_out(record: &mut JobRecord, value_bytes: usize) -> Vec<JobOverflowRecord> {
+/// Moves a record's machine types into overflow records of at most `value_bytes` each.
+fn split_off_machine_types(record: &mut JobRecord, value_bytes: usize) -> Vec<JobOverflowRecord> {
     let types = record.spec.types.take().unwrap_or_default();
-    // An empty list still says that only some types are allowed.
+    // An empty list in the main record still means that only some types are allowed.
     record.spec.types = (!types.is_empty()).then(Vec::new);
-    let mut more: Vec<JobOverflowRecord> = Vec::new();
+    let mut overflow: Vec<JobOverflowRecord> = Vec::new();
     for name in types {
-        let name_bytes = wire::json_bytes(&name) + SEPARATOR_BYTES;
+        let name_bytes = wire::json_bytes(&name) + LIST_SEPARATOR_BYTES;
         let fits =
             |last: &&mut JobOverflowRecord| wire::json_bytes(*last) + name_bytes <= value_bytes;
-        match more.last_mut().filter(fits) {
+        match overflow.last_mut().filter(fits) {
             Some(last) => last.types.push(name),
-            None => more.push(JobOverflowRecord { types: vec![name] }),
+            None => overflow.push(JobOverflowRecord { types: vec![name] }),
         }
     }
-    record.more = more.len() as u32;
-    more
+    record.more = overflow.len() as u32;
+    overflow
 }
--- a/crates/control/src/gateway/pending.rs
+++ b/crates/control/src/gateway/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an answer: what each asks for, and how far it has come.
+//! Pending requests, with their operations and their stages.
 
 use super::rejection::Rejection;
 use crate::effects::RequestId;
@@ -6,44 +6,44 @@
 use std::collections::{BTreeMap, HashMap};
 use wire::users::Submission;
 
-/// Job ids with the versions that their open records are expected to have.
+/// Expected versions of open jobs' records, by job ID.
 pub(super) type RecordVersions = BTreeMap<String, u64>;
 
-/// What a request asks for.
+/// Operation that a request asks for.
 pub(super) enum Operation {
-    /// Record a job.
+    /// Creates a job.
     Submit(Box<Submission>),
-    /// A submission that can't be accepted. It is refused only if its id is unknown: a repeat of an accepted one is
-    /// answered with the job's state.
+    /// A submission that can't be accepted. It is refused only if its ID is unknown, since the repeat of an accepted
+    /// submission is answered with the job's state.
     RejectedSubmit(Rejection),
-    /// Tell a job's state.
+    /// Queries a job's state.
     Status,
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel,
 }
 
 impl Operation {
-    /// Whether something is to be changed, rather than asked. Rejected submissions count among the changes.
+    /// Whether the operation is a change rather than a status query. Rejected submissions count as changes.
     pub(super) fn is_change(&self) -> bool {
         !matches!(self, Operation::Status)
     }
 }
 
-/// Which of a job's two records is read.
+/// Selects one of a job's two records.
 #[derive(Clone, Copy)]
 pub(super) enum RecordKind {
     /// The record of an open job.
     Open,
-    /// The record of how a job ended.
+    /// The record of the job's outcome.
     Final,
 }
 
-/// What a request waits for.
+/// The step for which a request waits.
 pub(super) enum Stage {
-    /// The version of the job's record is known: a read validation is to show that it is current.
+    /// A read validation that checks whether the cached version of the job's record is current.
     Validating,
-    /// Nothing is known of the id: a transaction is to show whether a job has it.
-    SearchingId,
+    /// A transaction that checks whether any job has the ID, which is not in the cache.
+    CheckingUnknownId,
     /// The transaction that creates the job.
     Creating,
     /// A read of the job's open record.
@@ -52,20 +52,21 @@
     ReadingFinal,
     /// The transaction that cancels the job.
     Cancelling,
-    /// A read of a record of a job that this one needs, directly or not. The final record is read last.
+    /// A read of a record of a direct or transitive dependency. The open record is read before the final record.
     ReadingDependency {
-        /// The needed job.
+        /// ID of the dependency.
         id: String,
-        /// Which of its records.
+        /// The record that is read.
         record: RecordKind,
     },
-    /// A read validation of some of the jobs that a submission needs, before its creation.
+    /// A transaction that validates some of a submission's dependencies before the job is created.
     ValidatingDependencies,
 }
 
 impl Stage {
-    /// Whether a step that the state service turned away may be sent again. What it sends is built from the pending
-    /// request alone; a cancellation's transaction also takes the record that was read, which is not stored.
+    /// Whether the stage's request may be sent again after the state service refused it. This requires that it can be
+    /// built from the pending request alone. A cancellation's transaction also needs the record that was read, which is
+    /// not stored.
     pub(super) fn is_retryable(&self) -> bool {
         match self {
             Stage::Creating
@@ -73,132 +74,133 @@
             | Stage::ReadingFinal
             | Stage::ValidatingDependencies
             | Stage::ReadingDependency { .. } => true,
-            Stage::Validating | Stage::SearchingId | Stage::Cancelling => false,
+            Stage::Validating | Stage::CheckingUnknownId | Stage::Cancelling => false,
         }
     }
 }
 
 /// A request that waits for its answer.
 pub(super) struct PendingRequest {
-    /// Number under which the answer goes out.
+    /// ID of the incoming request, to which the answer is sent.
     pub(super) request: RequestId,
-    /// The job.
-    pub(super) id: String,
-    /// What is asked for.
+    /// ID of the job.
+    pub(super) job_id: String,
+    /// The requested operation.
     pub(super) operation: Operation,
-    /// How far it has come.
+    /// The current stage.
     pub(super) stage: Stage,
-    /// When it came, on the steady clock.
-    since: u64,
-    /// Records that are still to be validated: the job's own and those of the jobs that it needs. `None` until they
-    /// have been determined.
+    /// When the request was received, on the monotonic clock.
+    received_at: u64,
+    /// Records that still have to be validated: the job's own and those of its dependencies. `None` until they have
+    /// been determined.
     pub(super) unvalidated: Option<RecordVersions>,
-    /// A job that this one needs is cancelled.
+    /// Whether a dependency of the job is cancelled.
     pub(super) dependency_cancelled: bool,
 }
 
 impl PendingRequest {
-    /// A request that has just come.
+    /// Creates a request that is received now.
     pub(super) fn new(
         request: RequestId,
-        id: String,
+        job_id: String,
         operation: Operation,
         stage: Stage,
         now: u64,
     ) -> Self {
         PendingRequest {
             request,
-            id,
+            job_id,
             operation,
             stage,
-            since: now,
+            received_at: now,
             unvalidated: None,
             dependency_cancelled: false,
         }
     }
 
-    /// When it came, on the steady clock.
-    pub(super) fn since(&self) -> u64 {
-        self.since
+    /// When the request was received, on the monotonic clock.
+    pub(super) fn received_at(&self) -> u64 {
+        self.received_at
     }
 
-    /// Whether the time in which it must be decided has passed.
+    /// Whether the time within which the request must be decided has passed.
     pub(super) fn is_past_deadline(&self, now: u64) -> bool {
-        now > self.since + USER_DEADLINE_MS
+        now > self.received_at + USER_DEADLINE_MS
     }
 }
 
-/// All requests that wait for an answer, by a number that the gateway gives them.
+/// All pending requests, by a pending ID that is assigned here.
 #[derive(Default)]
 pub(super) struct PendingRequests {
     requests: HashMap<u64, PendingRequest>,
-    /// How many of them are submissions and cancellations.
+    /// Number of pending submissions and cancellations.
     changes: usize,
-    last_number: u64,
+    last_pending_id: u64,
 }
 
 impl PendingRequests {
-    /// Adds a request and returns its number. Later requests have larger numbers.
+    /// Adds a request and returns its pending ID. Later requests have larger IDs.
     pub(super) fn insert(&mut self, pending: PendingRequest) -> u64 {
-        self.last_number += 1;
+        self.last_pending_id += 1;
         self.changes += usize::from(pending.operation.is_change());
-        self.requests.insert(self.last_number, pending);
-        self.last_number
+        self.requests.insert(self.last_pending_id, pending);
+        self.last_pending_id
     }
 
-    /// The request of this number, unless it has been answered.
-    pub(super) fn get(&self, number: u64) -> Option<&PendingRequest> {
-        self.requests.get(&number)
+    /// The request with this pending ID, unless it has been answered.
+    pub(super) fn get(&self, pending_id: u64) -> Option<&PendingRequest> {
+        self.requests.get(&pending_id)
     }
 
-    /// The request of this number, unless it has been answered.
-    pub(super) fn get_mut(&mut self, number: u64) -> Option<&mut PendingRequest> {
-        self.requests.get_mut(&number)
+    /// The request with this pending ID, unless it has been answered.
+    pub(super) fn get_mut(&mut self, pending_id: u64) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(&pending_id)
     }
 
-    /// Takes out a request that is about to be answered.
-    pub(super) fn close(&mut self, number: u64) -> Option<PendingRequest> {
-        let pending = self.requests.remove(&number)?;
+    /// Removes a request that is about to be answered.
+    pub(super) fn remove(&mut self, pending_id: u64) -> Option<PendingRequest> {
+        let pending = self.requests.remove(&pending_id)?;
         self.changes -= usize::from(pending.operation.is_change());
         Some(pending)
     }
 
-    /// Takes out all requests.
+    /// Removes all requests.
     pub(super) fn drain(&mut self) -> impl Iterator<Item = PendingRequest> + '_ {
         self.changes = 0;
         self.requests.drain().map(|(_, pending)| pending)
     }
 
-    /// Whether no request waits.
+    /// Whether no request is pending.
     pub(super) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether no further request of a kind is taken.
+    /// Whether no further request of this kind is accepted.
     ///
-    /// Changes and questions are counted separately: questions come in floods, and with one count for both no
-    /// submission or cancellation was taken at all meanwhile.
+    /// Changes and status queries are counted separately because status queries arrive in floods. With a shared count,
+    /// no submission or cancellation was accepted during a flood.
     pub(super) fn is_full(&self, is_change: bool) -> bool {
-        let in_hand = if is_change {
+        let in_flight = if is_change {
             self.changes
         } else {
             self.requests.len() - self.changes
         };
-        in_hand >= USER_REQUESTS_MAX
+        in_flight >= USER_REQUESTS_MAX
     }
 
-    /// Whether a step that was turned away may be sent again. After that, the request is refused and the user retries.
-    pub(super) fn may_retry(&self, number: u64, now: u64) -> bool {
-        self.get(number)
-            .is_some_and(|pending| now < pending.since + USER_RETRY_MS)
+    /// Whether it is early enough to resend a step that the state service refused. Later, the request is refused and
+    /// the user retries.
+    pub(super) fn may_retry(&self, pending_id: u64, now: u64) -> bool {
+        self.get(pending_id)
+            .is_some_and(|pending| now < pending.received_at + USER_RETRY_MS)
     }
 
-    /// Numbers of the requests whose deadline has passed.
+    /// Pending IDs of the requests whose deadline has passed.
     pub(super) fn past_deadline(&self, now: u64) -> Vec<u64> {
         self.requests
             .iter()
             .filter(|(_, pending)| pending.is_past_deadline(now))
-            .map(|(number, _)| *number)
+            .map(|(pending_id, _)| *pending_id)
             .collect()
     }
 }
--- a/crates/control/src/gateway/read_validation.rs
+++ b/crates/control/src/gateway/read_validation.rs
@@ -1,10 +1,11 @@
-//! Read validation: one transaction shows for many open jobs at once that what is known of them is current.
+//! Read validation: one transaction checks for many open jobs at once that their cached record versions are current.
 //!
-//! The transaction has no writes; its conditions compare versions. It is sent after the questions came, so what it
-//! shows holds at a moment after them. For a job that needs others their records are compared too, in several
-//! transactions if they are many: each holds at a moment after the question, so nothing cancelled before it is missed.
+//! The transaction has no writes; its conditions compare versions. It is sent after the status queries were received,
+//! so its result holds at a point in time after them. The records of a job's dependencies are compared too, in several
+//! transactions if there are many. Each of these transactions holds at a point in time after the query, so no
+//! cancellation before the query is missed.
 
-use super::compares::{read_only_txn, unchanged};
+use super::compares::{read_only_txn, version_compares};
 use super::dependency_state::DependencyState;
 use super::pending::{RecordVersions, Stage};
 use super::rejection::Rejection;
@@ -15,62 +16,64 @@
 use std::collections::VecDeque;
 use wire::records::JOBS;
 
-/// Requests that wait for a read validation, and the one in flight.
+/// Requests that wait for a read validation, and the batch in flight.
 #[derive(Default)]
 pub(super) struct ReadValidation {
     waiting: VecDeque<u64>,
     in_flight: Option<Batch>,
-    /// When the next one may be sent.
+    /// When the next batch may be sent.
     next_at: u64,
-    last_number: u64,
+    last_batch_id: u64,
 }
 
-/// A transaction in flight.
+/// A validation transaction in flight.
 struct Batch {
-    number: u64,
+    id: u64,
     versions: RecordVersions,
     requests: Vec<u64>,
 }
 
 impl ReadValidation {
-    /// A request waits for the next transaction.
-    pub(super) fn push_back(&mut self, number: u64) {
-        self.waiting.push_back(number);
+    /// Queues a request for the next transaction.
+    pub(super) fn push_back(&mut self, pending_id: u64) {
+        self.waiting.push_back(pending_id);
     }
 }
 
 impl Gateway {
-    /// Lets a request wait for a read validation of all that its answer depends on.
-    pub(super) fn start_validation(&mut self, number: u64, effects: &mut Effects) {
-        if let Some(pending) = self.pending.get_mut(number) {
+    /// Queues a request for a read validation of all records on which its answer depends.
+    pub(super) fn start_validation(&mut self, pending_id: u64, effects: &mut Effects) {
+        if let Some(pending) = self.pending.get_mut(pending_id) {
             pending.stage = Stage::Validating;
             pending.unvalidated = None;
-            self.validation.push_back(number);
+            self.validation.push_back(pending_id);
         }
         self.send_validation(effects);
     }
 
-    /// When the next read validation is to be sent; `u64::MAX` if none is.
+    /// When the next read validation has to be sent; `u64::MAX` if none is scheduled.
     pub(super) fn next_validation_at(&self) -> u64 {
         let first = self.validation.waiting.front();
-        match first.and_then(|number| self.pending.get(*number)) {
+        match first.and_then(|pending_id| self.pending.get(*pending_id)) {
             Some(pending) if self.validation.in_flight.is_none() => {
-                let gathered_at = pending.since() + VALIDATION_GATHER_MS;
+                let gathered_at = pending.received_at() + VALIDATION_GATHER_MS;
                 self.validation.next_at.max(gathered_at)
             }
             _ => u64::MAX,
         }
     }
 
-    /// Whether enough requests have gathered, or the first of them has waited for long enough.
+    /// Whether enough requests are queued, or the first of them has waited long enough.
     fn is_validation_gathered(&self, now: u64) -> bool {
         let waiting = &self.validation.waiting;
-        let first = waiting.front().and_then(|number| self.pending.get(*number));
+        let first = waiting
+            .front()
+            .and_then(|pending_id| self.pending.get(*pending_id));
         waiting.len() >= self.max_compares
-            || first.is_none_or(|pending| now >= pending.since() + VALIDATION_GATHER_MS)
+            || first.is_none_or(|pending| now >= pending.received_at() + VALIDATION_GATHER_MS)
     }
 
-    /// Sends one transaction that validates the records of as many waiting requests as it can hold.
+    /// Sends one transaction that validates the records of as many queued requests as it can hold.
     pub(super) fn send_validation(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
         let blocked = self.validation.in_flight.is_some() || now < self.validation.next_at;
@@ -81,25 +84,25 @@
         if versions.is_empty() {
             return;
         }
-        let op = read_only_txn(unchanged(versions.iter()));
+        let op = read_only_txn(version_compares(versions.iter()));
         self.validation.next_at = now + VALIDATION_INTERVAL_MS;
-        self.validation.last_number += 1;
-        let number = self.validation.last_number;
-        let tag = StateTag::ReadValidation(number);
+        self.validation.last_batch_id += 1;
+        let id = self.validation.last_batch_id;
+        let tag = StateTag::ReadValidation(id);
         effects.request_state(Priority::ReadValidation, op, tag);
         self.validation.in_flight = Some(Batch {
-            number,
+            id,
             versions,
             requests,
         });
     }
 
-    /// Takes the versions for one transaction, and the requests that depend on them, from those that wait.
+    /// Collects the versions for one transaction from the queued requests, and the requests that depend on them.
     fn gather_validation(&mut self, effects: &mut Effects) -> (RecordVersions, Vec<u64>) {
         let mut versions = RecordVersions::new();
         let mut requests = Vec::new();
-        for number in std::mem::take(&mut self.validation.waiting) {
-            let Some(unvalidated) = self.unvalidated_for(number, effects) else {
+        for pending_id in std::mem::take(&mut self.validation.waiting) {
+            let Some(unvalidated) = self.unvalidated_for(pending_id, effects) else {
                 continue;
             };
             for (id, version) in &unvalidated {
@@ -107,27 +110,31 @@
                     versions.insert(id.clone(), *version);
                 }
             }
-            // A request with many records goes on in the next transactions.
+            // A request with many records continues in later transactions.
             let mut records = unvalidated.iter();
             if records.any(|(id, version)| versions.get(id) == Some(version)) {
-                requests.push(number)
+                requests.push(pending_id)
             } else {
-                self.validation.push_back(number)
+                self.validation.push_back(pending_id)
             }
         }
         (versions, requests)
     }
 
-    /// What is to be validated for a request's answer. `None` if the request has been answered, or reads a record
-    /// first.
-    fn unvalidated_for(&mut self, number: u64, effects: &mut Effects) -> Option<RecordVersions> {
-        let pending = self.pending.get(number)?;
+    /// The versions to validate for a request's answer. `None` if the request has been answered, or has to read a
+    /// record first.
+    fn unvalidated_for(
+        &mut self,
+        pending_id: u64,
+        effects: &mut Effects,
+    ) -> Option<RecordVersions> {
+        let pending = self.pending.get(pending_id)?;
         if let Some(unvalidated) = &pending.unvalidated {
             return Some(unvalidated.clone());
         }
-        let id = pending.id.clone();
+        let id = pending.job_id.clone();
         if self.cache.known_version(&id).is_none() {
-            self.advance(number, Stage::ReadingOpen, effects);
+            self.advance(pending_id, Stage::ReadingOpen, effects);
             return None;
         }
         match self.cache.dependency_state(std::iter::once(&id)) {
@@ -135,26 +142,31 @@
                 if versions.len() == 1 {
                     self.cache.remember_released(&id);
                 }
-                let pending = self.pending.get_mut(number)?;
+                let pending = self.pending.get_mut(pending_id)?;
                 pending.unvalidated = Some(versions.clone());
                 Some(versions)
             }
-            DependencyState::Unknown(needed) => {
-                self.read_dependency(number, needed, effects);
+            DependencyState::Unknown(dependency) => {
+                self.read_dependency(pending_id, dependency, effects);
                 None
             }
             DependencyState::Cancelled => {
-                let pending = self.pending.close(number)?;
+                let pending = self.pending.remove(pending_id)?;
                 self.answer_open(pending.request, &id, true, effects);
                 None
             }
         }
     }
 
-    /// Takes the reply to a read validation: what was validated is answered, what was not is read.
-    pub fn on_read_validation(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
+    /// Handles the reply to a read validation. Validated requests are answered; outdated records are read again.
+    pub fn on_read_validation_reply(
+        &mut self,
+        batch_id: u64,
+        reply: StateReply,
+        effects: &mut Effects,
+    ) {
         let in_flight = &mut self.validation.in_flight;
-        let Some(batch) = in_flight.take_if(|batch| batch.number == number) else {
+        let Some(batch) = in_flight.take_if(|batch| batch.id == batch_id) else {
             return;
         };
         match reply {
@@ -162,53 +174,53 @@
             StateReply::Conflict { failed } => self.on_outdated(batch, &failed, effects.now.mono),
             StateReply::Refused => self.on_validation_refused(batch, effects),
             _ => {
-                for number in batch.requests {
-                    self.refuse(number, &Rejection::StateUnreachable, effects);
+                for pending_id in batch.requests {
+                    self.refuse(pending_id, &Rejection::StateUnreachable, effects);
                 }
             }
         }
         self.send_validation(effects);
     }
 
-    /// All versions of a batch are current.
+    /// Handles a batch whose versions are all current.
     fn on_validated(&mut self, batch: Batch, effects: &mut Effects) {
-        // Backwards, since what has to wait goes to the front again.
-        for number in batch.requests.into_iter().rev() {
-            let Some(pending) = self.pending.get_mut(number) else {
+        // In reverse order, since requests that have to wait are pushed to the front of the queue.
+        for pending_id in batch.requests.into_iter().rev() {
+            let Some(pending) = self.pending.get_mut(pending_id) else {
                 continue;
             };
             let unvalidated = pending.unvalidated.get_or_insert_default();
             unvalidated.retain(|id, version| batch.versions.get(id) != Some(version));
             if !unvalidated.is_empty() {
-                self.validation.waiting.push_front(number);
+                self.validation.waiting.push_front(pending_id);
                 self.validation.next_at = effects.now.mono;
                 continue;
             }
-            if let Some(pending) = self.pending.close(number) {
-                let known = self.cache.known_version(&pending.id);
+            if let Some(pending) = self.pending.remove(pending_id) {
+                let known = self.cache.known_version(&pending.job_id);
                 let cancelled = known.is_some_and(|known| known.cancelled);
-                self.answer_open(pending.request, &pending.id, cancelled, effects);
+                self.answer_open(pending.request, &pending.job_id, cancelled, effects);
             }
         }
     }
 
-    /// Some versions of a batch are out of date. All its requests wait for the next one, which is sent at once: none
-    /// of them was validated by this.
+    /// Handles a batch with outdated versions, which has validated none of its requests. All of them wait for the next
+    /// batch, which is sent immediately.
     fn on_outdated(&mut self, batch: Batch, failed_keys: &[String], now: u64) {
         for id in failed_keys.iter().filter_map(|key| key.strip_prefix(JOBS)) {
             let Some(compared) = batch.versions.get(id) else {
                 continue;
             };
-            // A newer version may have been learnt since.
+            // The cache may already contain a newer version.
             let known = self.cache.known_version(id);
             if known.is_some_and(|known| known.version == *compared) {
                 self.cache.forget_version(id);
             }
         }
-        for number in batch.requests.into_iter().rev() {
-            if let Some(pending) = self.pending.get_mut(number) {
+        for pending_id in batch.requests.into_iter().rev() {
+            if let Some(pending) = self.pending.get_mut(pending_id) {
                 pending.unvalidated = None;
-                self.validation.waiting.push_front(number);
+                self.validation.waiting.push_front(pending_id);
             }
         }
         self.validation.next_at = now;
@@ -216,11 +228,11 @@
 
     fn on_validation_refused(&mut self, batch: Batch, effects: &mut Effects) {
         let now = effects.now.mono;
-        for number in batch.requests.into_iter().rev() {
-            if self.pending.may_retry(number, now) {
-                self.validation.waiting.push_front(number)
+        for pending_id in batch.requests.into_iter().rev() {
+            if self.pending.may_retry(pending_id, now) {
+                self.validation.waiting.push_front(pending_id)
             } else {
-                self.refuse(number, &Rejection::StateRefuses, effects)
+                self.refuse(pending_id, &Rejection::StateRefuses, effects)
             }
         }
         self.validation.next_at = now + STATE_RETRY_MS;
--- a/crates/control/src/gateway/rejection.rs
+++ b/crates/control/src/gateway/rejection.rs
@@ -1,86 +1,86 @@
-//! Why a user's request is refused, and with which HTTP status.
+//! Reasons for refusing a user's request, and their HTTP status codes.
 
 const BAD_REQUEST: u16 = 400;
 const NOT_FOUND: u16 = 404;
 const METHOD_NOT_ALLOWED: u16 = 405;
 const UNPROCESSABLE: u16 = 422;
-/// Status of everything that the user is to try again.
+/// Status code of all refusals after which the user should retry.
 pub(super) const UNAVAILABLE: u16 = 503;
 
-/// A reason to refuse a request. Its text is the answer's `error` field.
+/// A reason for refusing a request. Its text is the `error` field of the answer.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub(super) enum Rejection {
-    /// The body, or the id in it, can't be read.
+    /// The body, or the ID in it, can't be decoded.
     #[error("{0}")]
     Malformed(String),
-    /// A field of a submission has a value that is never allowed.
+    /// A field of a submission has a value that is never valid.
     #[error("{0}: invalid")]
     InvalidField(&'static str),
     /// The records of a submission exceed the state service's limits.
     #[error(
         "the submission takes {bytes} bytes; one value holds {value_bytes}, \
-         and {more_records} further ones hold machine types"
+         and {max_overflow_records} further ones hold machine types"
     )]
     TooLong {
-        /// Size of the submission as one record.
+        /// Size of the submission as a single record, in bytes.
         bytes: usize,
-        /// Size that a value may have.
+        /// Maximum size of a value in bytes.
         value_bytes: usize,
-        /// Further records that may hold machine types.
-        more_records: usize,
+        /// Maximum number of overflow records for machine types.
+        max_overflow_records: usize,
     },
-    /// No job has the id, or the id does not have the form of one.
+    /// No job has the ID, or the ID is not well-formed.
     #[error("no such job")]
     NoSuchJob,
-    /// The method is not one that the path takes.
+    /// The path does not support the method.
     #[error("method not allowed")]
     MethodNotAllowed,
-    /// A submission needs a job that nobody has submitted.
+    /// A submission depends on a job that was never accepted.
     #[error("awaits: {0:?} was never accepted")]
     UnknownDependency(String),
     /// A submission names a team that does not exist.
     #[error("tenant: no team {0:?}")]
     UnknownTeam(String),
-    /// What has to run at once exceeds the team's limit.
+    /// The tasks that must run concurrently exceed the team's limit.
     #[error("needs more than the team's limit")]
     OverTeamLimit,
-    /// A task is larger than every machine that it may run on.
+    /// A task does not fit any machine type on which it may run.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// Whether a job could ever run can't be said yet.
+    /// The machine types are not known, so it can't be determined whether the job could run.
     #[error("machine types are not known yet")]
     MachineTypesUnknown,
-    /// Too many requests of the same kind wait for their answers.
+    /// Too many requests of the same kind are pending.
     #[error("too many requests in hand")]
     TooManyRequests,
-    /// Too many requests wait for a search for ids that nothing is known of.
+    /// Too many requests wait for a check of unknown IDs.
     #[error("too many requests about unknown ids")]
     TooManyUnknownIds,
-    /// The state service can't be reached, or its answer does not tell the outcome.
+    /// The state service can't be reached, or its reply leaves the outcome unknown.
     #[error("the state service does not answer")]
     StateUnreachable,
-    /// The state service turned a request away for longer than it may be retried.
+    /// The state service refused a request until it could no longer be retried.
     #[error("the state service refuses")]
     StateRefuses,
-    /// The state service will never execute what it was sent.
+    /// The state service will never execute the request that it received.
     #[error("the state service can't take this")]
     StateInvalid,
-    /// A record does not have the form that this build reads.
+    /// A record does not have a format that this build can read.
     #[error("unreadable record")]
     UnreadableRecord,
-    /// The request's deadline passed.
+    /// The request was not decided before its deadline.
     #[error("not decided in time")]
     DeadlineExceeded,
-    /// The creation of the job may still be on its way.
+    /// The job is not recorded, but the transaction that creates it may still be executed.
     #[error("not recorded yet")]
     NotRecordedYet,
-    /// A job that an accepted job needs is neither open nor over.
+    /// A dependency of an accepted job is neither open nor ended.
     #[error("a job before it is not found")]
     DependencyMissing,
 }
 
 impl Rejection {
-    /// HTTP status of the answer.
+    /// HTTP status code of the answer.
     pub(super) fn status(&self) -> u16 {
         match self {
             Rejection::Malformed(_) | Rejection::InvalidField(_) | Rejection::TooLong { .. } => {
--- a/crates/control/src/gateway/replies.rs
+++ b/crates/control/src/gateway/replies.rs
@@ -1,4 +1,4 @@
-//! Routes the state service's replies to pending requests by their stage.
+//! Routes the state service's replies to pending requests according to their stage.
 
 use super::pending::{Operation, Stage};
 use super::rejection::Rejection;
@@ -8,115 +8,116 @@
 use wire::records::{final_key, job_key, Final, JobRecord};
 
 impl Gateway {
-    /// Takes the reply to what was sent for one pending request.
-    pub fn on_reply(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
-        let Some(pending) = self.pending.get(number) else {
+    /// Handles the reply to a request to the state service that was sent for a single pending request.
+    pub fn on_reply(&mut self, pending_id: u64, reply: StateReply, effects: &mut Effects) {
+        let Some(pending) = self.pending.get(pending_id) else {
             return;
         };
         let past_deadline = pending.is_past_deadline(effects.now.mono);
         match (&pending.stage, reply) {
-            // What has been committed is answered even after the deadline.
+            // Committed changes are answered even after the deadline.
             (Stage::Creating, StateReply::Committed { version }) => {
-                self.on_created(number, version, effects);
+                self.on_created(pending_id, version, effects);
             }
             (Stage::Cancelling, StateReply::Committed { version }) => {
-                self.on_cancelled(number, version, effects);
+                self.on_cancelled(pending_id, version, effects);
             }
-            (_, StateReply::Refused) => self.on_state_refused(number, effects),
-            (_, StateReply::Invalid) => self.on_state_invalid(number, effects),
-            _ if past_deadline => self.refuse(number, &Rejection::DeadlineExceeded, effects),
+            (_, StateReply::Refused) => self.on_state_refused(pending_id, effects),
+            (_, StateReply::Invalid) => self.on_state_invalid(pending_id, effects),
+            _ if past_deadline => self.refuse(pending_id, &Rejection::DeadlineExceeded, effects),
             (Stage::ReadingDependency { .. }, reply) => {
-                self.on_dependency_read(number, reply, effects);
+                self.on_dependency_read(pending_id, reply, effects);
             }
             (Stage::Creating | Stage::ValidatingDependencies | Stage::Cancelling, reply) => {
-                self.on_txn_reply(number, reply, effects);
+                self.on_txn_reply(pending_id, reply, effects);
             }
-            (_, reply) => self.on_read_reply(number, reply, effects),
+            (_, reply) => self.on_read_reply(pending_id, reply, effects),
         }
     }
 
-    /// Certainly not executed; most often it is the rate limit that all nodes share.
-    fn on_state_refused(&mut self, number: u64, effects: &mut Effects) {
+    /// Handles a request that was not executed, usually because of the rate limit that all nodes share.
+    fn on_state_refused(&mut self, pending_id: u64, effects: &mut Effects) {
         let retryable = self
             .pending
-            .get(number)
+            .get(pending_id)
             .is_some_and(|pending| pending.stage.is_retryable());
-        if retryable && self.pending.may_retry(number, effects.now.mono) {
-            self.send(number, effects)
+        if retryable && self.pending.may_retry(pending_id, effects.now.mono) {
+            self.send(pending_id, effects)
         } else {
-            self.refuse(number, &Rejection::StateRefuses, effects)
+            self.refuse(pending_id, &Rejection::StateRefuses, effects)
         }
     }
 
-    /// Certainly not executed, and never will be as it is.
-    fn on_state_invalid(&mut self, number: u64, effects: &mut Effects) {
-        let Some(pending) = self.pending.get(number) else {
+    /// Handles a request that was not executed and will never be accepted in this form.
+    fn on_state_invalid(&mut self, pending_id: u64, effects: &mut Effects) {
+        let Some(pending) = self.pending.get(pending_id) else {
             return;
         };
-        // A size that only the limits to come explain: they have come, and the record is written for them.
+        // If only the future limits explain why the size is refused, they are now in effect, so the record is written
+        // for them.
         if let (Stage::Creating, Operation::Submit(spec)) = (&pending.stage, &pending.operation) {
-            if !self.records.is_upgraded() && self.records.is_larger_than_least(spec) {
+            if !self.records.is_upgraded() && self.records.exceeds_strictest_limits(spec) {
                 self.records.set_upgraded();
                 effects.emit(NodeEvent::UpgradeEvidence {
                     observation: "a submission that only new limits refuse",
                 });
-                return self.send(number, effects);
+                return self.send(pending_id, effects);
             }
         }
-        log::error!("event=user_request_invalid job={}", pending.id);
-        self.refuse(number, &Rejection::StateInvalid, effects);
+        log::error!("event=user_request_invalid job={}", pending.job_id);
+        self.refuse(pending_id, &Rejection::StateInvalid, effects);
     }
 
-    /// A transaction of one request did not commit, or validated some of the jobs that its job needs.
-    fn on_txn_reply(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
-        let Some(pending) = self.pending.get(number) else {
+    /// Handles the reply to a single request's transaction that did not commit, or that validated some dependencies.
+    fn on_txn_reply(&mut self, pending_id: u64, reply: StateReply, effects: &mut Effects) {
+        let Some(pending) = self.pending.get(pending_id) else {
             return;
         };
         match (&pending.stage, reply) {
             (Stage::Creating | Stage::ValidatingDependencies, StateReply::Conflict { failed })
-                if !concerns_job(&pending.id, &failed) =>
+                if !concerns_job(&pending.job_id, &failed) =>
             {
-                self.on_dependencies_changed(number, &failed, effects);
+                self.on_dependencies_changed(pending_id, &failed, effects);
             }
             (Stage::ValidatingDependencies, StateReply::Committed { .. }) => {
-                self.on_dependencies_validated(number, effects);
+                self.on_dependencies_validated(pending_id, effects);
             }
-            // Unknown outcome or a conflict: what is recorded decides.
+            // After a conflict or an unknown outcome, the stored record decides.
             (Stage::Creating | Stage::Cancelling, _) => {
-                self.advance(number, Stage::ReadingOpen, effects);
+                self.advance(pending_id, Stage::ReadingOpen, effects);
             }
-            _ => self.refuse(number, &Rejection::StateUnreachable, effects),
+            _ => self.refuse(pending_id, &Rejection::StateUnreachable, effects),
         }
     }
 
-    /// A read of the job's own open or final record came back.
-    fn on_read_reply(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
-        let Some(pending) = self.pending.get(number) else {
+    /// Handles the reply to a read of the job's own open or final record.
+    fn on_read_reply(&mut self, pending_id: u64, reply: StateReply, effects: &mut Effects) {
+        let Some(pending) = self.pending.get(pending_id) else {
             return;
         };
         match (&pending.stage, reply) {
             (Stage::ReadingOpen, StateReply::Item(item)) => {
                 match item.value.deserialized::<JobRecord>() {
-                    Ok(record) => self.on_open_record(number, record, item.version, effects),
-                    Err(_) => self.refuse(number, &Rejection::UnreadableRecord, effects),
+                    Ok(record) => self.on_open_record(pending_id, record, item.version, effects),
+                    Err(_) => self.refuse(pending_id, &Rejection::UnreadableRecord, effects),
                 }
             }
             (Stage::ReadingOpen, StateReply::Missing) => {
-                self.advance(number, Stage::ReadingFinal, effects);
+                self.advance(pending_id, Stage::ReadingFinal, effects);
             }
             (Stage::ReadingFinal, StateReply::Item(item)) => {
                 match item.value.deserialized::<Final>() {
-                    Ok(end) => self.on_final_record(number, end, effects),
-                    Err(_) => self.refuse(number, &Rejection::UnreadableRecord, effects),
+                    Ok(outcome) => self.on_final_record(pending_id, outcome, effects),
+                    Err(_) => self.refuse(pending_id, &Rejection::UnreadableRecord, effects),
                 }
             }
-            (Stage::ReadingFinal, StateReply::Missing) => self.on_absent(number, effects),
-            _ => self.refuse(number, &Rejection::StateUnreachable, effects),
+            (Stage::ReadingFinal, StateReply::Missing) => self.on_absent(pending_id, effects),
+            _ => self.refuse(pending_id, &Rejection::StateUnreachable, effects),
         }
     }
 }
 
-/// Whether a key among these is that of one of the job's own records.
+/// Whether one of the keys belongs to the job's own records.
 fn concerns_job(id: &str, keys: &[String]) -> bool {
     let own = [job_key(id), final_key(id)];
     keys.iter().any(|key| own.contains(key))
--- a/crates/control/src/gateway/sending.rs
+++ b/crates/control/src/gateway/sending.rs
@@ -1,6 +1,6 @@
-//! Sends what a pending request's stage needs, and refuses pending requests.
+//! Sends the state service request of a pending request's stage, and refuses pending requests.
 
-use super::compares::{absent, read_only_txn, unchanged};
+use super::compares::{absence_compares, read_only_txn, version_compares};
 use super::pending::{Operation, PendingRequest, RecordKind, Stage};
 use super::rejection::Rejection;
 use super::Gateway;
@@ -10,38 +10,38 @@
 use wire::state::Txn;
 
 impl Gateway {
-    /// Moves a pending request to a stage and sends what that needs.
-    pub(super) fn advance(&mut self, number: u64, stage: Stage, effects: &mut Effects) {
-        if let Some(pending) = self.pending.get_mut(number) {
+    /// Moves a pending request to a stage and sends the stage's request.
+    pub(super) fn advance(&mut self, pending_id: u64, stage: Stage, effects: &mut Effects) {
+        if let Some(pending) = self.pending.get_mut(pending_id) {
             pending.stage = stage;
         }
-        self.send(number, effects);
+        self.send(pending_id, effects);
     }
 
-    /// Sends what a pending request's stage needs.
-    pub(super) fn send(&mut self, number: u64, effects: &mut Effects) {
-        let Some(pending) = self.pending.get(number) else {
+    /// Sends the state service request of a pending request's stage.
+    pub(super) fn send(&mut self, pending_id: u64, effects: &mut Effects) {
+        let Some(pending) = self.pending.get(pending_id) else {
             return;
         };
         let op = match self.state_op(pending, effects.now.unix) {
             Ok(op) => op,
-            Err(why) => return self.refuse(number, &why, effects),
+            Err(rejection) => return self.refuse(pending_id, &rejection, effects),
         };
         let priority = match (&op, pending.operation.is_change()) {
             (StateOp::Txn(_), _) => Priority::Change,
             (_, true) => Priority::ChangeRead,
-            (_, false) => Priority::Question,
+            (_, false) => Priority::StatusQuery,
         };
-        effects.request_state(priority, op, StateTag::User(number));
+        effects.request_state(priority, op, StateTag::User(pending_id));
     }
 
-    /// The request to the state service for a stage.
+    /// The state service request of a pending request's stage.
     fn state_op(&self, pending: &PendingRequest, now_unix: u64) -> Result<StateOp, Rejection> {
-        let unvalidated = || unchanged(pending.unvalidated.iter().flatten());
+        let unvalidated = || version_compares(pending.unvalidated.iter().flatten());
         let op = match (&pending.stage, &pending.operation) {
             (Stage::Creating, Operation::Submit(spec)) => StateOp::Txn(Txn {
                 writes: self.records.creation_writes(spec, now_unix)?,
-                compares: absent(&pending.id)
+                compares: absence_compares(&pending.job_id)
                     .into_iter()
                     .chain(unvalidated())
                     .collect(),
@@ -53,16 +53,16 @@
                 RecordKind::Open => job_key(id),
                 RecordKind::Final => final_key(id),
             }),
-            (Stage::ReadingFinal, _) => StateOp::Get(final_key(&pending.id)),
-            _ => StateOp::Get(job_key(&pending.id)),
+            (Stage::ReadingFinal, _) => StateOp::Get(final_key(&pending.job_id)),
+            _ => StateOp::Get(job_key(&pending.job_id)),
         };
         Ok(op)
     }
 
-    /// Refuses a pending request, unless it has been answered.
-    pub(super) fn refuse(&mut self, number: u64, why: &Rejection, effects: &mut Effects) {
-        if let Some(pending) = self.pending.close(number) {
-            effects.refuse(pending.request, why.status(), &why.to_string());
+    /// Refuses a pending request unless it has already been answered.
+    pub(super) fn refuse(&mut self, pending_id: u64, rejection: &Rejection, effects: &mut Effects) {
+        if let Some(pending) = self.pending.remove(pending_id) {
+            effects.refuse(pending.request, rejection.status(), &rejection.to_string());
         }
     }
 }
--- a/crates/control/src/gateway/status.rs
+++ b/crates/control/src/gateway/status.rs
@@ -1,4 +1,4 @@
-//! Answers about jobs that exist, and about ids that no job has.
+//! Answers about existing jobs and about IDs that no job has.
 
 use super::job_cache::{JobVersion, TaskCounts};
 use super::pending::{Operation, Stage};
@@ -12,79 +12,85 @@
 const CREATED: u16 = 201;
 
 impl Gateway {
-    /// The open record of a request's job was read.
+    /// Handles the open record of a request's job.
     pub(super) fn on_open_record(
         &mut self,
-        number: u64,
+        pending_id: u64,
         record: JobRecord,
         version: u64,
         effects: &mut Effects,
     ) {
-        let Some(pending) = self.pending.get(number) else {
+        let Some(pending) = self.pending.get(pending_id) else {
             return;
         };
         let cancelled = record.aborted;
         if matches!(pending.operation, Operation::Cancel) && !cancelled {
-            return self.send_cancellation(number, record, version, effects);
+            return self.send_cancellation(pending_id, record, version, effects);
         }
         let observed = JobVersion::new(version, cancelled, &record.spec.needs);
-        self.cache.remember_version(&pending.id, observed);
-        let known = self.cache.known_version(&pending.id);
-        let needs_others = known.is_some_and(|known| !known.is_released());
-        if needs_others && !cancelled {
-            // Whether a job before it is cancelled is not known yet.
-            return self.start_validation(number, effects);
+        self.cache.remember_version(&pending.job_id, observed);
+        let known = self.cache.known_version(&pending.job_id);
+        let has_dependencies = known.is_some_and(|known| !known.is_released());
+        if has_dependencies && !cancelled {
+            // It is not known yet whether a dependency is cancelled.
+            return self.start_validation(pending_id, effects);
         }
-        let Some(pending) = self.pending.close(number) else {
+        let Some(pending) = self.pending.remove(pending_id) else {
             return;
         };
         if cancelled {
-            // Perhaps by a transaction of ours whose answer was lost, or of a node that crashed since.
+            // The cancellation may be that of a transaction of this node whose reply was lost, or of a node that has
+            // crashed since.
             effects.emit(NodeEvent::JobCancelled {
-                job: pending.id.clone(),
+                job: pending.job_id.clone(),
             });
         }
-        self.answer_open(pending.request, &pending.id, cancelled, effects);
+        self.answer_open(pending.request, &pending.job_id, cancelled, effects);
     }
 
-    /// The final record of a request's job was read.
-    pub(super) fn on_final_record(&mut self, number: u64, end: Final, effects: &mut Effects) {
-        if let Some(pending) = self.pending.close(number) {
-            self.answer_final(pending.request, &pending.id, end, effects);
-            self.cache.remember_final(pending.id, end);
+    /// Handles the final record of a request's job.
+    pub(super) fn on_final_record(
+        &mut self,
+        pending_id: u64,
+        outcome: Final,
+        effects: &mut Effects,
+    ) {
+        if let Some(pending) = self.pending.remove(pending_id) {
+            self.answer_final(pending.request, &pending.job_id, outcome, effects);
+            self.cache.remember_outcome(pending.job_id, outcome);
         }
     }
 
-    /// Neither record of a request's job exists.
-    pub(super) fn on_absent(&mut self, number: u64, effects: &mut Effects) {
-        let Some(pending) = self.pending.get(number) else {
+    /// Handles a job ID for which neither record exists.
+    pub(super) fn on_absent(&mut self, pending_id: u64, effects: &mut Effects) {
+        let Some(pending) = self.pending.get(pending_id) else {
             return;
         };
         match &pending.operation {
-            Operation::RejectedSubmit(why) => {
-                let why = why.clone();
+            Operation::RejectedSubmit(rejection) => {
+                let rejection = rejection.clone();
                 log::info!(
                     "event=job_refused job={} status={} why={:?}",
-                    pending.id,
-                    why.status(),
-                    why.to_string()
+                    pending.job_id,
+                    rejection.status(),
+                    rejection.to_string()
                 );
-                self.refuse(number, &why, effects);
+                self.refuse(pending_id, &rejection, effects);
             }
-            // The creation may still be on its way; a retry finds out.
-            Operation::Submit(_) => self.refuse(number, &Rejection::NotRecordedYet, effects),
-            // It has become known since the first of the two reads was sent.
-            Operation::Status | Operation::Cancel if self.cache.is_known(&pending.id) => {
-                self.advance(number, Stage::ReadingOpen, effects);
+            // The creating transaction may still be executed. The user's retry shows the result.
+            Operation::Submit(_) => self.refuse(pending_id, &Rejection::NotRecordedYet, effects),
+            // The job became known after the first of the two reads was sent.
+            Operation::Status | Operation::Cancel if self.cache.is_known(&pending.job_id) => {
+                self.advance(pending_id, Stage::ReadingOpen, effects);
             }
             Operation::Status | Operation::Cancel => {
-                self.refuse(number, &Rejection::NoSuchJob, effects);
+                self.refuse(pending_id, &Rejection::NoSuchJob, effects);
             }
         }
     }
 
-    /// Answers about a job that was found open. An end that has become known while the request was in flight takes
-    /// precedence: another node may have answered with it already.
+    /// Answers about a job whose open record was found. An outcome that became known while the request was in flight
+    /// takes precedence, since another node may already have answered with it.
     pub(super) fn answer_open(
         &self,
         request: RequestId,
@@ -92,8 +98,8 @@
         cancelled: bool,
         effects: &mut Effects,
     ) {
-        if let Some(end) = self.cache.known_final(id) {
-            return self.answer_final(request, id, end, effects);
+        if let Some(outcome) = self.cache.known_outcome(id) {
+            return self.answer_final(request, id, outcome, effects);
         }
         if cancelled {
             return self.answer_phase(request, id, Phase::Aborted, effects);
@@ -107,22 +113,22 @@
         effects.respond(request, OK, status_body(id, phase, Some(counts)));
     }
 
-    /// Answers about a job whose end is known.
+    /// Answers with the known outcome of a job.
     pub(super) fn answer_final(
         &self,
         request: RequestId,
         id: &str,
-        end: Final,
+        outcome: Final,
         effects: &mut Effects,
     ) {
-        let phase = match end {
+        let phase = match outcome {
             Final::Done => Phase::Done,
             Final::Aborted => Phase::Aborted,
         };
         self.answer_phase(request, id, phase, effects);
     }
 
-    /// Answers with a job's phase, without counts.
+    /// Answers with a job's phase, without task counts.
     pub(super) fn answer_phase(
         &self,
         request: RequestId,
@@ -133,7 +139,7 @@
         effects.respond(request, OK, status_body(id, phase, None));
     }
 
-    /// Answers that a submission has created its job.
+    /// Answers that a submission has created a job.
     pub(super) fn answer_created(
         &self,
         request: RequestId,
--- a/crates/control/src/gateway/submit.rs
+++ b/crates/control/src/gateway/submit.rs
@@ -1,4 +1,4 @@
-//! Submissions on their way to being created, with the jobs that they need.
+//! Creation of jobs from submissions, including the checks of their dependencies.
 
 use super::compares::COMPARES_PER_ABSENT_JOB;
 use super::dependency_state::DependencyState;
@@ -10,36 +10,38 @@
 use wire::users::Phase;
 
 impl Gateway {
-    /// Takes the next step of a submission that needs other jobs. All of them must have been accepted, and whether one
-    /// before it is cancelled decides how it is answered.
-    pub(super) fn continue_submission(&mut self, number: u64, effects: &mut Effects) {
+    /// Continues a submission that has dependencies. All of them must have been accepted. The answer depends on whether
+    /// a direct or transitive dependency is cancelled.
+    pub(super) fn continue_submission(&mut self, pending_id: u64, effects: &mut Effects) {
         let Some(PendingRequest {
             operation: Operation::Submit(spec),
             ..
-        }) = self.pending.get(number)
+        }) = self.pending.get(pending_id)
         else {
             return;
         };
         if let Some(id) = spec.needs.iter().find(|id| !self.cache.is_known(id)) {
-            return self.read_dependency(number, id.clone(), effects);
+            return self.read_dependency(pending_id, id.clone(), effects);
         }
-        let (dependency_cancelled, unvalidated) =
-            match self.cache.dependency_state(spec.needs.iter()) {
-                DependencyState::Unknown(id) => return self.read_dependency(number, id, effects),
-                DependencyState::Cancelled => (true, RecordVersions::new()),
-                DependencyState::Open(versions) => (false, versions),
-            };
-        if let Some(pending) = self.pending.get_mut(number) {
+        let (dependency_cancelled, unvalidated) = match self
+            .cache
+            .dependency_state(spec.needs.iter())
+        {
+            DependencyState::Unknown(id) => return self.read_dependency(pending_id, id, effects),
+            DependencyState::Cancelled => (true, RecordVersions::new()),
+            DependencyState::Open(versions) => (false, versions),
+        };
+        if let Some(pending) = self.pending.get_mut(pending_id) {
             pending.dependency_cancelled = dependency_cancelled;
         }
-        self.create_or_validate(number, unvalidated, effects);
+        self.create_or_validate(pending_id, unvalidated, effects);
     }
 
-    /// Versions that fit into the creating transaction are conditions of it, beside those for the job's absence. More
-    /// of them are validated before.
+    /// Starts the creating transaction, whose conditions are the job's absence and the versions of its dependencies. If
+    /// these do not fit into it, some of the versions are validated first.
     fn create_or_validate(
         &mut self,
-        number: u64,
+        pending_id: u64,
         unvalidated: RecordVersions,
         effects: &mut Effects,
     ) {
@@ -48,51 +50,51 @@
         } else {
             Stage::Creating
         };
-        if let Some(pending) = self.pending.get_mut(number) {
+        if let Some(pending) = self.pending.get_mut(pending_id) {
             pending.unvalidated = Some(unvalidated);
         }
-        self.advance(number, stage, effects);
+        self.advance(pending_id, stage, effects);
     }
 
-    /// One transaction's worth of the jobs that a submission needs was validated.
-    pub(super) fn on_dependencies_validated(&mut self, number: u64, effects: &mut Effects) {
-        let Some(pending) = self.pending.get_mut(number) else {
+    /// Handles the commit of a transaction that validated as many of a submission's dependencies as it could hold.
+    pub(super) fn on_dependencies_validated(&mut self, pending_id: u64, effects: &mut Effects) {
+        let Some(pending) = self.pending.get_mut(pending_id) else {
             return;
         };
         let Some(unvalidated) = pending.unvalidated.take() else {
             return;
         };
-        // The transaction compared the first ones in the order of the map.
+        // The transaction compared the first versions in map order.
         let rest = unvalidated.into_iter().skip(self.max_compares).collect();
-        self.create_or_validate(number, rest, effects);
+        self.create_or_validate(pending_id, rest, effects);
     }
 
-    /// Jobs that a submission needs have changed since they were last seen: mostly, they are over.
+    /// Handles dependencies that have changed since they were last seen, usually because they have ended.
     pub(super) fn on_dependencies_changed(
         &mut self,
-        number: u64,
+        pending_id: u64,
         failed_keys: &[String],
         effects: &mut Effects,
     ) {
         for id in failed_keys.iter().filter_map(|key| key.strip_prefix(JOBS)) {
             self.cache.forget_version(id);
         }
-        self.continue_submission(number, effects);
+        self.continue_submission(pending_id, effects);
     }
 
-    /// The creating transaction was committed.
-    pub(super) fn on_created(&mut self, number: u64, version: u64, effects: &mut Effects) {
-        let Some(pending) = self.pending.close(number) else {
+    /// Handles the commit of the creating transaction.
+    pub(super) fn on_created(&mut self, pending_id: u64, version: u64, effects: &mut Effects) {
+        let Some(pending) = self.pending.remove(pending_id) else {
             return;
         };
-        let took_ms = effects.now.mono.saturating_sub(pending.since());
+        let took_ms = effects.now.mono.saturating_sub(pending.received_at());
         let needs = match pending.operation {
             Operation::Submit(spec) => spec.needs,
             _ => Vec::new(),
         };
         log::info!(
             "event=job_accepted job={} took_ms={took_ms} needs={} dependency_cancelled={}",
-            pending.id,
+            pending.job_id,
             needs.len(),
             pending.dependency_cancelled
         );
@@ -101,15 +103,15 @@
             effects.emit(NodeEvent::UpgradeEvidence { observation });
         }
         self.cache
-            .remember_version(&pending.id, JobVersion::new(version, false, &needs));
-        let phase = self.created_phase(&pending.id, pending.dependency_cancelled);
-        self.answer_created(pending.request, &pending.id, phase, effects);
+            .remember_version(&pending.job_id, JobVersion::new(version, false, &needs));
+        let phase = self.created_phase(&pending.job_id, pending.dependency_cancelled);
+        self.answer_created(pending.request, &pending.job_id, phase, effects);
     }
 
-    /// Phase of a job that has just been created. A repeat at another node may have been answered, and the job
-    /// cancelled, before the creation's reply came.
+    /// Phase of a job that has just been created. Before this node received the reply to the creation, another node may
+    /// have answered a repeat of the submission, and the job may have been cancelled.
     fn created_phase(&self, id: &str, dependency_cancelled: bool) -> Phase {
-        match self.cache.known_final(id) {
+        match self.cache.known_outcome(id) {
             Some(Final::Done) => Phase::Done,
             Some(Final::Aborted) => Phase::Aborted,
             None if dependency_cancelled => Phase::Aborted,
--- a/crates/control/src/gateway/unknown_ids.rs
+++ b/crates/control/src/gateway/unknown_ids.rs
@@ -1,10 +1,10 @@
-//! Ids that nothing is known of: one transaction shows for many of them at once that no job has them.
+//! Checks of unknown IDs: one transaction checks for many IDs at once that no job has them.
 //!
-//! Users also ask about jobs that nobody has submitted, and each 404 needs a fresh look at the open record and at the
-//! final one. One transaction of conditions looks at both, for as many ids as it holds, at a single moment after the
-//! questions came. What turns out to exist is read.
+//! Users also query jobs that were never submitted, and each 404 answer requires a current check that neither an open
+//! nor a final record exists. One read-only transaction checks both for as many IDs as it can hold, at a single point
+//! in time after the requests were received. Records that turn out to exist are read.
 
-use super::compares::{absent, read_only_txn, COMPARES_PER_ABSENT_JOB};
+use super::compares::{absence_compares, read_only_txn, COMPARES_PER_ABSENT_JOB};
 use super::pending::Stage;
 use super::rejection::Rejection;
 use super::Gateway;
@@ -14,21 +14,21 @@
 use std::collections::{BTreeSet, VecDeque};
 use wire::records::{final_key, job_key};
 
-/// Requests about unknown ids, and the search that some of them wait for.
+/// Requests about unknown IDs, and the check in flight for some of them.
 #[derive(Default)]
 pub(super) struct UnknownIds {
-    /// Submissions that are refused unless their ids are known, and cancellations.
+    /// Cancellations, and submissions that are refused unless their IDs are known.
     changes: VecDeque<u64>,
-    questions: VecDeque<u64>,
-    in_flight: Option<Search>,
-    /// When the next search may be sent.
+    status_queries: VecDeque<u64>,
+    in_flight: Option<UnknownIdCheck>,
+    /// When the next check may be sent.
     next_at: u64,
-    last_number: u64,
+    last_check_id: u64,
 }
 
-/// A transaction in flight.
-struct Search {
-    number: u64,
+/// A check transaction in flight.
+struct UnknownIdCheck {
+    id: u64,
     requests: Vec<u64>,
 }
 
@@ -37,7 +37,7 @@
         if is_change {
             &self.changes
         } else {
-            &self.questions
+            &self.status_queries
         }
     }
 
@@ -45,147 +45,160 @@
         if is_change {
             &mut self.changes
         } else {
-            &mut self.questions
+            &mut self.status_queries
         }
     }
 
-    /// A request waits for the next search.
-    pub(super) fn push_back(&mut self, number: u64, is_change: bool) {
-        self.queue_mut(is_change).push_back(number);
+    /// Queues a request for the next check.
+    pub(super) fn push_back(&mut self, pending_id: u64, is_change: bool) {
+        self.queue_mut(is_change).push_back(pending_id);
     }
 
-    /// A request waits again after a search that did not decide it.
-    fn push_front(&mut self, number: u64, is_change: bool) {
-        self.queue_mut(is_change).push_front(number);
+    /// Queues a request again, at the front, after a check that did not decide it.
+    fn push_front(&mut self, pending_id: u64, is_change: bool) {
+        self.queue_mut(is_change).push_front(pending_id);
     }
 
     fn len(&self) -> usize {
-        self.changes.len() + self.questions.len()
+        self.changes.len() + self.status_queries.len()
     }
 
-    /// The next request, from one of the queues if that is not empty.
+    /// The next request, from the preferred queue unless that is empty.
     fn pop(&mut self, prefer_change: bool) -> Option<u64> {
         let preferred = self.queue_mut(prefer_change).pop_front();
         preferred.or_else(|| self.queue_mut(!prefer_change).pop_front())
     }
 
-    /// The request that has waited longest.
+    /// The request that has waited the longest.
     fn oldest(&self) -> Option<u64> {
-        let fronts = [self.changes.front(), self.questions.front()];
+        let fronts = [self.changes.front(), self.status_queries.front()];
         fronts.into_iter().flatten().min().copied()
     }
 }
 
 impl Gateway {
-    fn ids_per_search(&self) -> usize {
+    fn ids_per_check(&self) -> usize {
         self.max_compares / COMPARES_PER_ABSENT_JOB
     }
 
-    /// Whether so many requests of a kind wait that another would not be answered in time.
-    pub(super) fn is_id_search_full(&self, is_change: bool) -> bool {
-        let limit = ID_SEARCH_BACKLOG * self.ids_per_search();
+    /// Whether so many requests of a kind are queued that another one would not be answered in time.
+    pub(super) fn is_unknown_id_check_full(&self, is_change: bool) -> bool {
+        let limit = ID_SEARCH_BACKLOG * self.ids_per_check();
         self.unknown_ids.queue(is_change).len() >= limit
     }
 
-    /// When the next search is to be sent; `u64::MAX` if none is.
-    pub(super) fn next_id_search_at(&self) -> u64 {
+    /// When the next check has to be sent; `u64::MAX` if none is scheduled.
+    pub(super) fn next_unknown_id_check_at(&self) -> u64 {
         match self.unknown_ids.oldest() {
-            Some(number) if self.unknown_ids.in_flight.is_none() => {
-                let since = self
+            Some(pending_id) if self.unknown_ids.in_flight.is_none() => {
+                let received_at = self
                     .pending
-                    .get(number)
-                    .map_or(0, |pending| pending.since());
-                self.unknown_ids.next_at.max(since + VALIDATION_GATHER_MS)
+                    .get(pending_id)
+                    .map_or(0, |pending| pending.received_at());
+                self.unknown_ids
+                    .next_at
+                    .max(received_at + VALIDATION_GATHER_MS)
             }
             _ => u64::MAX,
         }
     }
 
-    /// Sends one transaction that finds out which of the waiting ids no job has.
-    pub(super) fn send_id_search(&mut self, effects: &mut Effects) {
+    /// Sends one transaction that determines which of the queued IDs no job has.
+    pub(super) fn send_unknown_id_check(&mut self, effects: &mut Effects) {
         let now = effects.now.mono;
-        let full = self.unknown_ids.len() >= self.ids_per_search();
+        let full = self.unknown_ids.len() >= self.ids_per_check();
         let full_and_allowed = full && now >= self.unknown_ids.next_at;
-        let due = full_and_allowed || now >= self.next_id_search_at();
+        let due = full_and_allowed || now >= self.next_unknown_id_check_at();
         if self.unknown_ids.in_flight.is_some() || !due {
             return;
         }
-        let (ids, requests) = self.gather_id_search(effects);
+        let (ids, requests) = self.gather_unknown_ids(effects);
         if requests.is_empty() {
             return;
         }
-        let op = read_only_txn(ids.iter().flat_map(|id| absent(id)));
+        let op = read_only_txn(ids.iter().flat_map(|id| absence_compares(id)));
         self.unknown_ids.next_at = now + ID_SEARCH_INTERVAL_MS;
-        self.unknown_ids.last_number += 1;
-        let number = self.unknown_ids.last_number;
-        let tag = StateTag::UnknownIds(number);
+        self.unknown_ids.last_check_id += 1;
+        let id = self.unknown_ids.last_check_id;
+        let tag = StateTag::UnknownIds(id);
         effects.request_state(Priority::ReadValidation, op, tag);
-        self.unknown_ids.in_flight = Some(Search { number, requests });
+        self.unknown_ids.in_flight = Some(UnknownIdCheck { id, requests });
     }
 
-    /// Takes the ids for one search from the waiting requests, and answers those that have become known to be over.
-    /// Both queues are served in turn, so that neither waits for the end of the other.
-    fn gather_id_search(&mut self, effects: &mut Effects) -> (BTreeSet<String>, Vec<u64>) {
+    /// Collects the IDs for one check from the queued requests, and answers the requests whose jobs' outcomes have
+    /// become known. Both queues are served alternately, so that neither waits until the other is empty.
+    fn gather_unknown_ids(&mut self, effects: &mut Effects) -> (BTreeSet<String>, Vec<u64>) {
         let mut ids = BTreeSet::new();
         let mut requests = Vec::new();
         let mut prefer_change = true;
-        while ids.len() < self.ids_per_search() {
-            let Some(number) = self.unknown_ids.pop(prefer_change) else {
+        while ids.len() < self.ids_per_check() {
+            let Some(pending_id) = self.unknown_ids.pop(prefer_change) else {
                 break;
             };
             prefer_change = !prefer_change;
-            let Some(pending) = self.pending.get(number) else {
+            let Some(pending) = self.pending.get(pending_id) else {
                 continue;
             };
-            if let Some(end) = self.cache.known_final(&pending.id) {
-                if let Some(pending) = self.pending.close(number) {
-                    self.answer_final(pending.request, &pending.id, end, effects);
+            if let Some(outcome) = self.cache.known_outcome(&pending.job_id) {
+                if let Some(pending) = self.pending.remove(pending_id) {
+                    self.answer_final(pending.request, &pending.job_id, outcome, effects);
                 }
                 continue;
             }
-            ids.insert(pending.id.clone());
-            requests.push(number);
+            ids.insert(pending.job_id.clone());
+            requests.push(pending_id);
         }
         (ids, requests)
     }
 
-    /// Takes the reply to a search: what no job has is answered, what exists is read, the others wait for the next.
-    pub fn on_unknown_ids(&mut self, number: u64, reply: StateReply, effects: &mut Effects) {
+    /// Handles the reply to a check. Requests whose IDs no job has are answered, existing records are read, and the
+    /// other requests wait for the next check.
+    pub fn on_unknown_id_check_reply(
+        &mut self,
+        check_id: u64,
+        reply: StateReply,
+        effects: &mut Effects,
+    ) {
         let in_flight = &mut self.unknown_ids.in_flight;
-        let Some(search) = in_flight.take_if(|search| search.number == number) else {
+        let Some(check) = in_flight.take_if(|check| check.id == check_id) else {
             return;
         };
-        // Backwards, since what has to wait goes to the front again.
-        for number in search.requests.into_iter().rev() {
-            self.on_id_searched(number, &reply, effects);
+        // In reverse order, since requests that have to wait are pushed to the front of the queue.
+        for pending_id in check.requests.into_iter().rev() {
+            self.on_unknown_id_checked(pending_id, &reply, effects);
         }
-        self.send_id_search(effects);
+        self.send_unknown_id_check(effects);
     }
 
-    fn on_id_searched(&mut self, number: u64, reply: &StateReply, effects: &mut Effects) {
+    fn on_unknown_id_checked(
+        &mut self,
+        pending_id: u64,
+        reply: &StateReply,
+        effects: &mut Effects,
+    ) {
         let now = effects.now.mono;
-        let Some(pending) = self.pending.get(number) else {
+        let Some(pending) = self.pending.get(pending_id) else {
             return;
         };
         let is_change = pending.operation.is_change();
         match reply {
-            StateReply::Committed { .. } => self.on_absent(number, effects),
-            StateReply::Conflict { failed } if failed.contains(&job_key(&pending.id)) => {
-                self.advance(number, Stage::ReadingOpen, effects);
+            StateReply::Committed { .. } => self.on_absent(pending_id, effects),
+            StateReply::Conflict { failed } if failed.contains(&job_key(&pending.job_id)) => {
+                self.advance(pending_id, Stage::ReadingOpen, effects);
             }
-            StateReply::Conflict { failed } if failed.contains(&final_key(&pending.id)) => {
-                self.advance(number, Stage::ReadingFinal, effects);
+            StateReply::Conflict { failed } if failed.contains(&final_key(&pending.job_id)) => {
+                self.advance(pending_id, Stage::ReadingFinal, effects);
             }
             StateReply::Conflict { .. } => {
-                self.unknown_ids.push_front(number, is_change);
+                self.unknown_ids.push_front(pending_id, is_change);
                 self.unknown_ids.next_at = now;
             }
-            StateReply::Refused if self.pending.may_retry(number, now) => {
-                self.unknown_ids.push_front(number, is_change);
+            StateReply::Refused if self.pending.may_retry(pending_id, now) => {
+                self.unknown_ids.push_front(pending_id, is_change);
                 self.unknown_ids.next_at = now + STATE_RETRY_MS;
             }
-            StateReply::Refused => self.refuse(number, &Rejection::StateRefuses, effects),
-            _ => self.refuse(number, &Rejection::StateUnreachable, effects),
+            StateReply::Refused => self.refuse(pending_id, &Rejection::StateRefuses, effects),
+            _ => self.refuse(pending_id, &Rejection::StateUnreachable, effects),
         }
     }
 }
--- a/crates/control/src/leader/dependencies/lookups.rs
+++ b/crates/control/src/leader/dependencies/lookups.rs
@@ -3,7 +3,7 @@
 
 use crate::effects::Effects;
 use crate::leader::Leader;
-use crate::requests::{LeaderRequest, Priority, StateOp, StateReply};
+use crate::requests::{Priority, StateOp, StatePurpose, StateReply};
 use constants::{LOOKUPS, LOOKUP_RETRY_MS};
 use std::collections::{HashMap, HashSet, VecDeque};
 use wire::records::{final_key, job_overflow_key, Final, JobOverflowRecord, JobRecord};
@@ -66,7 +66,7 @@
             }
             if self.dependencies.lookups.in_flight.insert(id.clone()) {
                 let op = StateOp::Get(final_key(&id));
-                let request = LeaderRequest::FinalRecord(id);
+                let request = StatePurpose::FinalRecord(id);
                 self.send_state_request(Priority::LeaderRecords, op, request, effects);
             }
         }
@@ -152,7 +152,7 @@
 
     fn request_more(&self, id: String, number: u32, effects: &mut Effects) {
         let op = StateOp::Get(job_overflow_key(&id, number));
-        let request = LeaderRequest::FurtherRecord(id, number);
+        let request = StatePurpose::OverflowRecord(id, number);
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
     }
 }
--- a/crates/control/src/leader/fleet.rs
+++ b/crates/control/src/leader/fleet.rs
@@ -21,7 +21,7 @@
 
 use super::{Leader, StartLatencies};
 use crate::effects::{Effects, Now};
-use crate::requests::{CloudOp, CloudRequest};
+use crate::requests::{CloudOp, CloudPurpose};
 use constants::{CLOUD_TYPES_S, REMOVED_MACHINE_RETENTION_MS, SILENT_EXTRA_MS};
 
 /// Milliseconds between two summaries in the log.
@@ -65,7 +65,7 @@
         let now = effects.now.mono;
         if now >= self.next_types {
             self.next_types = now + (CLOUD_TYPES_S * 1000.0) as u64;
-            self.send_cloud_request(CloudOp::Types, CloudRequest::Types, effects);
+            self.send_cloud_request(CloudOp::Types, CloudPurpose::Types, effects);
         }
     }
 
--- a/crates/control/src/leader/fleet/listing.rs
+++ b/crates/control/src/leader/fleet/listing.rs
@@ -3,7 +3,7 @@
 use crate::effects::{Effects, Now};
 use crate::leader::model::Machine;
 use crate::leader::Leader;
-use crate::requests::{CloudOp, CloudRequest};
+use crate::requests::{CloudOp, CloudPurpose};
 use constants::{CLOUD_LIST_S, CLOUD_LIST_SHARE, LIST_MAX};
 use wire::cloud::{ListedMachine, MachineList, MachinePhase};
 
@@ -25,7 +25,7 @@
         let op = CloudOp::List {
             from: String::new(),
         };
-        self.send_cloud_request(op, CloudRequest::List { asked: now }, effects);
+        self.send_cloud_request(op, CloudPurpose::List { requested_at: now }, effects);
     }
 
     /// Seconds between two listings. Pages are estimated by the machines known, so that the lists of a large fleet
@@ -45,7 +45,13 @@
         match (page.more, last) {
             (true, Some(from)) => {
                 let op = CloudOp::List { from };
-                self.send_cloud_request(op, CloudRequest::List { asked }, effects);
+                self.send_cloud_request(
+                    op,
+                    CloudPurpose::List {
+                        requested_at: asked,
+                    },
+                    effects,
+                );
             }
             _ => self.list_complete(asked),
         }
--- a/crates/control/src/leader/fleet/renting.rs
+++ b/crates/control/src/leader/fleet/renting.rs
@@ -4,7 +4,7 @@
 use crate::leader::model::{Machine, RecordCell};
 use crate::leader::planning::{type_resources, SchedulingSnapshot};
 use crate::leader::{Leader, OfferKey, Rental};
-use crate::requests::{CloudOp, CloudRequest, RecordId};
+use crate::requests::{CloudOp, CloudPurpose, RecordId};
 use constants::{HOUSEKEEPING_MS, RENTALS_OPEN, RENT_HORIZON, RENT_MAX};
 use sched::{plan_fleet, FleetSnapshot, Offer, RentRequest};
 use std::collections::VecDeque;
@@ -64,7 +64,7 @@
             spot: record.spot,
             count: record.count,
         };
-        let request = CloudRequest::Rent(name.to_string());
+        let request = CloudPurpose::Rent(name.to_string());
         self.send_cloud_request(CloudOp::Rent(rent), request, effects);
     }
 
--- a/crates/control/src/leader/fleet/replies.rs
+++ b/crates/control/src/leader/fleet/replies.rs
@@ -3,7 +3,7 @@
 use crate::effects::{Effects, NodeEvent, Now};
 use crate::leader::model::Machine;
 use crate::leader::{Leader, OfferBackoff, OfferKey};
-use crate::requests::{CloudOp, CloudReply, CloudRequest, RecordId};
+use crate::requests::{CloudOp, CloudPurpose, CloudReply, RecordId};
 use constants::{NO_CAPACITY_MAX_MS, NO_CAPACITY_MS};
 use wire::cloud::{MachineType, Rent};
 
@@ -23,36 +23,41 @@
     /// Takes in the reply to a request of this leader.
     pub(in crate::leader) fn on_cloud_reply(
         &mut self,
-        request: CloudRequest,
+        request: CloudPurpose,
         op: CloudOp,
         reply: CloudReply,
         effects: &mut Effects,
     ) {
         let now = effects.now;
         match (request, reply) {
-            (CloudRequest::Types, CloudReply::Types(types)) => self.on_types(types, effects),
-            (CloudRequest::Types, _) => {
+            (CloudPurpose::Types, CloudReply::Types(types)) => self.on_types(types, effects),
+            (CloudPurpose::Types, _) => {
                 let retry_ms = match self.types.desired.is_some() {
                     true => TYPES_RETRY_MS,
                     false => FIRST_TYPES_RETRY_MS,
                 };
                 self.next_types = now.mono + retry_ms;
             }
-            (CloudRequest::List { asked }, CloudReply::Listed(page)) => {
+            (
+                CloudPurpose::List {
+                    requested_at: asked,
+                },
+                CloudReply::Listed(page),
+            ) => {
                 self.on_list_page(asked, page, effects);
             }
-            (CloudRequest::List { .. }, _) => self.listing_since = None,
-            (CloudRequest::Rent(name), reply) => {
+            (CloudPurpose::List { .. }, _) => self.listing_since = None,
+            (CloudPurpose::Rent(name), reply) => {
                 if let CloudOp::Rent(rent) = op {
                     self.on_rent_reply(&name, rent, reply, now);
                 }
             }
-            (CloudRequest::Return(names), CloudReply::Returned) => {
+            (CloudPurpose::Return(names), CloudReply::Returned) => {
                 for name in names {
                     self.on_machine_removed(&name, now);
                 }
             }
-            (CloudRequest::Return(names), reply) => {
+            (CloudPurpose::Return(names), reply) => {
                 log::info!(
                     "event=return_failed machines={} reply={reply:?}",
                     names.len()
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -7,7 +7,7 @@
 use crate::leader::machine_health::MachineHealth;
 use crate::leader::model::Machine;
 use crate::leader::Leader;
-use crate::requests::{CloudOp, CloudRequest};
+use crate::requests::{CloudOp, CloudPurpose};
 use constants::{
     BOOT_PATIENCE, BOOT_PATIENCE_S, CLOUD_TIMEOUT_MS, IDLE_LEAST, IDLE_ORDINARY, IDLE_PART,
     IDLE_SPOT, IDLE_SURPLUS_MS, NOTICE_OVER_MS, RETURN_MAX, SILENT_LEASES, SILENT_UNSURE_MS,
@@ -271,7 +271,7 @@
         }
         if !names.is_empty() {
             let op = CloudOp::Return(names.clone());
-            self.send_cloud_request(op, CloudRequest::Return(names), effects);
+            self.send_cloud_request(op, CloudPurpose::Return(names), effects);
         }
     }
 
--- a/crates/control/src/leader/job_watch.rs
+++ b/crates/control/src/leader/job_watch.rs
@@ -4,7 +4,7 @@
 
 use super::Leader;
 use crate::effects::Effects;
-use crate::requests::{LeaderRequest, Priority, Reread, StateOp, StateReply};
+use crate::requests::{Priority, Reread, StateOp, StatePurpose, StateReply};
 use ciborium::Value;
 use constants::{STATE_RETRY_MS, WATCH_EVERY_MS, WATCH_TRIES};
 use wire::records::{JobRecord, JOBS};
@@ -48,7 +48,7 @@
             from: self.job_watch.revision,
         };
         // Behind the leader's own writes it could wait for seconds, and cancellations with it.
-        self.send_state_request(Priority::Leadership, op, LeaderRequest::Watch(now), effects);
+        self.send_state_request(Priority::Leadership, op, StatePurpose::Watch(now), effects);
     }
 
     /// The watch that was sent at `sent` has ended.
@@ -90,15 +90,15 @@
         self.job_watch.failures = 0;
         self.job_watch.open = true;
         let reread = Reread {
-            since: effects.now.mono,
-            revision: 0,
+            started_at: effects.now.mono,
+            first_page_revision: 0,
         };
         self.request_reread_page(reread, String::new(), effects);
     }
 
     fn request_reread_page(&self, reread: Reread, from: String, effects: &mut Effects) {
         let op = StateOp::List { prefix: JOBS, from };
-        let request = LeaderRequest::Resync(reread);
+        let request = StatePurpose::Resync(reread);
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
     }
 
@@ -109,17 +109,20 @@
             self.job_watch.retry_at = effects.now.mono + STATE_RETRY_MS;
             return;
         };
-        let revision = match reread.revision {
+        let revision = match reread.first_page_revision {
             0 => page.revision,
             first => first,
         };
         match self.on_reread_page(page, effects) {
             Some(from) => {
-                let reread = Reread { revision, ..reread };
+                let reread = Reread {
+                    first_page_revision: revision,
+                    ..reread
+                };
                 self.request_reread_page(reread, from, effects);
             }
             None => {
-                self.job_watch.advance(revision, reread.since);
+                self.job_watch.advance(revision, reread.started_at);
                 self.job_watch.open = false;
                 self.tick(false, effects);
             }
--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -7,7 +7,7 @@
 use super::rental::Rental;
 use super::Leader;
 use crate::effects::{Effects, NodeEvent};
-use crate::requests::{LeaderRequest, Priority, StateOp, StateReply};
+use crate::requests::{Priority, StateOp, StatePurpose, StateReply};
 use constants::{HOUSEKEEPING_MS, STATE_RETRY_MS};
 use wire::cloud::MachineType;
 use wire::records::{
@@ -111,7 +111,7 @@
         self.send_state_request(
             Priority::Leadership,
             StateOp::List { prefix, from },
-            LeaderRequest::Load(prefix),
+            StatePurpose::Load(prefix),
             effects,
         );
     }
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -35,7 +35,7 @@
 use crate::effects::{Effects, Now};
 use crate::recent_map::RecentMap;
 use crate::requests::{
-    CloudOp, CloudReply, CloudRequest, CloudTag, LeaderRequest, Priority, StateOp, StateReply,
+    CloudOp, CloudPurpose, CloudReply, CloudTag, Priority, StateOp, StatePurpose, StateReply,
     StateTag,
 };
 use crate::settings::{Operator, Settings};
@@ -229,17 +229,17 @@
     }
 
     /// A request to the state service has ended.
-    pub fn on_state(&mut self, request: LeaderRequest, reply: StateReply, effects: &mut Effects) {
+    pub fn on_state(&mut self, request: StatePurpose, reply: StateReply, effects: &mut Effects) {
         match request {
-            LeaderRequest::Load(prefix) => self.on_load(prefix, reply, effects),
-            LeaderRequest::Watch(sent) => self.on_watch(sent, reply, effects),
-            LeaderRequest::PendingTransaction(number) => {
+            StatePurpose::Load(prefix) => self.on_load(prefix, reply, effects),
+            StatePurpose::Watch(sent) => self.on_watch(sent, reply, effects),
+            StatePurpose::PendingTransaction(number) => {
                 self.on_transaction_reply(number, reply, effects)
             }
-            LeaderRequest::Refresh(what, key) => self.on_refresh(what, key, reply, effects),
-            LeaderRequest::Resync(reread) => self.on_resync(reread, reply, effects),
-            LeaderRequest::FinalRecord(id) => self.on_final_record(&id, reply, effects),
-            LeaderRequest::FurtherRecord(id, number) => {
+            StatePurpose::Refresh(what, key) => self.on_refresh(what, key, reply, effects),
+            StatePurpose::Resync(reread) => self.on_resync(reread, reply, effects),
+            StatePurpose::FinalRecord(id) => self.on_final_record(&id, reply, effects),
+            StatePurpose::OverflowRecord(id, number) => {
                 self.on_further_record(id, number, reply, effects)
             }
         }
@@ -248,7 +248,7 @@
     /// A request to the cloud has ended.
     pub fn on_cloud(
         &mut self,
-        request: CloudRequest,
+        request: CloudPurpose,
         op: CloudOp,
         reply: CloudReply,
         effects: &mut Effects,
@@ -261,20 +261,20 @@
         &self,
         priority: Priority,
         op: StateOp,
-        request: LeaderRequest,
+        request: StatePurpose,
         effects: &mut Effects,
     ) {
         let tag = StateTag::Leader {
             term: self.term,
-            request,
+            purpose: request,
         };
         effects.request_state(priority, op, tag);
     }
 
-    fn send_cloud_request(&self, op: CloudOp, request: CloudRequest, effects: &mut Effects) {
+    fn send_cloud_request(&self, op: CloudOp, request: CloudPurpose, effects: &mut Effects) {
         let tag = CloudTag::Leader {
             term: self.term,
-            request,
+            purpose: request,
         };
         effects.request_cloud(op, tag);
     }
--- a/crates/control/src/leader/pages/limits.rs
+++ b/crates/control/src/leader/pages/limits.rs
@@ -1,7 +1,7 @@
 //! Limits of the state service, and what follows from them for pages and transactions.
 
 use crate::leader::Leader;
-use crate::settings::Limits;
+use crate::settings::EffectiveLimits;
 use constants::{DENSE_PAGE_FILL, PAGE_BYTES, REWRITTEN_PART};
 use wire::state::{Txn, Write};
 
@@ -14,12 +14,12 @@
 const WIDE_LAYOUT_SHARE: usize = 2;
 
 /// Compares that a transaction may have.
-pub(in crate::leader) fn max_compares(limits: &Limits) -> usize {
+pub(in crate::leader) fn max_compares(limits: &EffectiveLimits) -> usize {
     COMPARES_PER_WRITE * limits.txn_ops
 }
 
 /// Whether a transaction stays within limits.
-fn fits(txn: &Txn, limits: &Limits) -> bool {
+fn fits(txn: &Txn, limits: &EffectiveLimits) -> bool {
     let value_fits = |write: &Write| match write {
         Write::Put { value, .. } => wire::json_bytes(value) <= limits.value_bytes,
         Write::Delete { .. } => true,
@@ -31,19 +31,19 @@
 
 impl Leader {
     /// Limits that transactions must stay within.
-    pub(in crate::leader) fn limits(&self) -> Limits {
+    pub(in crate::leader) fn limits(&self) -> EffectiveLimits {
         let state = &self.settings.deployment.state;
         if self.pages.is_dense() {
-            state.least()
+            state.strictest()
         } else {
-            state.now()
+            state.current()
         }
     }
 
     /// Whether today's limits allow a transaction that the coming ones do not.
     pub(in crate::leader) fn fits_only_today(&self, txn: &Txn) -> bool {
         let state = &self.settings.deployment.state;
-        fits(txn, &state.now()) && !fits(txn, &state.least())
+        fits(txn, &state.current()) && !fits(txn, &state.strictest())
     }
 
     /// Bytes that a page may have.
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -19,7 +19,7 @@
 use super::pages::NoRoom;
 use super::Leader;
 use crate::effects::{Effects, NodeEvent};
-use crate::requests::{LeaderRequest, Priority, RecordId, StateOp, StateReply};
+use crate::requests::{Priority, RecordId, StateOp, StatePurpose, StateReply};
 use builder::TransactionBuilder;
 use constants::DEFERRED_WRITES_PER_TRANSACTION;
 use std::collections::VecDeque;
@@ -140,7 +140,7 @@
     fn send_transaction(&mut self, number: u64, effects: &mut Effects) {
         if let Some(transaction) = self.transactions.get(number) {
             let op = StateOp::Txn(transaction.txn.clone());
-            let request = LeaderRequest::PendingTransaction(number);
+            let request = StatePurpose::PendingTransaction(number);
             self.send_state_request(Priority::LeaderRecords, op, request, effects);
         }
     }
--- a/crates/control/src/leader/store/builder.rs
+++ b/crates/control/src/leader/store/builder.rs
@@ -3,7 +3,7 @@
 use super::record_write::RecordWrite;
 use super::transaction::{PendingTransaction, RecordChange};
 use crate::leader::pages::{max_compares, NoRoom, PageDrafts, PageRoom, PageWrite};
-use crate::settings::Limits;
+use crate::settings::EffectiveLimits;
 use constants::TXN_BYTES;
 use wire::records::{page_key, LEADER};
 use wire::state::{Compare, Txn, Write};
@@ -22,7 +22,7 @@
 
 impl TransactionBuilder {
     /// A transaction that fails unless the leader's record has this version.
-    pub fn new(leader_version: u64, limits: &Limits) -> Self {
+    pub fn new(leader_version: u64, limits: &EffectiveLimits) -> Self {
         let fence = Compare::new(LEADER, leader_version);
         TransactionBuilder {
             max_writes: limits.txn_ops,
--- a/crates/control/src/leader/store/conflicts.rs
+++ b/crates/control/src/leader/store/conflicts.rs
@@ -5,7 +5,7 @@
 use crate::leader::model::{Job, RecordCell};
 use crate::leader::pages::{copies_in, has_unsaved_parts};
 use crate::leader::Leader;
-use crate::requests::{LeaderRequest, Priority, RecordId, StateOp, StateReply};
+use crate::requests::{Priority, RecordId, StateOp, StatePurpose, StateReply};
 use serde::de::DeserializeOwned;
 use wire::records::{job_key, JobRecord, PageRecord, JOBS};
 use wire::state::Item;
@@ -81,7 +81,7 @@
 
     fn request_refresh(&self, refresh: Refresh, effects: &mut Effects) {
         let Refresh { record, key } = refresh;
-        let request = LeaderRequest::Refresh(record, key.clone());
+        let request = StatePurpose::Refresh(record, key.clone());
         let op = StateOp::Get(key);
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
     }
--- a/crates/control/src/leader/tests/job_watch.rs
+++ b/crates/control/src/leader/tests/job_watch.rs
@@ -2,7 +2,7 @@
 
 use super::{at, job_record, leader};
 use crate::effects::Effects;
-use crate::requests::{LeaderRequest, StateOp, StateReply, StateTag};
+use crate::requests::{StateOp, StatePurpose, StateReply, StateTag};
 use wire::records::job_key;
 use wire::state::{Item, Page};
 
@@ -30,16 +30,17 @@
             .state_requests
             .iter()
             .find_map(|sent| match (&sent.op, &sent.tag) {
-                (StateOp::List { .. }, StateTag::Leader { request, .. }) => Some(request.clone()),
+                (
+                    StateOp::List { .. },
+                    StateTag::Leader {
+                        purpose: request, ..
+                    },
+                ) => Some(request.clone()),
                 _ => None,
             })
     };
     let mut effects = at(5_000);
-    leader.on_state(
-        LeaderRequest::Watch(4_000),
-        StateReply::TooOld,
-        &mut effects,
-    );
+    leader.on_state(StatePurpose::Watch(4_000), StateReply::TooOld, &mut effects);
     let first = requested(&effects).expect("the first page");
     let mut effects = at(5_100);
     leader.on_state(first, page(20, true), &mut effects);
--- a/crates/control/src/leader/tests/page_writes.rs
+++ b/crates/control/src/leader/tests/page_writes.rs
@@ -3,7 +3,7 @@
 use super::{at, job_record, leader};
 use crate::leader::model::{Chunk, Job};
 use crate::leader::Leader;
-use crate::requests::{LeaderRequest, RecordId, StateOp, StateReply, StateTag};
+use crate::requests::{RecordId, StateOp, StatePurpose, StateReply, StateTag};
 use constants::DEFERRED_WRITE_MS;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::records::PageRecord;
@@ -31,7 +31,7 @@
             let (
                 StateOp::Txn(Txn { compares, writes }),
                 StateTag::Leader {
-                    request: LeaderRequest::PendingTransaction(number),
+                    purpose: StatePurpose::PendingTransaction(number),
                     ..
                 },
             ) = (sent.op, sent.tag)
--- a/crates/control/src/leader/watch/direct_orders.rs
+++ b/crates/control/src/leader/watch/direct_orders.rs
@@ -1,7 +1,7 @@
 //! Stops sent to a worker's own address, where waiting for its next heartbeat would take too long: those of cancelled
 //! jobs, of gangs, and of preempted tasks.
 
-use crate::effects::{Effects, Output, Target};
+use crate::effects::{CallTarget, Effects, Output};
 use crate::leader::model::{Assignment, AssignmentStage, Job, Machine, Stop};
 use crate::leader::worker_heartbeats::{stop_order, task_name, PREEMPTED};
 use crate::leader::Leader;
@@ -73,7 +73,7 @@
                 .iter()
                 .filter(|task| task.is_urgent(active, is_overdue, now));
             let mut orders: Vec<Order> = urgent.map(StoppingTask::order).collect();
-            if orders.is_empty() || !self.direct_order_budget.take(now, 1.0) {
+            if orders.is_empty() || !self.direct_order_budget.try_take(now, 1.0) {
                 continue;
             }
             orders.truncate(ORDERS_PER_ANSWER);
@@ -117,7 +117,7 @@
 pub(crate) fn direct_call(call: u64, addr: String, body: Vec<u8>) -> Output {
     Output::Call {
         call,
-        target: Target::Worker(addr),
+        target: CallTarget::Worker(addr),
         method: "POST",
         path: "/orders".into(),
         body,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -27,7 +27,7 @@
 mod token_bucket;
 
 pub use ::rollout::{ControllerStatus, RolloutStatus};
-pub use effects::{CallError, CallId, Input, Now, Output, RequestId, Target};
+pub use effects::{CallError, CallId, CallTarget, Input, Now, Output, RequestId};
 pub use node::Node;
 pub use partitions::PartitionsStatus;
 pub use settings::{Operator, Settings};
--- a/crates/control/src/machine_types.rs
+++ b/crates/control/src/machine_types.rs
@@ -1,43 +1,44 @@
-//! Reading the machine types that a leader has recorded, for nodes that have not seen any yet.
+//! Reads the machine types that a leader has recorded, for nodes that do not know them yet.
 //!
-//! A node that does not lead never asks the cloud, and without the types it can't tell whether a submission could run.
+//! A node that does not lead never queries the cloud. Without the machine types it can't determine whether a submitted
+//! job could run.
 
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use constants::LEADER_POLL_MS;
 use wire::records::TYPES;
 
-/// Reads the record of machine types until it has been found.
+/// Reads the machine types record repeatedly until it is found.
 pub(crate) struct MachineTypesReader {
-    /// When the next read may be sent, on the steady clock.
-    next_read: u64,
+    /// When the next read may be sent, on the monotonic clock.
+    next_read_at: u64,
     /// Whether a read is in flight.
-    reading: bool,
+    read_in_flight: bool,
 }
 
 impl MachineTypesReader {
-    /// A reader whose first read is due now.
+    /// Creates a reader whose first read is due now.
     pub fn new(now: u64) -> Self {
         MachineTypesReader {
-            next_read: now,
-            reading: false,
+            next_read_at: now,
+            read_in_flight: false,
         }
     }
 
-    /// Sends a read if one is due and the types are not known.
-    pub fn tick(&mut self, types_known: bool, effects: &mut Effects) {
-        if types_known || self.reading || effects.now.mono < self.next_read {
+    /// Sends a read if one is due and the machine types are not known.
+    pub fn tick(&mut self, machine_types_known: bool, effects: &mut Effects) {
+        if machine_types_known || self.read_in_flight || effects.now.mono < self.next_read_at {
             return;
         }
-        self.reading = true;
+        self.read_in_flight = true;
         let read = StateOp::Get(TYPES.into());
         effects.request_state(Priority::Leadership, read, StateTag::Types);
     }
 
-    /// Reports the types to the node if the read found them. Otherwise it is repeated after a while.
+    /// Reports the machine types to the node if the read found them. Otherwise schedules another read.
     pub fn on_reply(&mut self, reply: StateReply, effects: &mut Effects) {
-        self.reading = false;
-        self.next_read = effects.now.mono + LEADER_POLL_MS;
+        self.read_in_flight = false;
+        self.next_read_at = effects.now.mono + LEADER_POLL_MS;
         let StateReply::Item(item) = reply else {
             return;
         };
--- a/crates/control/src/node/dispatch.rs
+++ b/crates/control/src/node/dispatch.rs
@@ -27,7 +27,9 @@
             }
             Input::Reply { call, result } => self.on_reply(call, &result, &mut effects),
             Input::Peer { from, message } => self.on_peer(&from, message, &mut effects),
-            Input::PeerRefused { from } => self.election.on_peer_refused(&from, &mut effects),
+            Input::PeerConnectionRefused { from } => {
+                self.election.on_peer_refused(&from, &mut effects)
+            }
             Input::Stop => self.begin_stop(now),
         }
         self.deliver(effects);
@@ -53,7 +55,7 @@
         }
         self.tick_partitions(&mut effects);
         self.watch_leadership(&mut effects);
-        let knows_types = self.gateway.knows_types();
+        let knows_types = self.gateway.knows_machine_types();
         self.machine_types.tick(knows_types, &mut effects);
         self.heartbeat.tick(
             &self.election,
@@ -100,7 +102,10 @@
             return self.on_state_reply(tag, reply, effects);
         }
         if let Some((tag, op, reply)) = self.cloud.on_reply(effects.now.mono, call, result) {
-            let CloudTag::Leader { term, request } = tag;
+            let CloudTag::Leader {
+                term,
+                purpose: request,
+            } = tag;
             if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) {
                 leader.on_cloud(request, op, reply, effects);
             }
@@ -117,10 +122,12 @@
         match tag {
             StateTag::Election(step) => self.election.on_reply(step, reply, effects),
             StateTag::User(number) => self.gateway.on_reply(number, reply, effects),
-            StateTag::ReadValidation(number) => {
-                self.gateway.on_read_validation(number, reply, effects)
-            }
-            StateTag::UnknownIds(number) => self.gateway.on_unknown_ids(number, reply, effects),
+            StateTag::ReadValidation(number) => self
+                .gateway
+                .on_read_validation_reply(number, reply, effects),
+            StateTag::UnknownIds(number) => self
+                .gateway
+                .on_unknown_id_check_reply(number, reply, effects),
             StateTag::Rollout(request) => self.rollout.on_reply(request, reply, effects),
             StateTag::Partitions { term, number } => {
                 if let Some(partitions) = &mut self.partitions {
@@ -128,7 +135,10 @@
                 }
             }
             StateTag::Types => self.machine_types.on_reply(reply, effects),
-            StateTag::Leader { term, request } => {
+            StateTag::Leader {
+                term,
+                purpose: request,
+            } => {
                 if let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) {
                     leader.on_state(request, reply, effects);
                 }
--- a/crates/control/src/node/events.rs
+++ b/crates/control/src/node/events.rs
@@ -65,7 +65,7 @@
 
     /// From now on the future limits of the state service may hold at any time.
     fn on_upgraded(&mut self, effects: &mut Effects) {
-        let least = self.settings.deployment.state.least();
+        let least = self.settings.deployment.state.strictest();
         self.state.set_rates(least.rps, least.write_rps);
         if let Some(leader) = self.leader.as_mut() {
             leader.upgraded(effects);
--- a/crates/control/src/node/partition_view.rs
+++ b/crates/control/src/node/partition_view.rs
@@ -73,6 +73,6 @@
 ) -> Option<Partitions> {
     let partitions = operator.partitions.as_ref()?;
     // The settings were validated when they were read.
-    let pins = partitions.checked(settings).unwrap_or_default();
+    let pins = partitions.validated_pins(settings).unwrap_or_default();
     Some(Partitions::new(settings, pins, boot, now))
 }
--- a/crates/control/src/node/peer_messages.rs
+++ b/crates/control/src/node/peer_messages.rs
@@ -92,7 +92,7 @@
     fn on_ended_jobs(&mut self, jobs: Vec<(String, bool)>) {
         for (id, is_done) in jobs {
             let end = if is_done { Final::Done } else { Final::Aborted };
-            self.gateway.remember_final(id, end);
+            self.gateway.remember_outcome(id, end);
         }
     }
 }
--- a/crates/control/src/partitions/redirects.rs
+++ b/crates/control/src/partitions/redirects.rs
@@ -61,7 +61,7 @@
             }
             returns = last.returns;
         }
-        if !self.rate.take(now, 1.0) {
+        if !self.rate.try_take(now, 1.0) {
             return false;
         }
         if self.workers.len() >= REDIRECTED_MAX {
--- a/crates/control/src/recent_map.rs
+++ b/crates/control/src/recent_map.rs
@@ -1,51 +1,52 @@
-//! A bounded map that drops the oldest entries, without keeping an order.
+//! A bounded map that evicts the oldest entries without tracking their order.
 
 use std::collections::HashMap;
 
-/// Two generations of entries. Once the new generation is full it replaces the old one, whose entries are dropped.
+/// A map of two generations. When the current generation is full, it becomes the previous one, and the entries of the
+/// former previous generation are evicted.
 pub(crate) struct RecentMap<V> {
-    new: HashMap<String, V>,
-    old: HashMap<String, V>,
-    /// Entries that the new generation may have.
-    generation_size: usize,
+    current: HashMap<String, V>,
+    previous: HashMap<String, V>,
+    /// Maximum number of entries of the current generation.
+    generation_capacity: usize,
 }
 
 impl<V> RecentMap<V> {
-    /// A map of at most so many entries. At least half as many of the latest are kept.
+    /// Creates a map of at most `max_entries`. At least half that number of the latest entries are kept.
     pub fn new(max_entries: usize) -> Self {
         RecentMap {
-            new: HashMap::new(),
-            old: HashMap::new(),
-            generation_size: max_entries / 2,
+            current: HashMap::new(),
+            previous: HashMap::new(),
+            generation_capacity: max_entries / 2,
         }
     }
 
-    /// The value of a key, if it has not been dropped.
+    /// The value of a key, unless it has been evicted.
     pub fn get(&self, key: &str) -> Option<&V> {
-        self.new.get(key).or_else(|| self.old.get(key))
+        self.current.get(key).or_else(|| self.previous.get(key))
     }
 
-    /// Whether there is a value for a key.
+    /// Whether the map has a value for a key.
     pub fn contains(&self, key: &str) -> bool {
         self.get(key).is_some()
     }
 
-    /// Sets the value of a key, as the latest entry.
+    /// Sets the value of a key and makes it the latest entry.
     pub fn insert(&mut self, key: String, value: V) {
-        if self.new.len() >= self.generation_size {
-            self.old = std::mem::take(&mut self.new);
+        if self.current.len() >= self.generation_capacity {
+            self.previous = std::mem::take(&mut self.current);
         }
-        self.new.insert(key, value);
+        self.current.insert(key, value);
     }
 
     /// Removes a key.
     pub fn remove(&mut self, key: &str) {
-        self.new.remove(key);
-        self.old.remove(key);
+        self.current.remove(key);
+        self.previous.remove(key);
     }
 
-    /// All keys. One that was set again may come twice.
+    /// All keys. A key whose value was replaced may appear twice.
     pub fn keys(&self) -> impl Iterator<Item = &String> {
-        self.old.keys().chain(self.new.keys())
+        self.previous.keys().chain(self.current.keys())
     }
 }
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -1,38 +1,39 @@
-//! Requests to the state service and the cloud, their outcomes, and who sent them: plain data that every actor may use.
+//! Requests to the state service and the cloud, their outcomes, and tags that identify the sender: plain data types
+//! shared by all actors.
 
 use wire::cloud::{MachineList, MachineType, Rent};
 use wire::state::{Changes, Item, Page, Txn};
 
-/// Order in which requests are sent when the budget is short. Each but the first has a rate of its own, so that however
-/// many requests of one priority are waiting, the others go on.
+/// Order in which requests are sent when the request budget is short. Each priority except the first has a separate
+/// rate, so that a backlog of one priority does not block the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Priority {
-    /// Elections, lease renewals, watches, and what is asked rarely.
+    /// Elections, lease renewals, watches and infrequent requests.
     Leadership,
     /// Transactions that create or cancel jobs.
     Change,
-    /// Reads that a submission or a cancellation needs.
+    /// Reads for a submission or a cancellation.
     ChangeRead,
-    /// The leader's records.
+    /// Requests about the leader's records.
     LeaderRecords,
-    /// Transactions that answer many questions at once.
+    /// Transactions that answer many status queries at once.
     ReadValidation,
-    /// Reads that a single question needs.
-    Question,
+    /// Reads for a single status query.
+    StatusQuery,
 }
 
 impl Priority {
-    /// All priorities, the highest first.
+    /// All priorities, highest first.
     pub const ALL: [Priority; 6] = [
         Priority::Leadership,
         Priority::Change,
         Priority::ChangeRead,
         Priority::LeaderRecords,
         Priority::ReadValidation,
-        Priority::Question,
+        Priority::StatusQuery,
     ];
 
-    /// Whether a user waits for the answer.
+    /// Whether a user waits for the result.
     pub fn is_for_user(self) -> bool {
         !matches!(self, Priority::Leadership | Priority::LeaderRecords)
     }
@@ -61,11 +62,11 @@
     Renew(u64),
     /// Revokes a lease.
     Revoke(u64),
-    /// Waits for changes of the records under a prefix.
+    /// Waits for changes to the records under a prefix.
     Watch {
         /// Prefix of their keys.
         prefix: &'static str,
-        /// Revision whose changes are known.
+        /// Revision up to which changes are known.
         from: u64,
     },
 }
@@ -81,12 +82,12 @@
     Page(Page),
     /// The transaction was executed.
     Committed {
-        /// Version of the records that it wrote.
+        /// Version of the records that the transaction wrote.
         version: u64,
     },
-    /// The transaction was not executed, since records have other versions than it requires.
+    /// The transaction was not executed because records do not have the versions that it requires.
     Conflict {
-        /// Keys of these records.
+        /// Keys of the records with other versions.
         failed: Vec<String>,
     },
     /// The lease that was granted.
@@ -95,15 +96,15 @@
     Renewed,
     /// There is no such lease.
     NoLease,
-    /// What has changed.
+    /// Changes to the watched records.
     Changes(Changes),
-    /// The watch must start anew: changes since its revision are no longer available.
+    /// The watch must be restarted: changes since its revision are no longer available.
     TooOld,
-    /// Certainly not executed; worth trying again.
+    /// The request was not executed and may be retried.
     Refused,
-    /// Certainly not executed, and never will be as it is.
+    /// The request was not executed and will never be accepted in this form.
     Invalid,
-    /// Executed, not executed, or yet to be executed.
+    /// The outcome is unknown: the request was executed, was not executed, or will still be executed.
     Unknown,
 }
 
@@ -130,41 +131,41 @@
     Returned,
     /// Names of the machines that were rented.
     Rented(Vec<String>),
-    /// The cloud has no such machines at present.
+    /// The cloud currently has no capacity for such machines.
     NoCapacity,
     /// A page of the machine list.
     Listed(MachineList),
     /// The machine types.
     Types(Vec<MachineType>),
-    /// Not executed; worth trying again.
+    /// The request was not executed and may be retried.
     Refused,
-    /// Not executed and never will be.
+    /// The request was not executed and will never be accepted.
     Invalid,
-    /// Executed or not, now or later.
+    /// The outcome is unknown: the request was executed, was not executed, or will still be executed.
     Unknown,
 }
 
-/// Who sent a request to the state service, and for what.
+/// Identifies the sender of a request to the state service, and what the request is for.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum StateTag {
     /// The election.
     Election(ElectionStep),
-    /// A user's request, by its number.
+    /// A user's request, by its pending ID in the gateway.
     User(u64),
-    /// Proof of many answers at once.
+    /// A read validation that answers many status queries at once, by its batch ID.
     ReadValidation(u64),
-    /// Search for many ids at once that nothing is known of.
+    /// A check of many unknown job IDs at once, by its check ID.
     UnknownIds(u64),
-    /// A node without a leader reads the machine types.
+    /// A node that does not lead reads the machine types.
     Types,
-    /// The upgrade, with the number of its request.
+    /// The staged upgrade, with the number of its request.
     Rollout(u64),
     /// A leader.
     Leader {
         /// The leader's term.
         term: u64,
-        /// What the request is for.
-        request: LeaderRequest,
+        /// Purpose of the request.
+        purpose: StatePurpose,
     },
     /// The ownership table of the partitions.
     Partitions {
@@ -175,19 +176,19 @@
     },
 }
 
-/// Who sent a request to the cloud.
+/// Identifies the sender of a request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum CloudTag {
     /// A leader.
     Leader {
         /// The leader's term.
         term: u64,
-        /// What the request is for.
-        request: CloudRequest,
+        /// Purpose of the request.
+        purpose: CloudPurpose,
     },
 }
 
-/// The step of the election that a reply belongs to. A bare number identifies the attempt.
+/// The step of the election to which a reply belongs. Variants with a single number identify the attempt by it.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ElectionStep {
     /// Reads the leader's record.
@@ -205,59 +206,60 @@
         /// When the renewal was sent.
         sent_at: u64,
     },
-    /// Revokes a lease: its own, or that of a leader found unreachable.
+    /// Revokes a lease: that of this node, or that of a leader that was found to be unreachable.
     Revoke,
 }
 
-/// Why the leader sent a request to the state service.
+/// Purpose of the leader's request to the state service.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum LeaderRequest {
-    /// A page of the records under this prefix, while loading.
+pub(crate) enum StatePurpose {
+    /// Reads a page of the records under this prefix, while the leader loads its state.
     Load(&'static str),
-    /// A watch of the open jobs, sent at this moment.
+    /// Watches the open jobs. The number is the time at which the watch was sent.
     Watch(u64),
-    /// A transaction, by its number.
+    /// Executes a pending transaction, identified by its number.
     PendingTransaction(u64),
-    /// A record whose version is in doubt, with its key.
+    /// Rereads a record whose version is uncertain, with its key.
     Refresh(RecordId, String),
-    /// A page of all open jobs, after the watch fell behind.
+    /// Reads a page of all open jobs, after the watch fell behind.
     Resync(Reread),
-    /// How a job ended that other jobs depend on.
+    /// Reads the final record of a job on which other jobs depend.
     FinalRecord(String),
-    /// A further record of an open job, by its number: what does not fit into the job's own record.
-    FurtherRecord(String, u32),
+    /// Reads an overflow record of an open job, by its number. It holds data that does not fit into the job's main
+    /// record.
+    OverflowRecord(String, u32),
 }
 
-/// All open jobs are being read again, page by page.
+/// State of a reread of all open jobs, page by page.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Reread {
     /// When the first page was requested.
-    pub since: u64,
-    /// Revision of the first page. The next watch must begin there: a change of a job on a page already read is on
-    /// none of the later pages.
-    pub revision: u64,
+    pub started_at: u64,
+    /// Revision of the first page. The next watch must begin there, since later pages do not show changes to jobs on
+    /// pages that have already been read.
+    pub first_page_revision: u64,
 }
 
-/// Why the leader sent a request to the cloud.
+/// Purpose of the leader's request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum CloudRequest {
-    /// To know the machine types.
+pub(crate) enum CloudPurpose {
+    /// Reads the machine types.
     Types,
-    /// To know the machines.
+    /// Lists the machines.
     List {
         /// When the first page was requested.
-        asked: u64,
+        requested_at: u64,
     },
-    /// For the rental request of this name.
+    /// Executes the rental request with this name.
     Rent(String),
-    /// To return these machines.
+    /// Returns these machines.
     Return(Vec<String>),
 }
 
-/// Identifies a record that the leader writes or reads again.
+/// Identifies a record that the leader writes or rereads.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RecordId {
-    /// An open job, with its parts on pages.
+    /// An open job, including its parts on pages.
     Job(String),
     /// A rental request.
     Rental(String),
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -50,7 +50,7 @@
                     build: BUILD.to_string(),
                     boot,
                     // The settings were validated when they were read.
-                    range: staged.range().unwrap_or(LevelRange::BUILD),
+                    range: staged.announced_levels().unwrap_or(LevelRange::BUILD),
                 };
                 let machine = RolloutMachine::new(identity, siblings, policy(staged));
                 Machine::Levels(Box::new(machine))
--- a/crates/control/src/settings/deployment.rs
+++ b/crates/control/src/settings/deployment.rs
@@ -1,48 +1,48 @@
-//! The deployment as the platform's file describes it: teams, objectives, workers' times and limits.
+//! The deployment as the platform's file describes it: teams, objectives, worker timings and limits.
 
 use super::StateLimits;
 use serde::Deserialize;
 
-/// The deployment.
+/// The deployment section of the platform's file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
-    /// Zones.
+    /// Zones of the deployment.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Bound of the error of the time of day, in milliseconds.
+    /// Upper bound of the wall clock's error, in milliseconds.
     #[serde(default)]
     pub time_bound_ms: f64,
-    /// Teams.
+    /// Teams and their shares of the resources.
     #[serde(default)]
     pub teams: Vec<Team>,
     /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers' times.
+    /// Worker timings.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: StateLimits,
-    /// Limits of the cloud.
+    /// Limits of the cloud API.
     pub cloud: CloudLimits,
-    /// Resources that a controller may use.
+    /// Resources that one controller may use.
     pub quota: Quota,
 }
 
 /// A team and its share of the resources.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Name.
+    /// Name of the team.
     pub name: String,
-    /// Guaranteed CPUs.
+    /// Number of CPUs guaranteed to the team.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs, 0 for no limit.
+    /// Maximum number of CPUs; 0 means no limit.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed GPUs.
+    /// Number of GPUs guaranteed to the team.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs, 0 for no limit.
+    /// Maximum number of GPUs; 0 means no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -50,50 +50,50 @@
 /// A service-level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is measured: wait, finished, deadline, guarantee, submit, useful, price and others.
+    /// The metric, such as wait, finished, deadline, guarantee, submit, useful or price.
     pub kind: String,
-    /// The class of jobs that it applies to.
+    /// Class of the jobs to which the objective applies.
     #[serde(default)]
     pub class: Option<String>,
     /// Limit in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Of a deadline: the limit as a multiple of the job's own run time.
+    /// For deadlines: the limit as a multiple of the job's run time.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
-/// Workers' times in seconds.
+/// Worker timings, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Time between two heartbeats.
+    /// Interval between heartbeats.
     pub report_s: f64,
     /// Duration of a worker's lease.
     pub lease_s: f64,
-    /// Longest wait of a gang task for the others.
+    /// Maximum time for which a task of a gang waits for the other tasks.
     pub gang_wait_s: f64,
-    /// Time in which gang tasks notice the loss of one of them.
+    /// Time within which the tasks of a gang detect that one of them is lost.
     pub gang_peer_s: f64,
-    /// Time in which the tasks of a cancelled job must have ended.
+    /// Time within which the tasks of a cancelled job must have ended.
     pub cancel_s: f64,
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Lag of the machine list in seconds.
+    /// Lag of the machine list behind the cloud's state, in seconds.
     pub list_lag_s: f64,
 }
 
-/// Resources that a controller may use.
+/// Resources that one controller may use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Quota {
-    /// Share of a core.
+    /// Share of a CPU core.
     pub cpu: f64,
     /// Memory in MB.
     pub mem_mb: f64,
-    /// Sockets.
+    /// Maximum number of sockets.
     pub max_connections: usize,
 }
--- a/crates/control/src/settings/operator.rs
+++ b/crates/control/src/settings/operator.rs
@@ -1,37 +1,37 @@
-//! The operators' own settings, all of them optional.
+//! The operators' settings, all of them optional.
 //!
-//! The doc comments of these types are the descriptions in `schema/operator.schema.json`. Changing one of
-//! them changes that file.
+//! The doc comments of these types become the descriptions in `schema/operator.schema.json`, which has to be
+//! regenerated when one of them changes.
 
 use serde::{Deserialize, Serialize};
 
-/// Operators' own settings, all optional.
+/// Settings of the operators. All of them are optional.
 #[derive(Debug, Clone, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// Tasks up to which an array skips sampling.
+    /// Largest number of tasks with which an array job skips sampling.
     #[schemars(range(min = 0, max = 100_000))]
     pub thin_tasks: u32,
-    /// Share of an array's tasks that are pilots.
+    /// Share of an array job's tasks that are pilot tasks, which sample the size of the job.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub pilot_share: f64,
-    /// Task-seconds up to which a job is in the first queue.
+    /// Upper bound of the first queue: the largest size of its jobs, in task-seconds.
     #[schemars(range(min = 1.0))]
     pub first_bound_s: f64,
-    /// Growth of the queues' bounds and fall of their weights.
+    /// Factor by which the upper bound grows and the weight falls from one queue to the next.
     #[schemars(range(min = 1.1))]
     pub queue_growth: f64,
-    /// Number of queues.
+    /// Number of scheduling queues.
     #[schemars(range(min = 1, max = 32))]
     pub queues: usize,
-    /// Seconds a machine idles before it is given back, where the objectives ask about money.
+    /// Seconds for which a machine is idle before it is returned, if the objectives concern cost.
     #[schemars(range(min = 0.0))]
     pub idle_return_s: f64,
-    /// Staged upgrades; without it they are off.
+    /// Staged upgrades. Disabled if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rollout: Option<RolloutSettings>,
-    /// Partitions of the fleet, whose owners answer workers; without it the leader answers all of them.
-    /// Needs `rollout`.
+    /// Partitions of the fleet, whose owners answer workers. If absent, the leader answers all workers.
+    /// Requires `rollout`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub partitions: Option<PartitionSettings>,
 }
@@ -64,23 +64,23 @@
     }
 }
 
-/// How partitions are shared out among the controllers.
+/// How partitions are assigned to controllers.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct PartitionSettings {
-    /// What controllers are to have, whatever their load.
+    /// Fixed assignments to controllers, independent of their load.
     pub pins: Vec<PinSettings>,
 }
 
-/// What a controller is to have.
+/// The fixed assignment to one controller.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct PinSettings {
-    /// Its label.
+    /// Label of the controller.
     pub controller: String,
-    /// Partitions that belong to it.
+    /// Partitions that the controller owns.
     pub partitions: Vec<u16>,
-    /// Share of the partitions that are not pinned.
+    /// Share of the unpinned partitions that the controller owns.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(range(min = 0.0, max = 1.0))]
     pub share: Option<f64>,
@@ -92,25 +92,25 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Finalization {
-    /// Once it has soaked without trouble.
+    /// After the level has been active without problems for the soak time.
     Automatic,
-    /// Not at all: every upgrade stays reversible.
+    /// Never: every upgrade stays reversible.
     #[default]
     Held,
 }
 
-/// How staged upgrades go.
+/// How staged upgrades proceed.
 #[derive(Debug, Clone, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct RolloutSettings {
     /// Oldest feature level that this controller announces.
     pub oldest_level: u32,
-    /// Newest feature level that this controller announces: below that of its build, it is held to what an older one
-    /// does.
+    /// Newest feature level that this controller announces. A level below that of its build restricts it to the
+    /// behaviour of an older build.
     pub newest_level: u32,
     /// When a level becomes final.
     pub finalize: Finalization,
-    /// Seconds for which a level is active without trouble until then.
+    /// Seconds for which a level must be active without problems before it becomes final.
     #[schemars(range(min = 0.0, max = 10_000_000.0))]
     pub soak_s: f64,
     /// Seconds without progress after which an upgrade is paused.
@@ -132,7 +132,7 @@
 
 impl RolloutSettings {
     /// The feature levels that this controller announces.
-    pub fn range(&self) -> Result<rollout::LevelRange, rollout::levels::RangeError> {
+    pub fn announced_levels(&self) -> Result<rollout::LevelRange, rollout::levels::RangeError> {
         rollout::LevelRange::held(self.oldest_level, self.newest_level)
     }
 }
--- a/crates/control/src/settings/state_limits.rs
+++ b/crates/control/src/settings/state_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the state service: those of today, and those that hold from some moment after an upgrade.
+//! Limits of the state service: the current ones, and those that apply from some time after an upgrade.
 
 use serde::Deserialize;
 
@@ -8,53 +8,53 @@
 /// Limits of the state service as the platform's file states them.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Writes a second.
+    /// Writes per second.
     pub write_rps: f64,
-    /// Size of a value in KiB.
+    /// Maximum size of a value in KiB.
     pub value_kb: f64,
-    /// Writes of a transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: usize,
-    /// Limits that hold from some moment after an upgrade, without notice.
+    /// Limits that apply from some time after an upgrade, without notice.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Future limits of the state service; a limit that is not named stays as it is.
+/// Future limits of the state service. A limit that is absent does not change.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Writes a second.
+    /// Writes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Size of a value in KiB.
+    /// Maximum size of a value in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Writes of a transaction.
+    /// Maximum number of writes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
-/// Limits that requests have to keep.
+/// Limits that requests to the state service must respect.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Limits {
-    /// Requests a second.
+pub struct EffectiveLimits {
+    /// Requests per second.
     pub rps: f64,
-    /// Writes a second.
+    /// Writes per second.
     pub write_rps: f64,
-    /// Bytes of a value.
+    /// Maximum size of a value in bytes.
     pub value_bytes: usize,
-    /// Writes of a transaction; conditions may be four times as many.
+    /// Maximum number of writes in a transaction. The maximum number of compares is four times as high.
     pub txn_ops: usize,
 }
 
 impl StateLimits {
-    /// Today's limits.
-    pub fn now(&self) -> Limits {
-        Limits {
+    /// The limits that apply today.
+    pub fn current(&self) -> EffectiveLimits {
+        EffectiveLimits {
             rps: self.rps,
             write_rps: self.write_rps,
             value_bytes: kib_to_bytes(self.value_kb),
@@ -62,16 +62,18 @@
         }
     }
 
-    /// The smaller of today's and the future limits: what holds at any time.
-    pub fn least(&self) -> Limits {
-        let now = self.now();
+    /// The smaller of the current and the future limits. Requests within them are valid before and after the change.
+    pub fn strictest(&self) -> EffectiveLimits {
+        let current = self.current();
         let next = self.next.clone().unwrap_or_default();
         let next_value_kib = next.value_kb.unwrap_or(self.value_kb);
-        Limits {
-            rps: now.rps.min(next.rps.unwrap_or(now.rps)),
-            write_rps: now.write_rps.min(next.write_rps.unwrap_or(now.write_rps)),
-            value_bytes: now.value_bytes.min(kib_to_bytes(next_value_kib)),
-            txn_ops: now.txn_ops.min(next.txn_ops.unwrap_or(now.txn_ops)),
+        EffectiveLimits {
+            rps: current.rps.min(next.rps.unwrap_or(current.rps)),
+            write_rps: current
+                .write_rps
+                .min(next.write_rps.unwrap_or(current.write_rps)),
+            value_bytes: current.value_bytes.min(kib_to_bytes(next_value_kib)),
+            txn_ops: current.txn_ops.min(next.txn_ops.unwrap_or(current.txn_ops)),
         }
     }
 }
--- a/crates/control/src/settings/validation.rs
+++ b/crates/control/src/settings/validation.rs
@@ -1,4 +1,5 @@
-//! Checks of the settings beyond what their types and the schema say. Each message names the field at fault.
+//! Validation of the settings beyond what their types and the schema express. Each error message names the invalid
+//! field.
 
 use super::{Deployment, NextLimits, Operator, PartitionSettings, PinSettings, Settings, Team};
 use partitions::rebalance::Pins;
@@ -6,15 +7,15 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// Fewest writes of a transaction that the state service may take; a lower limit is taken for a mistake.
-const LEAST_TXN_OPS: usize = 4;
-/// Smallest value in KiB that the state service may be limited to; a lower limit is taken for a mistake.
-const LEAST_VALUE_KIB: f64 = 1.0;
-/// Fewest sockets that a controller may have; a lower limit is taken for a mistake.
-const LEAST_CONNECTIONS: usize = 32;
+/// Smallest accepted limit of writes in a state service transaction. A lower value is treated as a configuration error.
+const MIN_TXN_OPS: usize = 4;
+/// Smallest accepted size limit of state service values, in KiB. A lower value is treated as a configuration error.
+const MIN_VALUE_KIB: f64 = 1.0;
+/// Smallest accepted limit of a controller's sockets. A lower value is treated as a configuration error.
+const MIN_CONNECTIONS: usize = 32;
 
 impl Settings {
-    /// Checks ranges; the message names the field.
+    /// Checks addresses and value ranges. The error message names the field.
     pub fn validate(&self) -> Result<(), String> {
         self.check_addresses()?;
         self.deployment.check_positive_amounts()?;
@@ -35,7 +36,9 @@
             check_address("siblings.addr", &sibling.addr)?;
             if sibling.label == self.label {
                 let label = &sibling.label;
-                return Err(format!("siblings.label: {label:?} is this node itself"));
+                return Err(format!(
+                    "siblings.label: {label:?} is the label of this node"
+                ));
             }
         }
         Ok(())
@@ -64,18 +67,18 @@
     }
 
     fn check_state_limits(&self) -> Result<(), String> {
-        if self.state.txn_ops < LEAST_TXN_OPS {
+        if self.state.txn_ops < MIN_TXN_OPS {
             return Err(format!(
-                "deployment.state.txn_ops: must be at least {LEAST_TXN_OPS}"
+                "deployment.state.txn_ops: must be at least {MIN_TXN_OPS}"
             ));
         }
         self.state.next.as_ref().map_or(Ok(()), NextLimits::check)
     }
 
     fn check_connections(&self) -> Result<(), String> {
-        if self.quota.max_connections < LEAST_CONNECTIONS {
+        if self.quota.max_connections < MIN_CONNECTIONS {
             return Err(format!(
-                "deployment.quota.max_connections: must be at least {LEAST_CONNECTIONS}"
+                "deployment.quota.max_connections: must be at least {MIN_CONNECTIONS}"
             ));
         }
         Ok(())
@@ -90,15 +93,15 @@
         if let Some(write_rps) = self.write_rps {
             check_positive("deployment.state.next.write_rps", write_rps)?;
         }
-        let is_large_enough = |kib: f64| kib.is_finite() && kib >= LEAST_VALUE_KIB;
+        let is_large_enough = |kib: f64| kib.is_finite() && kib >= MIN_VALUE_KIB;
         if !self.value_kb.is_none_or(is_large_enough) {
             return Err(format!(
-                "deployment.state.next.value_kb: must be at least {LEAST_VALUE_KIB}"
+                "deployment.state.next.value_kb: must be at least {MIN_VALUE_KIB}"
             ));
         }
-        if self.txn_ops.is_some_and(|ops| ops < LEAST_TXN_OPS) {
+        if self.txn_ops.is_some_and(|ops| ops < MIN_TXN_OPS) {
             return Err(format!(
-                "deployment.state.next.txn_ops: must be at least {LEAST_TXN_OPS}"
+                "deployment.state.next.txn_ops: must be at least {MIN_TXN_OPS}"
             ));
         }
         Ok(())
@@ -106,44 +109,46 @@
 }
 
 impl Operator {
-    /// Checks what no schema says; the message names the field.
+    /// Checks what the schema can't express. The error message names the field.
     pub fn validate(&self, settings: &Settings) -> Result<(), String> {
         if let Some(partitions) = &self.partitions {
             if self.rollout.is_none() {
                 return Err(
-                    "partitions: needs rollout, by which controllers know who has them".into(),
+                    "partitions: needs rollout, which tells controllers which of them use partitions".into(),
                 );
             }
-            partitions.checked(settings)?;
+            partitions.validated_pins(settings)?;
         }
         let Some(rollout) = &self.rollout else {
             return Ok(());
         };
-        rollout.range().map_err(|error| error.to_string())?;
+        rollout
+            .announced_levels()
+            .map_err(|error| error.to_string())?;
         check_distinct_siblings(settings)
     }
 }
 
 impl PartitionSettings {
-    /// The pins, checked against the controllers there are; the message names the field.
-    pub fn checked(&self, settings: &Settings) -> Result<Pins, String> {
+    /// The pins, checked against the controllers of the deployment. The error message names the field.
+    pub fn validated_pins(&self, settings: &Settings) -> Result<Pins, String> {
         let siblings = settings.siblings.iter().map(|s| s.label.as_str());
         let labels: Vec<&str> = siblings.chain([settings.label.as_str()]).collect();
         let mut pins = Pins::default();
         for pin in &self.pins {
             if !labels.contains(&pin.controller.as_str()) {
                 return Err(format!(
-                    "partitions.pins.controller: {:?} is no controller here",
+                    "partitions.pins.controller: {:?} is not a controller of this deployment",
                     pin.controller
                 ));
             }
             pin.add_partitions(&mut pins)?;
             pin.add_share(&mut pins)?;
         }
-        let all: f64 = pins.shares.values().sum();
-        if all > 1.0 {
+        let total_share: f64 = pins.shares.values().sum();
+        if total_share > 1.0 {
             return Err(format!(
-                "partitions.pins.share: all together are {all}, more than 1"
+                "partitions.pins.share: the shares add up to {total_share}, more than 1"
             ));
         }
         Ok(pins)
@@ -176,7 +181,7 @@
         let label = &self.controller;
         if pins.shares.insert(label.clone(), share).is_some() {
             return Err(format!(
-                "partitions.pins.share: {label:?} has more than one"
+                "partitions.pins.share: {label:?} has more than one share"
             ));
         }
         Ok(())
@@ -187,7 +192,10 @@
     let mut labels = BTreeSet::new();
     for sibling in &settings.siblings {
         if !labels.insert(&sibling.label) {
-            return Err(format!("siblings.label: {:?} comes twice", sibling.label));
+            return Err(format!(
+                "siblings.label: {:?} is listed more than once",
+                sibling.label
+            ));
         }
     }
     Ok(())
@@ -213,7 +221,7 @@
         if !amount.is_finite() || amount < 0.0 {
             let name = &team.name;
             return Err(format!(
-                "deployment.teams: {name:?} has the amount {amount}"
+                "deployment.teams: {name:?} has the invalid amount {amount}"
             ));
         }
     }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -162,7 +162,7 @@
     fn note_sent(&mut self, priority: Priority) {
         match priority {
             Priority::ReadValidation => self.question_is_next = true,
-            Priority::Question => self.question_is_next = false,
+            Priority::StatusQuery => self.question_is_next = false,
             _ => {}
         }
     }
