--- a/crates/control/src/state/budget.rs
+++ b/crates/control/src/state/budget.rs
@@ -158,21 +158,21 @@
     /// Milliseconds until a request with that many writes may be sent.
     pub fn wait_ms(&mut self, priority: Priority, writes: f64, now: u64) -> u64 {
         self.requests.refill(now);
-        let for_all = self.requests.wait(ONE_REQUEST);
+        let for_all = self.requests.wait_ms(ONE_REQUEST);
         let (own, tokens) = self.own_bucket(priority, writes);
         own.refill(now);
         match priority {
             // Elections and renewals are never delayed by what others have used up.
             Priority::Leadership => 0,
-            _ => own.wait(tokens).max(for_all),
+            _ => own.wait_ms(tokens).max(for_all),
         }
     }
 
     /// Takes a request with that many writes from the budget.
     pub fn spend(&mut self, priority: Priority, writes: f64) {
-        self.requests.spend(ONE_REQUEST);
+        self.requests.force_take(ONE_REQUEST);
         let (own, tokens) = self.own_bucket(priority, writes);
-        own.spend(tokens);
+        own.force_take(tokens);
     }
 
     /// The bucket that a priority has to itself, and the tokens that a request takes from it.
@@ -184,7 +184,7 @@
             Priority::Leadership | Priority::LeaderRecords => (&mut self.leader_writes, writes),
             Priority::Change => (&mut self.user_writes, writes),
             Priority::ChangeRead => (&mut self.change_reads, ONE_REQUEST),
-            Priority::ReadValidation | Priority::Question => (&mut self.questions, ONE_REQUEST),
+            Priority::ReadValidation | Priority::StatusQuery => (&mut self.questions, ONE_REQUEST),
         }
     }
 
--- a/crates/control/src/state/calls.rs
+++ b/crates/control/src/state/calls.rs
@@ -1,6 +1,6 @@
 //! Encodes requests to the state service as HTTP calls.
 
-use crate::effects::{CallId, Output, Target};
+use crate::effects::{CallId, CallTarget, Output};
 use crate::requests::StateOp;
 use constants::{LIST_PAGE, STATE_TIMEOUT_MS, WATCH_HOLD_MS};
 use wire::state::LeaseRequest;
@@ -9,7 +9,7 @@
 pub(super) fn encode_call(op: &StateOp, call: CallId) -> Output {
     Output::Call {
         call,
-        target: Target::State,
+        target: CallTarget::State,
         method: method(op),
         path: path(op),
         body: body(op),
--- a/crates/control/src/state/tests.rs
+++ b/crates/control/src/state/tests.rs
@@ -73,7 +73,7 @@
         (Priority::ChangeRead, read()),
         (Priority::LeaderRecords, write),
         (Priority::ReadValidation, read()),
-        (Priority::Question, read()),
+        (Priority::StatusQuery, read()),
     ];
     for (rps, write_rps) in [(150.0, 50.0), (100.0, 25.0)] {
         let mut client = StateClient::new(rps, write_rps, 3);
@@ -108,9 +108,9 @@
                 StateTag::ReadValidation(step),
             );
         }
-        if step.is_multiple_of(10) && !waits(&client, Priority::Question) {
+        if step.is_multiple_of(10) && !waits(&client, Priority::StatusQuery) {
             let read = StateOp::Get("j/run-1".into());
-            client.push(now, Priority::Question, read, StateTag::User(step));
+            client.push(now, Priority::StatusQuery, read, StateTag::User(step));
         }
         let mut effects = Effects::new(now);
         client.pump(&mut call, &mut effects, &mut expired);
--- a/crates/fakes/src/network.rs
+++ b/crates/fakes/src/network.rs
@@ -6,7 +6,7 @@
 use crate::events::{Call, CallResult, Event, Sender};
 use crate::turns::{note_turn, TurnAbout};
 use crate::{Cut, Party, World, DELAY_MS};
-use control::{CallError, Input, Node, Output, Target};
+use control::{CallError, CallTarget, Input, Node, Output};
 use wire::peers::PeerMessage;
 
 impl World {
@@ -49,10 +49,10 @@
     }
 
     /// A node calls the state service, the cloud or a worker.
-    fn send_call(&mut self, sender: Sender, target: Target, call: Call) {
+    fn send_call(&mut self, sender: Sender, target: CallTarget, call: Call) {
         match target {
-            Target::State => self.send_to_state(sender, call),
-            Target::Cloud => {
+            CallTarget::State => self.send_to_state(sender, call),
+            CallTarget::Cloud => {
                 let event = Event::ToCloud {
                     sender,
                     method: call.method,
@@ -61,7 +61,7 @@
                 };
                 self.push(self.now + DELAY_MS, event);
             }
-            Target::Worker(addr) => self.send_to_worker(sender.node, &addr, call.body),
+            CallTarget::Worker(addr) => self.send_to_worker(sender.node, &addr, call.body),
         }
     }
 
--- a/crates/fakes/src/world.rs
+++ b/crates/fakes/src/world.rs
@@ -155,7 +155,7 @@
         if let Some(first) = world.settings.first() {
             let deployment = &first.deployment;
             world.rules = Rules::new(deployment.teams.clone(), deployment.workers.cancel_s);
-            world.state.limits = Some(limits_of(&deployment.state.now()));
+            world.state.limits = Some(limits_of(&deployment.state.current()));
         }
         for i in 0..nodes {
             world.nodes.push(NodeSlot {
@@ -174,7 +174,7 @@
 
     /// The state service has its new limits from now on.
     pub fn lower_limits(&mut self) {
-        let least = self.settings[0].deployment.state.least();
+        let least = self.settings[0].deployment.state.strictest();
         self.state.limits = Some(limits_of(&least));
     }
 
@@ -234,7 +234,7 @@
 }
 
 /// Limits of the state service, as the settings give them.
-fn limits_of(limits: &control::settings::Limits) -> FakeLimits {
+fn limits_of(limits: &control::settings::EffectiveLimits) -> FakeLimits {
     FakeLimits {
         value_bytes: limits.value_bytes,
         txn_ops: limits.txn_ops,
--- a/crates/fakes/src/world/nodes.rs
+++ b/crates/fakes/src/world/nodes.rs
@@ -72,7 +72,7 @@
         self.state.watches.retain(|watch| watch.waiter.node != i);
         let from = self.settings[i].label.clone();
         for j in (0..self.nodes.len()).filter(|j| *j != i) {
-            let input = Input::PeerRefused { from: from.clone() };
+            let input = Input::PeerConnectionRefused { from: from.clone() };
             self.push_input(self.now + DELAY_MS, j, input);
         }
     }
--- a/crates/vetchmount/src/daemon/outputs.rs
+++ b/crates/vetchmount/src/daemon/outputs.rs
@@ -4,7 +4,7 @@
 use super::{Daemon, DaemonError};
 use crate::clients::{Call, CallOutcome};
 use crate::servers::Response;
-use control::{CallError, CallId, Now, Output, Target};
+use control::{CallError, CallId, CallTarget, Now, Output};
 use std::net::SocketAddrV4;
 
 /// Addresses of the services that every controller calls.
@@ -17,11 +17,11 @@
 
 impl ServiceAddresses {
     /// The address of a call's recipient.
-    fn resolve(&self, target: &Target) -> Result<SocketAddrV4, DaemonError> {
+    fn resolve(&self, target: &CallTarget) -> Result<SocketAddrV4, DaemonError> {
         match target {
-            Target::State => Ok(self.state),
-            Target::Cloud => Ok(self.cloud),
-            Target::Worker(text) => parse_address(text),
+            CallTarget::State => Ok(self.state),
+            CallTarget::Cloud => Ok(self.cloud),
+            CallTarget::Worker(text) => parse_address(text),
         }
     }
 }
@@ -82,7 +82,7 @@
     }
 
     /// The address of a call's recipient. A call to an address that can't be read fails as never sent.
-    fn resolve_or_fail(&mut self, call: CallId, target: &Target) -> Option<SocketAddrV4> {
+    fn resolve_or_fail(&mut self, call: CallId, target: &CallTarget) -> Option<SocketAddrV4> {
         let address = self.services.resolve(target).ok();
         if address.is_none() {
             let outcome = CallOutcome::failed(call, CallError::NotSent);
--- a/crates/vetchmount/src/peer_links.rs
+++ b/crates/vetchmount/src/peer_links.rs
@@ -140,7 +140,7 @@
             .find(|peer| peer.key == Some(key) && peer.was_connected);
         let label = ended.map(|peer| peer.label.clone());
         self.close(poller, key);
-        label.map(|from| Input::PeerRefused { from })
+        label.map(|from| Input::PeerConnectionRefused { from })
     }
 
     /// Opens the connections that are missing, and closes those that make no progress.
--- a/crates/vetchmount/src/settings/tests.rs
+++ b/crates/vetchmount/src/settings/tests.rs
@@ -39,13 +39,13 @@
         parse(&GOOD.replace("[deployment.cloud]", &with))
     };
     let larger = next("value_kb = 64.0\ntxn_ops = 40\nunheard_of = 1").expect("allowed");
-    assert_eq!(larger.deployment.state.least().txn_ops, 12);
+    assert_eq!(larger.deployment.state.strictest().txn_ops, 12);
     assert_eq!(
         next("value_kb = 2.0")
             .expect("ok")
             .deployment
             .state
-            .least()
+            .strictest()
             .value_bytes,
         2048
     );
