--- a/crates/control/src/leader/fleet/listing.rs
+++ b/crates/control/src/leader/fleet/listing.rs
@@ -3,7 +3,7 @@
 use crate::effects::{Effects, Now};
 use crate::leader::model::Machine;
 use crate::leader::Leader;
-use crate::requests::{CloudOp, CloudRequest};
+use crate::requests::{CloudOp, CloudPurpose};
 use constants::{MACHINE_LIST_INTERVAL_S, MACHINE_LIST_PAGE_SIZE, MACHINE_LIST_RATE_SHARE};
 use wire::cloud::{ListedMachine, MachineList, MachinePhase};
 
@@ -25,7 +25,7 @@
         let op = CloudOp::List {
             from: String::new(),
         };
-        self.send_cloud_request(op, CloudRequest::List { asked: now }, effects);
+        self.send_cloud_request(op, CloudPurpose::List { requested_at: now }, effects);
     }
 
     /// Seconds between two listings. The number of pages is estimated from the number of known machines, so that
@@ -52,8 +52,8 @@
                 let op = CloudOp::List { from };
                 self.send_cloud_request(
                     op,
-                    CloudRequest::List {
-                        asked: requested_at,
+                    CloudPurpose::List {
+                        requested_at: requested_at,
                     },
                     effects,
                 );
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -7,7 +7,7 @@
 use crate::leader::machine_health::MachineHealth;
 use crate::leader::model::Machine;
 use crate::leader::Leader;
-use crate::requests::{CloudOp, CloudRequest};
+use crate::requests::{CloudOp, CloudPurpose};
 use constants::{
     BOOT_TIMEOUT_EXTRA_S, BOOT_TIMEOUT_FACTOR, CLOUD_TIMEOUT_MS, IDLE_RESERVE_FLEET_DIVISOR,
     IDLE_RESERVE_MIN, IDLE_SURPLUS_RETURN_MS, MACHINES_PER_RETURN_MAX,
@@ -279,7 +279,7 @@
         }
         if !names.is_empty() {
             let op = CloudOp::Return(names.clone());
-            self.send_cloud_request(op, CloudRequest::Return(names), effects);
+            self.send_cloud_request(op, CloudPurpose::Return(names), effects);
         }
     }
 
--- a/crates/control/src/leader/job_watch.rs
+++ b/crates/control/src/leader/job_watch.rs
@@ -4,7 +4,7 @@
 
 use super::Leader;
 use crate::effects::Effects;
-use crate::requests::{LeaderRequest, Priority, Reread, StateOp, StateReply};
+use crate::requests::{Priority, Reread, StateOp, StatePurpose, StateReply};
 use ciborium::Value;
 use constants::{STATE_RETRY_MS, WATCH_FAILURES_MAX, WATCH_INTERVAL_MIN_MS};
 use wire::records::{JobRecord, JOBS};
@@ -49,7 +49,7 @@
         };
         // With the priority of the leader's own writes, the watch, and with it cancellations, could be delayed by
         // seconds.
-        self.send_state_request(Priority::Leadership, op, LeaderRequest::Watch(now), effects);
+        self.send_state_request(Priority::Leadership, op, StatePurpose::Watch(now), effects);
     }
 
     /// Handles the reply to the watch that was sent at `sent_at`.
@@ -96,15 +96,15 @@
         self.job_watch.failures = 0;
         self.job_watch.in_flight = true;
         let reread = Reread {
-            since: effects.now.mono,
-            revision: 0,
+            started_at: effects.now.mono,
+            first_page_revision: 0,
         };
         self.request_reread_page(reread, String::new(), effects);
     }
 
     fn request_reread_page(&self, reread: Reread, from: String, effects: &mut Effects) {
         let op = StateOp::List { prefix: JOBS, from };
-        let request = LeaderRequest::Resync(reread);
+        let request = StatePurpose::Resync(reread);
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
     }
 
@@ -120,17 +120,20 @@
             self.job_watch.retry_at = effects.now.mono + STATE_RETRY_MS;
             return;
         };
-        let revision = match reread.revision {
+        let revision = match reread.first_page_revision {
             0 => page.revision,
             first => first,
         };
         match self.on_reread_page(page, effects) {
             Some(from) => {
-                let reread = Reread { revision, ..reread };
+                let reread = Reread {
+                    first_page_revision: revision,
+                    ..reread
+                };
                 self.request_reread_page(reread, from, effects);
             }
             None => {
-                self.job_watch.advance(revision, reread.since);
+                self.job_watch.advance(revision, reread.started_at);
                 self.job_watch.in_flight = false;
                 self.tick(false, effects);
             }
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -35,7 +35,7 @@
 use crate::effects::{Effects, Now};
 use crate::recent_map::RecentMap;
 use crate::requests::{
-    CloudOp, CloudReply, CloudRequest, CloudTag, LeaderRequest, Priority, StateOp, StateReply,
+    CloudOp, CloudPurpose, CloudReply, CloudTag, Priority, StateOp, StatePurpose, StateReply,
     StateTag,
 };
 use crate::settings::{Operator, Settings};
@@ -235,20 +235,20 @@
     /// Handles the reply to a request to the state service.
     pub fn handle_state_reply(
         &mut self,
-        request: LeaderRequest,
+        request: StatePurpose,
         reply: StateReply,
         effects: &mut Effects,
     ) {
         match request {
-            LeaderRequest::Load(prefix) => self.on_load_reply(prefix, reply, effects),
-            LeaderRequest::Watch(sent) => self.on_watch_reply(sent, reply, effects),
-            LeaderRequest::PendingTransaction(number) => {
+            StatePurpose::Load(prefix) => self.on_load_reply(prefix, reply, effects),
+            StatePurpose::Watch(sent) => self.on_watch_reply(sent, reply, effects),
+            StatePurpose::PendingTransaction(number) => {
                 self.on_transaction_reply(number, reply, effects)
             }
-            LeaderRequest::Refresh(what, key) => self.on_refresh_reply(what, key, reply, effects),
-            LeaderRequest::Resync(reread) => self.on_reread_reply(reread, reply, effects),
-            LeaderRequest::FinalRecord(id) => self.on_final_record_reply(&id, reply, effects),
-            LeaderRequest::FurtherRecord(id, number) => {
+            StatePurpose::Refresh(what, key) => self.on_refresh_reply(what, key, reply, effects),
+            StatePurpose::Resync(reread) => self.on_reread_reply(reread, reply, effects),
+            StatePurpose::FinalRecord(id) => self.on_final_record_reply(&id, reply, effects),
+            StatePurpose::OverflowRecord(id, number) => {
                 self.on_overflow_record_reply(id, number, reply, effects)
             }
         }
@@ -257,7 +257,7 @@
     /// Handles the reply to a request to the cloud.
     pub fn handle_cloud_reply(
         &mut self,
-        request: CloudRequest,
+        request: CloudPurpose,
         op: CloudOp,
         reply: CloudReply,
         effects: &mut Effects,
@@ -270,20 +270,20 @@
         &self,
         priority: Priority,
         op: StateOp,
-        request: LeaderRequest,
+        request: StatePurpose,
         effects: &mut Effects,
     ) {
         let tag = StateTag::Leader {
             term: self.term,
-            request,
+            purpose: request,
         };
         effects.request_state(priority, op, tag);
     }
 
-    fn send_cloud_request(&self, op: CloudOp, request: CloudRequest, effects: &mut Effects) {
+    fn send_cloud_request(&self, op: CloudOp, request: CloudPurpose, effects: &mut Effects) {
         let tag = CloudTag::Leader {
             term: self.term,
-            request,
+            purpose: request,
         };
         effects.request_cloud(op, tag);
     }
--- a/crates/control/src/leader/store/builder.rs
+++ b/crates/control/src/leader/store/builder.rs
@@ -5,7 +5,7 @@
 use crate::leader::pages::{
     max_compares, PageDrafts, PageWrite, RemainingCapacity, TransactionFull,
 };
-use crate::settings::Limits;
+use crate::settings::EffectiveLimits;
 use constants::TXN_MAX_BYTES;
 use wire::records::{page_key, LEADER};
 use wire::state::{Compare, Txn, Write};
@@ -24,7 +24,7 @@
 
 impl TransactionBuilder {
     /// An empty transaction, which fails unless the leader's record has this version.
-    pub fn new(leader_version: u64, limits: &Limits) -> Self {
+    pub fn new(leader_version: u64, limits: &EffectiveLimits) -> Self {
         let fence = Compare::new(LEADER, leader_version);
         TransactionBuilder {
             max_writes: limits.txn_ops,
--- a/crates/control/src/leader/watch/direct_orders.rs
+++ b/crates/control/src/leader/watch/direct_orders.rs
@@ -1,7 +1,7 @@
 //! Direct calls that stop tasks when waiting for the worker's next heartbeat would take too long: for tasks of
 //! cancelled jobs, tasks of gangs, and preempted tasks.
 
-use crate::effects::{Effects, Output, Target};
+use crate::effects::{CallTarget, Effects, Output};
 use crate::leader::model::{Assignment, AssignmentStage, Job, Machine, StopRequest};
 use crate::leader::worker_heartbeats::{stop_order, task_name, PREEMPTED};
 use crate::leader::Leader;
@@ -75,7 +75,7 @@
                 .iter()
                 .filter(|task| task.is_urgent(active, is_overdue, now));
             let mut orders: Vec<Order> = urgent.map(StoppingTask::order).collect();
-            if orders.is_empty() || !self.direct_order_budget.take(now, 1.0) {
+            if orders.is_empty() || !self.direct_order_budget.try_take(now, 1.0) {
                 continue;
             }
             orders.truncate(ORDERS_PER_ANSWER_MAX);
@@ -119,7 +119,7 @@
 pub(crate) fn direct_call(call: u64, addr: String, body: Vec<u8>) -> Output {
     Output::Call {
         call,
-        target: Target::Worker(addr),
+        target: CallTarget::Worker(addr),
         method: "POST",
         path: "/orders".into(),
         body,
--- a/crates/control/src/node/events.rs
+++ b/crates/control/src/node/events.rs
@@ -68,7 +68,7 @@
     /// Handles the completion of the rollout. From now on the future limits of the state service
     /// may apply at any time.
     fn on_upgraded(&mut self, effects: &mut Effects) {
-        let strictest_limits = self.settings.deployment.state.least();
+        let strictest_limits = self.settings.deployment.state.strictest();
         self.state
             .set_rates(strictest_limits.rps, strictest_limits.write_rps);
         if let Some(leader) = self.leader.as_mut() {
--- a/crates/control/src/partitions/redirects.rs
+++ b/crates/control/src/partitions/redirects.rs
@@ -63,7 +63,7 @@
             }
             return_count = last.return_count;
         }
-        if !self.rate.take(now, 1.0) {
+        if !self.rate.try_take(now, 1.0) {
             return false;
         }
         if self.last_redirects.len() >= REDIRECTED_WORKERS_MAX {
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -171,7 +171,7 @@
     fn note_sent(&mut self, priority: Priority) {
         match priority {
             Priority::ReadValidation => self.status_query_is_next = true,
-            Priority::Question => self.status_query_is_next = false,
+            Priority::StatusQuery => self.status_query_is_next = false,
             _ => {}
         }
     }
--- a/crates/control/src/state/budget.rs
+++ b/crates/control/src/state/budget.rs
@@ -171,21 +171,21 @@
     /// Returns the milliseconds until a request with this number of writes may be sent.
     pub fn wait_ms(&mut self, priority: Priority, writes: f64, now: u64) -> u64 {
         self.requests.refill(now);
-        let shared_wait_ms = self.requests.wait(ONE_REQUEST);
+        let shared_wait_ms = self.requests.wait_ms(ONE_REQUEST);
         let (bucket, tokens) = self.priority_bucket(priority, writes);
         bucket.refill(now);
         match priority {
             // Elections and lease renewals are never delayed by the usage of other requests.
             Priority::Leadership => 0,
-            _ => bucket.wait(tokens).max(shared_wait_ms),
+            _ => bucket.wait_ms(tokens).max(shared_wait_ms),
         }
     }
 
     /// Takes a request with this number of writes from the budget.
     pub fn spend(&mut self, priority: Priority, writes: f64) {
-        self.requests.spend(ONE_REQUEST);
+        self.requests.force_take(ONE_REQUEST);
         let (bucket, tokens) = self.priority_bucket(priority, writes);
-        bucket.spend(tokens);
+        bucket.force_take(tokens);
     }
 
     /// Returns the bucket of a priority, and the tokens that a request takes from it.
@@ -198,7 +198,7 @@
             Priority::Leadership | Priority::LeaderRecords => (&mut self.leader_writes, writes),
             Priority::Change => (&mut self.user_writes, writes),
             Priority::ChangeRead => (&mut self.change_reads, ONE_REQUEST),
-            Priority::ReadValidation | Priority::Question => {
+            Priority::ReadValidation | Priority::StatusQuery => {
                 (&mut self.status_queries, ONE_REQUEST)
             }
         }
--- a/crates/control/src/state/tests.rs
+++ b/crates/control/src/state/tests.rs
@@ -76,7 +76,7 @@
         (Priority::ChangeRead, read()),
         (Priority::LeaderRecords, write),
         (Priority::ReadValidation, read()),
-        (Priority::Question, read()),
+        (Priority::StatusQuery, read()),
     ];
     for (rps, write_rps) in [(150.0, 50.0), (100.0, 25.0)] {
         let mut client = StateClient::new(rps, write_rps, 3);
@@ -111,9 +111,9 @@
                 StateTag::ReadValidation(step),
             );
         }
-        if step.is_multiple_of(10) && !waits(&client, Priority::Question) {
+        if step.is_multiple_of(10) && !waits(&client, Priority::StatusQuery) {
             let read = StateOp::Get("j/run-1".into());
-            client.enqueue(now, Priority::Question, read, StateTag::User(step));
+            client.enqueue(now, Priority::StatusQuery, read, StateTag::User(step));
         }
         let mut effects = Effects::new(now);
         client.send_due(&mut call, &mut effects, &mut expired);
--- a/crates/vetchmount/src/settings/tests.rs
+++ b/crates/vetchmount/src/settings/tests.rs
@@ -39,13 +39,13 @@
         parse_platform(&VALID_SETTINGS.replace("[deployment.cloud]", &sections))
     };
     let larger = parse_with_next("value_kb = 64.0\ntxn_ops = 40\nunheard_of = 1").expect("allowed");
-    assert_eq!(larger.deployment.state.least().txn_ops, 12);
+    assert_eq!(larger.deployment.state.strictest().txn_ops, 12);
     assert_eq!(
         parse_with_next("value_kb = 2.0")
             .expect("ok")
             .deployment
             .state
-            .least()
+            .strictest()
             .value_bytes,
         2048
     );
