--- a/crates/control/src/effects/actor_effects.rs
+++ b/crates/control/src/effects/actor_effects.rs
@@ -7,7 +7,7 @@
 use crate::requests::{CloudOp, CloudTag, Priority, StateOp, StateTag};
 use constants::RETRY_AFTER_S;
 use wire::peers::PeerMessage;
-use wire::users::Refusal;
+use wire::users::ErrorResponse;
 
 /// HTTP status: the caller sends too many requests.
 const TOO_MANY_REQUESTS: u16 = 429;
@@ -132,7 +132,7 @@
 
     /// Refuses a request. Where it may succeed later, the answer says when to try again.
     pub fn refuse(&mut self, id: RequestId, status: u16, reason: &str) {
-        let body = wire::encode(&Refusal {
+        let body = wire::encode(&ErrorResponse {
             error: reason.to_string(),
         });
         self.respond_or_retry(id, status, body);
--- a/crates/control/src/effects/node_event.rs
+++ b/crates/control/src/effects/node_event.rs
@@ -1,7 +1,7 @@
 //! Events that concern the whole node.
 
 use wire::cloud::MachineType;
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 /// An event that concerns the whole node.
 #[derive(Debug, Clone, PartialEq)]
@@ -23,7 +23,7 @@
         /// Id of the job.
         job: String,
         /// How it ended.
-        outcome: Final,
+        outcome: JobOutcome,
     },
     /// A user is about to receive the confirmation that a job is cancelled.
     JobCancelled {
--- a/crates/control/src/election/candidacy.rs
+++ b/crates/control/src/election/candidacy.rs
@@ -8,7 +8,7 @@
 use constants::{
     ELECTION_JITTER_MS, ELECTION_STALE_MS, HANDOVER_POLL_MS, LEADER_LEASE_MS, LEADER_POLL_MS,
 };
-use wire::records::{LeaderRecord, TermRecord, LEADER, TERM};
+use wire::records::{LeaderRecord, TermRecord, LEADER_KEY, TERM_KEY};
 use wire::state::{Compare, Item, Txn, Write};
 
 /// Least milliseconds until the next poll after an attempt that failed.
@@ -54,7 +54,7 @@
     pub(super) fn stand(&mut self, leader_version: u64, effects: &mut Effects) {
         self.role = Role::Candidate(Candidacy::new(leader_version, effects.now.mono));
         let step = ElectionStep::ReadTerm(self.round);
-        self.request(StateOp::Get(TERM.into()), step, effects);
+        self.request(StateOp::Get(TERM_KEY.into()), step, effects);
     }
 
     /// The state service has replied to the read of the last term.
@@ -185,8 +185,8 @@
     conditions: &[Compare],
 ) -> Txn {
     let mut compares = vec![
-        Compare::new(LEADER, candidacy.leader_version),
-        Compare::new(TERM, candidacy.term_version),
+        Compare::new(LEADER_KEY, candidacy.leader_version),
+        Compare::new(TERM_KEY, candidacy.term_version),
     ];
     compares.extend(conditions.iter().cloned());
     let term = candidacy.term;
@@ -197,12 +197,12 @@
         None => TermRecord::new(term),
     };
     let leader_key = Write::Put {
-        key: LEADER.into(),
+        key: LEADER_KEY.into(),
         value: wire::state::to_value(record),
         lease: Some(lease),
     };
     Txn {
         compares,
-        writes: vec![leader_key, Write::put(TERM, &next_term)],
+        writes: vec![leader_key, Write::put(TERM_KEY, &next_term)],
     }
 }
--- a/crates/control/src/election/following.rs
+++ b/crates/control/src/election/following.rs
@@ -8,7 +8,7 @@
     ELECTION_JITTER_MS, HANDOVER_MS, HANDOVER_POLL_MS, LEADER_POLL_MS, STATE_RETRY_MS,
     VACANT_POLL_MS,
 };
-use wire::records::{LeaderRecord, LEADER};
+use wire::records::{LeaderRecord, LEADER_KEY};
 use wire::state::Item;
 
 /// Least milliseconds between revoking an unreachable leader's lease and polling the leader key, for a
@@ -22,7 +22,7 @@
         self.round += 1;
         self.next_at = now + self.poll_interval_ms(now);
         let step = ElectionStep::Poll(self.round);
-        self.request(StateOp::Get(LEADER.into()), step, effects);
+        self.request(StateOp::Get(LEADER_KEY.into()), step, effects);
     }
 
     fn poll_interval_ms(&self, now: u64) -> u64 {
--- a/crates/control/src/gateway/admission.rs
+++ b/crates/control/src/gateway/admission.rs
@@ -40,7 +40,7 @@
         }
         // A job can't need itself, and no job has an id of another form.
         let is_impossible = |id: &&String| **id == spec.id || !is_job_id(id);
-        if let Some(id) = spec.needs.iter().find(is_impossible) {
+        if let Some(id) = spec.dependencies.iter().find(is_impossible) {
             return Err(Rejection::UnknownDependency(id.clone()));
         }
         self.check_team_limit(spec)?;
@@ -80,7 +80,7 @@
 /// Whether a task may run on an empty machine of a type.
 fn fits(spec: &Submission, machine_type: &MachineType) -> bool {
     let type_allowed = spec
-        .types
+        .machine_types
         .as_ref()
         .is_none_or(|names| names.contains(&machine_type.name));
     // A type without zones is offered in all of them.
--- a/crates/control/src/gateway/compares.rs
+++ b/crates/control/src/gateway/compares.rs
@@ -1,7 +1,7 @@
 //! Conditions of transactions on the records of jobs.
 
 use crate::requests::StateOp;
-use wire::records::{final_key, job_key};
+use wire::records::{final_record_key, job_key};
 use wire::state::{Compare, Txn};
 
 /// Conditions that a job's absence takes: one for each of its two records.
@@ -9,7 +9,10 @@
 
 /// No job has this id, neither an open one nor one that is over.
 pub(super) fn absent(id: &str) -> [Compare; COMPARES_PER_ABSENT_JOB] {
-    [Compare::new(job_key(id), 0), Compare::new(final_key(id), 0)]
+    [
+        Compare::new(job_key(id), 0),
+        Compare::new(final_record_key(id), 0),
+    ]
 }
 
 /// These jobs are open and their records have these versions.
--- a/crates/control/src/gateway/dependency_reads.rs
+++ b/crates/control/src/gateway/dependency_reads.rs
@@ -6,7 +6,7 @@
 use super::Gateway;
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::StateReply;
-use wire::records::{Final, JobRecord};
+use wire::records::{JobOutcome, JobRecord};
 use wire::state::Item;
 
 impl Gateway {
@@ -61,11 +61,12 @@
                     // This node may answer so from now on.
                     effects.emit(NodeEvent::JobCancelled { job: id.clone() });
                 }
-                let observed = JobVersion::new(item.version, record.aborted, &record.spec.needs);
+                let observed =
+                    JobVersion::new(item.version, record.aborted, &record.spec.dependencies);
                 self.cache.remember_version(&id, observed);
             }
             RecordKind::Final => {
-                let end: Final = read_record(&item)?;
+                let end: JobOutcome = read_record(&item)?;
                 self.cache.remember_final(id, end);
             }
         }
--- a/crates/control/src/gateway/dependency_state.rs
+++ b/crates/control/src/gateway/dependency_state.rs
@@ -7,7 +7,7 @@
 use super::job_cache::JobCache;
 use super::pending::RecordVersions;
 use std::collections::HashSet;
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 /// What is known of some jobs and of all jobs that they need.
 pub(super) enum DependencyState {
@@ -32,8 +32,8 @@
         let mut unknown = None;
         while let Some(id) = stack.pop() {
             match (self.known_final(id), self.known_version(id)) {
-                (Some(Final::Done), _) => {}
-                (Some(Final::Aborted), _) => return DependencyState::Cancelled,
+                (Some(JobOutcome::Done), _) => {}
+                (Some(JobOutcome::Aborted), _) => return DependencyState::Cancelled,
                 (None, Some(job)) if job.cancelled => return DependencyState::Cancelled,
                 (None, Some(job)) => {
                     versions.insert(id.clone(), job.version);
--- a/crates/control/src/gateway/events.rs
+++ b/crates/control/src/gateway/events.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::effects::NodeEvent;
 use wire::peers::JobUpdate;
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 impl Gateway {
     /// Takes over what an event of this node says about jobs, machine types or the upgrade.
@@ -18,7 +18,7 @@
     }
 
     /// Notes how a job ended.
-    pub fn remember_final(&mut self, id: String, end: Final) {
+    pub fn remember_final(&mut self, id: String, end: JobOutcome) {
         self.cache.remember_final(id, end);
     }
 
--- a/crates/control/src/gateway/intake.rs
+++ b/crates/control/src/gateway/intake.rs
@@ -116,7 +116,7 @@
     }
 
     fn check_submission(&self, mut spec: Submission) -> UserRequest {
-        spec.dedup_needs();
+        spec.dedup_dependencies();
         let id = spec.id.clone();
         let checked = self.admission.check(&spec);
         let operation = match checked.and_then(|()| self.records.check_size(&spec)) {
@@ -167,7 +167,7 @@
         match (&pending.stage, &pending.operation) {
             (Stage::Validating, _) => self.validation.push_back(number),
             (Stage::SearchingId, _) => self.unknown_ids.push_back(number, is_change),
-            (Stage::Creating, Operation::Submit(spec)) if !spec.needs.is_empty() => {
+            (Stage::Creating, Operation::Submit(spec)) if !spec.dependencies.is_empty() => {
                 self.continue_submission(number, effects);
             }
             _ => self.send(number, effects),
--- a/crates/control/src/gateway/job_cache.rs
+++ b/crates/control/src/gateway/job_cache.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use wire::peers::JobUpdate;
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 /// How many of a job's tasks are done and running, for display.
 #[derive(Debug, Clone, Copy, Default)]
@@ -74,7 +74,7 @@
 
 /// Ends, versions and counts of the jobs that this node has seen lately.
 pub(super) struct JobCache {
-    finals: RecentMap<Final>,
+    finals: RecentMap<JobOutcome>,
     /// Jobs whose cancellation is recorded, as this node or a peer has seen. That is final, so it may be answered at
     /// once, and it must be wherever a read tells something older.
     cancelled: RecentMap<()>,
@@ -94,7 +94,7 @@
     }
 
     /// Notes how a job ended.
-    pub(super) fn remember_final(&mut self, id: String, end: Final) {
+    pub(super) fn remember_final(&mut self, id: String, end: JobOutcome) {
         self.counts.remove(&id);
         self.versions.remove(&id);
         self.finals.insert(id, end);
@@ -113,8 +113,8 @@
     }
 
     /// How a job ends or has ended, where that is certain.
-    pub(super) fn known_final(&self, id: &str) -> Option<Final> {
-        let cancelled = || self.cancelled.get(id).map(|()| Final::Aborted);
+    pub(super) fn known_final(&self, id: &str) -> Option<JobOutcome> {
+        let cancelled = || self.cancelled.get(id).map(|()| JobOutcome::Aborted);
         self.finals.get(id).copied().or_else(cancelled)
     }
 
--- a/crates/control/src/gateway/job_records.rs
+++ b/crates/control/src/gateway/job_records.rs
@@ -50,7 +50,7 @@
     /// Whether a submission may be written in a form that old processes can't read: only when none can come back. A
     /// submission that needs others shows that by itself.
     fn may_use_new_form(&self, spec: &Submission) -> bool {
-        self.upgraded || !spec.needs.is_empty()
+        self.upgraded || !spec.dependencies.is_empty()
     }
 
     fn limits_for(&self, spec: &Submission) -> Limits {
@@ -69,7 +69,7 @@
     /// Whether a submission's one record is larger than the limits to come allow.
     pub(super) fn is_larger_than_least(&self, spec: &Submission) -> bool {
         let record = JobRecord::new(spec.clone(), LONGEST_TIME_MS);
-        wire::json_bytes(&record) > self.least.value_bytes
+        wire::json_size(&record) > self.least.value_bytes
     }
 
     /// The writes that store a submission accepted at a time of day. Machine types that do not fit into the job's own
@@ -82,7 +82,7 @@
         let limits = self.limits_for(spec);
         let mut record = JobRecord::new(spec.clone(), accepted_at);
         let key = job_key(&spec.id);
-        let bytes = wire::json_bytes(&record) + CANCELLATION_MARK_BYTES;
+        let bytes = wire::json_size(&record) + CANCELLATION_MARK_BYTES;
         if bytes <= limits.value_bytes {
             return Ok(vec![Write::put(key, &record)]);
         }
@@ -92,7 +92,7 @@
             Vec::new()
         };
         let more_records = MORE_RECORDS.min(limits.txn_ops.saturating_sub(WRITES_WITHOUT_MORE));
-        let own_bytes = wire::json_bytes(&record) + CANCELLATION_MARK_BYTES;
+        let own_bytes = wire::json_size(&record) + CANCELLATION_MARK_BYTES;
         if more.len() > more_records || own_bytes > limits.value_bytes {
             return Err(Rejection::TooLong {
                 bytes,
@@ -114,9 +114,9 @@
             aborted: true,
             ..record
         };
-        if wire::json_bytes(&record) > self.least.value_bytes {
-            record.spec.types = None;
-            record.spec.needs.clear();
+        if wire::json_size(&record) > self.least.value_bytes {
+            record.spec.machine_types = None;
+            record.spec.dependencies.clear();
         }
         record
     }
@@ -124,19 +124,21 @@
 
 /// Moves a record's machine types into further records of at most so many bytes each.
 fn move_types_out(record: &mut JobRecord, value_bytes: usize) -> Vec<JobOverflowRecord> {
-    let types = record.spec.types.take().unwrap_or_default();
+    let types = record.spec.machine_types.take().unwrap_or_default();
     // An empty list still says that only some types are allowed.
-    record.spec.types = (!types.is_empty()).then(Vec::new);
+    record.spec.machine_types = (!types.is_empty()).then(Vec::new);
     let mut more: Vec<JobOverflowRecord> = Vec::new();
     for name in types {
-        let name_bytes = wire::json_bytes(&name) + SEPARATOR_BYTES;
+        let name_bytes = wire::json_size(&name) + SEPARATOR_BYTES;
         let fits =
-            |last: &&mut JobOverflowRecord| wire::json_bytes(*last) + name_bytes <= value_bytes;
+            |last: &&mut JobOverflowRecord| wire::json_size(*last) + name_bytes <= value_bytes;
         match more.last_mut().filter(fits) {
-            Some(last) => last.types.push(name),
-            None => more.push(JobOverflowRecord { types: vec![name] }),
+            Some(last) => last.machine_types.push(name),
+            None => more.push(JobOverflowRecord {
+                machine_types: vec![name],
+            }),
         }
     }
-    record.more = more.len() as u32;
+    record.overflow_record_count = more.len() as u32;
     more
 }
--- a/crates/control/src/gateway/read_validation.rs
+++ b/crates/control/src/gateway/read_validation.rs
@@ -13,7 +13,7 @@
 use crate::requests::{Priority, StateReply, StateTag};
 use constants::{STATE_RETRY_MS, VALIDATION_GATHER_MS, VALIDATION_INTERVAL_MS};
 use std::collections::VecDeque;
-use wire::records::JOBS;
+use wire::records::JOB_PREFIX;
 
 /// Requests that wait for a read validation, and the one in flight.
 #[derive(Default)]
@@ -195,7 +195,10 @@
     /// Some versions of a batch are out of date. All its requests wait for the next one, which is sent at once: none
     /// of them was validated by this.
     fn on_outdated(&mut self, batch: Batch, failed_keys: &[String], now: u64) {
-        for id in failed_keys.iter().filter_map(|key| key.strip_prefix(JOBS)) {
+        for id in failed_keys
+            .iter()
+            .filter_map(|key| key.strip_prefix(JOB_PREFIX))
+        {
             let Some(compared) = batch.versions.get(id) else {
                 continue;
             };
--- a/crates/control/src/gateway/replies.rs
+++ b/crates/control/src/gateway/replies.rs
@@ -5,7 +5,7 @@
 use super::Gateway;
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::StateReply;
-use wire::records::{final_key, job_key, Final, JobRecord};
+use wire::records::{final_record_key, job_key, JobOutcome, JobRecord};
 
 impl Gateway {
     /// Takes the reply to what was sent for one pending request.
@@ -105,7 +105,7 @@
                 self.advance(number, Stage::ReadingFinal, effects);
             }
             (Stage::ReadingFinal, StateReply::Item(item)) => {
-                match item.value.deserialized::<Final>() {
+                match item.value.deserialized::<JobOutcome>() {
                     Ok(end) => self.on_final_record(number, end, effects),
                     Err(_) => self.refuse(number, &Rejection::UnreadableRecord, effects),
                 }
@@ -118,6 +118,6 @@
 
 /// Whether a key among these is that of one of the job's own records.
 fn concerns_job(id: &str, keys: &[String]) -> bool {
-    let own = [job_key(id), final_key(id)];
+    let own = [job_key(id), final_record_key(id)];
     keys.iter().any(|key| own.contains(key))
 }
--- a/crates/control/src/gateway/sending.rs
+++ b/crates/control/src/gateway/sending.rs
@@ -6,7 +6,7 @@
 use super::Gateway;
 use crate::effects::Effects;
 use crate::requests::{Priority, StateOp, StateTag};
-use wire::records::{final_key, job_key};
+use wire::records::{final_record_key, job_key};
 use wire::state::Txn;
 
 impl Gateway {
@@ -51,9 +51,9 @@
             }
             (Stage::ReadingDependency { id, record }, _) => StateOp::Get(match record {
                 RecordKind::Open => job_key(id),
-                RecordKind::Final => final_key(id),
+                RecordKind::Final => final_record_key(id),
             }),
-            (Stage::ReadingFinal, _) => StateOp::Get(final_key(&pending.id)),
+            (Stage::ReadingFinal, _) => StateOp::Get(final_record_key(&pending.id)),
             _ => StateOp::Get(job_key(&pending.id)),
         };
         Ok(op)
--- a/crates/control/src/gateway/status.rs
+++ b/crates/control/src/gateway/status.rs
@@ -5,7 +5,7 @@
 use super::rejection::Rejection;
 use super::Gateway;
 use crate::effects::{Effects, NodeEvent, RequestId};
-use wire::records::{Final, JobRecord};
+use wire::records::{JobOutcome, JobRecord};
 use wire::users::{JobStatus, Phase};
 
 const OK: u16 = 200;
@@ -27,7 +27,7 @@
         if matches!(pending.operation, Operation::Cancel) && !cancelled {
             return self.send_cancellation(number, record, version, effects);
         }
-        let observed = JobVersion::new(version, cancelled, &record.spec.needs);
+        let observed = JobVersion::new(version, cancelled, &record.spec.dependencies);
         self.cache.remember_version(&pending.id, observed);
         let known = self.cache.known_version(&pending.id);
         let needs_others = known.is_some_and(|known| !known.is_released());
@@ -48,7 +48,7 @@
     }
 
     /// The final record of a request's job was read.
-    pub(super) fn on_final_record(&mut self, number: u64, end: Final, effects: &mut Effects) {
+    pub(super) fn on_final_record(&mut self, number: u64, end: JobOutcome, effects: &mut Effects) {
         if let Some(pending) = self.pending.close(number) {
             self.answer_final(pending.request, &pending.id, end, effects);
             self.cache.remember_final(pending.id, end);
@@ -112,12 +112,12 @@
         &self,
         request: RequestId,
         id: &str,
-        end: Final,
+        end: JobOutcome,
         effects: &mut Effects,
     ) {
         let phase = match end {
-            Final::Done => Phase::Done,
-            Final::Aborted => Phase::Aborted,
+            JobOutcome::Done => Phase::Done,
+            JobOutcome::Aborted => Phase::Aborted,
         };
         self.answer_phase(request, id, phase, effects);
     }
--- a/crates/control/src/gateway/submit.rs
+++ b/crates/control/src/gateway/submit.rs
@@ -6,7 +6,7 @@
 use super::pending::{Operation, PendingRequest, RecordVersions, Stage};
 use super::Gateway;
 use crate::effects::{Effects, NodeEvent};
-use wire::records::{Final, JOBS};
+use wire::records::{JobOutcome, JOB_PREFIX};
 use wire::users::Phase;
 
 impl Gateway {
@@ -20,11 +20,11 @@
         else {
             return;
         };
-        if let Some(id) = spec.needs.iter().find(|id| !self.cache.is_known(id)) {
+        if let Some(id) = spec.dependencies.iter().find(|id| !self.cache.is_known(id)) {
             return self.read_dependency(number, id.clone(), effects);
         }
         let (dependency_cancelled, unvalidated) =
-            match self.cache.dependency_state(spec.needs.iter()) {
+            match self.cache.dependency_state(spec.dependencies.iter()) {
                 DependencyState::Unknown(id) => return self.read_dependency(number, id, effects),
                 DependencyState::Cancelled => (true, RecordVersions::new()),
                 DependencyState::Open(versions) => (false, versions),
@@ -74,7 +74,10 @@
         failed_keys: &[String],
         effects: &mut Effects,
     ) {
-        for id in failed_keys.iter().filter_map(|key| key.strip_prefix(JOBS)) {
+        for id in failed_keys
+            .iter()
+            .filter_map(|key| key.strip_prefix(JOB_PREFIX))
+        {
             self.cache.forget_version(id);
         }
         self.continue_submission(number, effects);
@@ -87,7 +90,7 @@
         };
         let took_ms = effects.now.mono.saturating_sub(pending.since());
         let needs = match pending.operation {
-            Operation::Submit(spec) => spec.needs,
+            Operation::Submit(spec) => spec.dependencies,
             _ => Vec::new(),
         };
         log::info!(
@@ -110,8 +113,8 @@
     /// cancelled, before the creation's reply came.
     fn created_phase(&self, id: &str, dependency_cancelled: bool) -> Phase {
         match self.cache.known_final(id) {
-            Some(Final::Done) => Phase::Done,
-            Some(Final::Aborted) => Phase::Aborted,
+            Some(JobOutcome::Done) => Phase::Done,
+            Some(JobOutcome::Aborted) => Phase::Aborted,
             None if dependency_cancelled => Phase::Aborted,
             None => Phase::Queued,
         }
--- a/crates/control/src/gateway/unknown_ids.rs
+++ b/crates/control/src/gateway/unknown_ids.rs
@@ -12,7 +12,7 @@
 use crate::requests::{Priority, StateReply, StateTag};
 use constants::{ID_SEARCH_BACKLOG, ID_SEARCH_INTERVAL_MS, STATE_RETRY_MS, VALIDATION_GATHER_MS};
 use std::collections::{BTreeSet, VecDeque};
-use wire::records::{final_key, job_key};
+use wire::records::{final_record_key, job_key};
 
 /// Requests about unknown ids, and the search that some of them wait for.
 #[derive(Default)]
@@ -173,7 +173,7 @@
             StateReply::Conflict { failed } if failed.contains(&job_key(&pending.id)) => {
                 self.advance(number, Stage::ReadingOpen, effects);
             }
-            StateReply::Conflict { failed } if failed.contains(&final_key(&pending.id)) => {
+            StateReply::Conflict { failed } if failed.contains(&final_record_key(&pending.id)) => {
                 self.advance(number, Stage::ReadingFinal, effects);
             }
             StateReply::Conflict { .. } => {
--- a/crates/control/src/leader/consolidation.rs
+++ b/crates/control/src/leader/consolidation.rs
@@ -136,7 +136,8 @@
     ) -> Vec<usize> {
         let is_movable = |task: &&RunningTask| {
             let job = jobs.get(&snapshot.jobs[task.job]);
-            let saves = job.is_some_and(|job| !job.is_gang() && job.spec.checkpoint_s > 0.0);
+            let saves =
+                job.is_some_and(|job| !job.is_gang() && job.spec.checkpoint_interval_s > 0.0);
             task.preemptible && saves
         };
         let all_movable = |machine: usize| self.tasks_by_machine[machine].iter().all(is_movable);
--- a/crates/control/src/leader/consolidation/demand.rs
+++ b/crates/control/src/leader/consolidation/demand.rs
@@ -99,10 +99,10 @@
 /// Whether a task of the job fits on an empty machine of the type, and may go there.
 fn may_use(job: &Job, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
     let spec = &job.spec;
-    (spec.spot || !spot)
+    (spec.spot_allowed || !spot)
         && spec.zone.as_ref().is_none_or(|only| only == zone)
         && spec
-            .types
+            .machine_types
             .as_ref()
             .is_none_or(|types| types.contains(&machine_type.name))
         && spec.cpus <= machine_type.cpus
--- a/crates/control/src/leader/dependencies.rs
+++ b/crates/control/src/leader/dependencies.rs
@@ -18,7 +18,7 @@
 use constants::CASCADE_A_TURN;
 use lookups::Lookups;
 use std::collections::{BTreeSet, HashMap, VecDeque};
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 /// What the leader knows of jobs that depend on others.
 #[derive(Default)]
@@ -41,10 +41,10 @@
         }
         let mut dependency_cancelled = false;
         let mut pending = BTreeSet::new();
-        for dependency in &job.spec.needs {
+        for dependency in &job.spec.dependencies {
             match (self.archived_outcome(dependency), self.jobs.get(dependency)) {
-                (Some(Final::Done), _) => continue,
-                (Some(Final::Aborted), _) => dependency_cancelled = true,
+                (Some(JobOutcome::Done), _) => continue,
+                (Some(JobOutcome::Aborted), _) => dependency_cancelled = true,
                 (None, Some(open)) => dependency_cancelled |= open.aborted,
                 (None, None) => self.dependencies.lookups.push(now.mono, dependency),
             }
@@ -58,7 +58,7 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if !job.spec.needs.is_empty() {
+        if !job.spec.dependencies.is_empty() {
             // A new leader does not know whether it was released long ago.
             job.ready_at = now.unix;
             self.dependencies.demand_due = true;
@@ -79,15 +79,15 @@
     }
 
     /// A job is archived: what depends on it may go on, or is cancelled with it.
-    pub(super) fn on_job_archived(&mut self, id: &str, end: Final, now: Now) {
+    pub(super) fn on_job_archived(&mut self, id: &str, end: JobOutcome, now: Now) {
         let Some(dependents) = self.dependencies.dependents.remove(id) else {
             return;
         };
         self.dependencies.demand_due = true;
         for dependent in dependents {
             match end {
-                Final::Aborted => self.cancel_by_dependency(&dependent, now),
-                Final::Done => self.release_dependent(&dependent, id, now),
+                JobOutcome::Aborted => self.cancel_by_dependency(&dependent, now),
+                JobOutcome::Done => self.release_dependent(&dependent, id, now),
             }
         }
     }
--- a/crates/control/src/leader/dependencies/lookups.rs
+++ b/crates/control/src/leader/dependencies/lookups.rs
@@ -6,7 +6,7 @@
 use crate::requests::{LeaderRequest, Priority, StateOp, StateReply};
 use constants::{LOOKUPS, LOOKUP_RETRY_MS};
 use std::collections::{HashMap, HashSet, VecDeque};
-use wire::records::{final_key, job_overflow_key, Final, JobOverflowRecord, JobRecord};
+use wire::records::{final_record_key, job_overflow_key, JobOutcome, JobOverflowRecord, JobRecord};
 
 /// An open job's own record, read before its further ones.
 struct PartialJob {
@@ -65,7 +65,7 @@
                 continue;
             }
             if self.dependencies.lookups.in_flight.insert(id.clone()) {
-                let op = StateOp::Get(final_key(&id));
+                let op = StateOp::Get(final_record_key(&id));
                 let request = LeaderRequest::FinalRecord(id);
                 self.send_state_request(Priority::LeaderRecords, op, request, effects);
             }
@@ -81,7 +81,7 @@
     ) {
         self.dependencies.lookups.in_flight.remove(id);
         let end = match reply {
-            StateReply::Item(item) => item.value.deserialized::<Final>().ok(),
+            StateReply::Item(item) => item.value.deserialized::<JobOutcome>().ok(),
             _ => None,
         };
         match end {
@@ -135,14 +135,14 @@
         };
         let next = match more {
             Some(more) => {
-                let types = record.spec.types.get_or_insert_with(Vec::new);
-                types.extend(more.types);
+                let types = record.spec.machine_types.get_or_insert_with(Vec::new);
+                types.extend(more.machine_types);
                 number + 1
             }
             // Refused or lost: it is read again. These records go with the job's own and never change.
             None => number,
         };
-        if next <= record.more {
+        if next <= record.overflow_record_count {
             return self.request_more(id, next, effects);
         }
         if let Some(PartialJob { record, version }) = partial.remove(&id) {
--- a/crates/control/src/leader/fleet/costs.rs
+++ b/crates/control/src/leader/fleet/costs.rs
@@ -100,8 +100,8 @@
                 continue;
             };
             let price = match machine.spot {
-                true => machine_type.spot_price,
-                false => machine_type.price,
+                true => machine_type.spot_price_per_hour,
+                false => machine_type.price_per_hour,
             };
             self.costs
                 .add(machine, machine_type, hours * price, &self.jobs);
--- a/crates/control/src/leader/fleet/listing.rs
+++ b/crates/control/src/leader/fleet/listing.rs
@@ -38,11 +38,11 @@
 
     /// Takes in a page of the list that was begun at `asked`, and requests the next page if there is one.
     pub(super) fn on_list_page(&mut self, asked: u64, page: MachineList, effects: &mut Effects) {
-        let last = page.machines.last().map(|machine| machine.id.clone());
+        let last = page.machines.last().map(|machine| machine.name.clone());
         for machine in page.machines {
             self.on_listed(machine, effects.now);
         }
-        match (page.more, last) {
+        match (page.has_more, last) {
             (true, Some(from)) => {
                 let op = CloudOp::List { from };
                 self.send_cloud_request(op, CloudRequest::List { asked }, effects);
@@ -52,16 +52,16 @@
     }
 
     fn on_listed(&mut self, listed: ListedMachine, now: Now) {
-        self.listed_machines.insert(listed.id.clone());
-        if self.departed.contains_key(&listed.id) {
+        self.listed_machines.insert(listed.name.clone());
+        if self.departed.contains_key(&listed.name) {
             return;
         }
         let age_ms = (listed.age_s.max(0.0) * 1000.0) as u64;
         let machine = self
             .machines
-            .entry(listed.id.clone())
+            .entry(listed.name.clone())
             .or_insert_with(|| Machine::new(now.mono.saturating_sub(age_ms)));
-        machine.describe(&listed.kind, &listed.zone, listed.spot);
+        machine.describe(&listed.machine_type, &listed.zone, listed.spot);
         if machine.addr.is_none() {
             machine.addr = listed.addr.clone();
         }
@@ -69,7 +69,7 @@
         machine.expected = true;
         machine.missed_listings = 0;
         if listed.phase == MachinePhase::Failed && !machine.failed {
-            log::info!("event=machine_failed machine={}", listed.id);
+            log::info!("event=machine_failed machine={}", listed.name);
             machine.failed = true;
             self.plan_due = true;
         }
--- a/crates/control/src/leader/fleet/renting.rs
+++ b/crates/control/src/leader/fleet/renting.rs
@@ -8,7 +8,7 @@
 use constants::{HOUSEKEEPING_MS, RENTALS_OPEN, RENT_HORIZON, RENT_MAX};
 use sched::{plan_fleet, FleetSnapshot, Offer, RentRequest};
 use std::collections::VecDeque;
-use wire::cloud::{MachineType, Rent};
+use wire::cloud::{MachineType, RentalRequest};
 use wire::records::RentalRecord;
 
 /// Milliseconds, for each second that the cloud's list may lag, after which rented machines are certainly listed: two
@@ -38,7 +38,7 @@
 }
 
 fn rental_offer(record: &RentalRecord) -> OfferKey {
-    OfferKey::new(&record.kind, &record.zone, record.spot)
+    OfferKey::new(&record.machine_type, &record.zone, record.spot)
 }
 
 impl Leader {
@@ -57,9 +57,9 @@
             return;
         }
         rental.sent = true;
-        let rent = Rent {
-            request: name.to_string(),
-            kind: record.kind,
+        let rent = RentalRequest {
+            name: name.to_string(),
+            machine_type: record.machine_type,
             zone: record.zone,
             spot: record.spot,
             count: record.count,
@@ -135,8 +135,8 @@
                         spot,
                         total: type_resources(machine_type),
                         price: match spot {
-                            true => machine_type.spot_price,
-                            false => machine_type.price,
+                            true => machine_type.spot_price_per_hour,
+                            false => machine_type.price_per_hour,
                         },
                         open: backoff.is_none_or(|backoff| now.mono >= backoff.until),
                     });
@@ -213,7 +213,7 @@
         log::info!("event=rent request={name} kind={kind} zone={zone} spot={spot} count={count}");
         let mut record = RecordCell::new(None, 0);
         record.desired = Some(RentalRecord {
-            kind,
+            machine_type: kind,
             zone,
             spot,
             count,
--- a/crates/control/src/leader/fleet/replies.rs
+++ b/crates/control/src/leader/fleet/replies.rs
@@ -5,7 +5,7 @@
 use crate::leader::{Leader, OfferBackoff, OfferKey};
 use crate::requests::{CloudOp, CloudReply, CloudRequest, RecordId};
 use constants::{NO_CAPACITY_MAX_MS, NO_CAPACITY_MS};
-use wire::cloud::{MachineType, Rent};
+use wire::cloud::{MachineType, RentalRequest};
 
 /// Milliseconds until the machine types are requested again after a failure, while none are known.
 const FIRST_TYPES_RETRY_MS: u64 = 1_000;
@@ -15,8 +15,8 @@
 const RENTAL_RETRY_MS: u64 = 2_000;
 
 /// The offer that a rental asked for.
-fn requested_offer(rent: &Rent) -> OfferKey {
-    OfferKey::new(&rent.kind, &rent.zone, rent.spot)
+fn requested_offer(rent: &RentalRequest) -> OfferKey {
+    OfferKey::new(&rent.machine_type, &rent.zone, rent.spot)
 }
 
 impl Leader {
@@ -71,7 +71,7 @@
         }
     }
 
-    fn on_rent_reply(&mut self, name: &str, rent: Rent, reply: CloudReply, now: Now) {
+    fn on_rent_reply(&mut self, name: &str, rent: RentalRequest, reply: CloudReply, now: Now) {
         let Some(rental) = self.rentals.get_mut(name) else {
             return;
         };
@@ -87,7 +87,7 @@
         }
     }
 
-    fn on_rented(&mut self, name: &str, rent: Rent, machines: Vec<String>, now: Now) {
+    fn on_rented(&mut self, name: &str, rent: RentalRequest, machines: Vec<String>, now: Now) {
         let Some(rental) = self.rentals.get_mut(name) else {
             return;
         };
@@ -112,12 +112,12 @@
         }
     }
 
-    fn add_rented(&mut self, name: String, rent: &Rent, now: Now) {
+    fn add_rented(&mut self, name: String, rent: &RentalRequest, now: Now) {
         let machine = self
             .machines
             .entry(name)
             .or_insert_with(|| Machine::new(now.mono));
-        machine.describe(&rent.kind, &rent.zone, rent.spot);
+        machine.describe(&rent.machine_type, &rent.zone, rent.spot);
         machine.expected = true;
         machine.rented = machine.last_heartbeat.is_none() && !machine.listed;
     }
--- a/crates/control/src/leader/job_records.rs
+++ b/crates/control/src/leader/job_records.rs
@@ -23,7 +23,7 @@
             return;
         }
         // Of a cancelled job the rest of its submission does not matter.
-        if record.more > 0 && !record.aborted {
+        if record.overflow_record_count > 0 && !record.aborted {
             return self.read_further_records(id, record, version, effects);
         }
         self.insert_job(id, record, version, effects);
@@ -62,7 +62,7 @@
         job.aborted |= self.cancellation_notices.contains(id);
         if self.pages.is_dense() {
             job.split();
-        } else if !job.spec.needs.is_empty() {
+        } else if !job.spec.dependencies.is_empty() {
             // Only a node that runs the version with pipelines accepts such a job, so the upgrade is over.
             effects.emit(NodeEvent::UpgradeEvidence {
                 observation: "a job that needs others",
@@ -83,8 +83,8 @@
         spec.team,
         spec.tasks,
         spec.shape == Shape::Gang,
-        spec.guess_s,
+        spec.estimated_run_s,
         spec.due_s.unwrap_or(0.0),
-        spec.needs.len()
+        spec.dependencies.len()
     );
 }
--- a/crates/control/src/leader/job_watch.rs
+++ b/crates/control/src/leader/job_watch.rs
@@ -7,7 +7,7 @@
 use crate::requests::{LeaderRequest, Priority, Reread, StateOp, StateReply};
 use ciborium::Value;
 use constants::{STATE_RETRY_MS, WATCH_EVERY_MS, WATCH_TRIES};
-use wire::records::{JobRecord, JOBS};
+use wire::records::{JobRecord, JOB_PREFIX};
 use wire::state::{Change, Changes, Page};
 
 /// State of the watch. Times are of the steady clock, in milliseconds.
@@ -44,7 +44,7 @@
         }
         self.job_watch.open = true;
         let op = StateOp::Watch {
-            prefix: JOBS,
+            prefix: JOB_PREFIX,
             from: self.job_watch.revision,
         };
         // Behind the leader's own writes it could wait for seconds, and cancellations with it.
@@ -63,7 +63,7 @@
 
     fn on_changes(&mut self, sent: u64, changes: Changes, effects: &mut Effects) {
         self.job_watch.failures = 0;
-        for change in changes.events {
+        for change in changes.changes {
             self.on_change(change, effects);
         }
         self.job_watch.advance(changes.revision, sent);
@@ -97,7 +97,10 @@
     }
 
     fn request_reread_page(&self, reread: Reread, from: String, effects: &mut Effects) {
-        let op = StateOp::List { prefix: JOBS, from };
+        let op = StateOp::List {
+            prefix: JOB_PREFIX,
+            from,
+        };
         let request = LeaderRequest::Resync(reread);
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
     }
@@ -132,18 +135,18 @@
         for item in page.items {
             self.on_job_record(&item.key, &item.value, item.version, effects);
         }
-        last_key.filter(|_| page.more)
+        last_key.filter(|_| page.has_more)
     }
 
     fn on_change(&mut self, change: Change, effects: &mut Effects) {
         // A change without a value deletes a record. Only this leader archives jobs, so it knows of that already.
-        if let (Some(key), Some(value)) = (change.put, change.value) {
+        if let (Some(key), Some(value)) = (change.put_key, change.value) {
             self.on_job_record(&key, &value, change.version, effects);
         }
     }
 
     fn on_job_record(&mut self, key: &str, value: &Value, version: u64, effects: &mut Effects) {
-        let Some(id) = key.strip_prefix(JOBS) else {
+        let Some(id) = key.strip_prefix(JOB_PREFIX) else {
             return;
         };
         let Ok(record) = value.deserialized::<JobRecord>() else {
--- a/crates/control/src/leader/loading.rs
+++ b/crates/control/src/leader/loading.rs
@@ -11,7 +11,8 @@
 use constants::{HOUSEKEEPING_MS, STATE_RETRY_MS};
 use wire::cloud::MachineType;
 use wire::records::{
-    JobOverflowRecord, JobRecord, PageRecord, RentalRecord, JOBS, MORE, PAGES, RENTALS, TYPES,
+    JobOverflowRecord, JobRecord, PageRecord, RentalRecord, JOB_OVERFLOW_PREFIX, JOB_PREFIX,
+    MACHINE_TYPES_KEY, PAGE_PREFIX, RENTAL_PREFIX,
 };
 use wire::state::Item;
 
@@ -42,10 +43,10 @@
     /// in only if the job is known.
     fn after(prefix: &'static str) -> Self {
         match prefix {
-            JOBS => Stage::start_of(MORE),
-            MORE => Stage::start_of(PAGES),
-            PAGES => Stage::start_of(RENTALS),
-            RENTALS => Stage::start_of(TYPES),
+            JOB_PREFIX => Stage::start_of(JOB_OVERFLOW_PREFIX),
+            JOB_OVERFLOW_PREFIX => Stage::start_of(PAGE_PREFIX),
+            PAGE_PREFIX => Stage::start_of(RENTAL_PREFIX),
+            RENTAL_PREFIX => Stage::start_of(MACHINE_TYPES_KEY),
             _ => Stage::Complete,
         }
     }
@@ -64,7 +65,7 @@
     /// Loading that has yet to begin.
     pub fn start() -> Self {
         Loading {
-            stage: Stage::start_of(JOBS),
+            stage: Stage::start_of(JOB_PREFIX),
             in_flight: false,
             retry_at: 0,
         }
@@ -129,7 +130,7 @@
             self.loading.retry_at = now + STATE_RETRY_MS;
             return;
         };
-        if prefix == JOBS && self.job_watch.revision == 0 {
+        if prefix == JOB_PREFIX && self.job_watch.revision == 0 {
             self.job_watch.revision = page.revision.max(1);
         }
         let last_key = page.items.last().map(|item| item.key.clone());
@@ -137,7 +138,7 @@
             self.load_item(prefix, item, now);
         }
         let next = match last_key {
-            Some(from) if page.more => Stage::Prefix { prefix, from },
+            Some(from) if page.has_more => Stage::Prefix { prefix, from },
             _ => Stage::after(prefix),
         };
         if next == Stage::Complete {
@@ -153,25 +154,27 @@
         let version = item.version;
         let name = key.strip_prefix(prefix).unwrap_or_default();
         let loaded = match prefix {
-            JOBS => value.deserialized::<JobRecord>().map(|record| {
+            JOB_PREFIX => value.deserialized::<JobRecord>().map(|record| {
                 let job = Job::new(record, version);
                 self.jobs.insert(name.to_string(), job);
             }),
-            MORE => value
+            JOB_OVERFLOW_PREFIX => value
                 .deserialized::<JobOverflowRecord>()
                 .map(|record| self.load_overflow_record(name, record)),
-            PAGES => value.deserialized::<PageRecord>().map(|record| {
+            PAGE_PREFIX => value.deserialized::<PageRecord>().map(|record| {
                 if let Ok(number) = name.parse::<u32>() {
                     self.pages.load(number, record, version);
                 }
             }),
-            RENTALS => value.deserialized::<RentalRecord>().map(|record| {
+            RENTAL_PREFIX => value.deserialized::<RentalRecord>().map(|record| {
                 let rental = Rental::recorded(record, version, now);
                 self.rentals.insert(name.to_string(), rental);
             }),
-            _ if key == TYPES => value.deserialized::<Vec<MachineType>>().map(|types| {
-                self.types = RecordCell::new(Some(types), version);
-            }),
+            _ if key == MACHINE_TYPES_KEY => {
+                value.deserialized::<Vec<MachineType>>().map(|types| {
+                    self.types = RecordCell::new(Some(types), version);
+                })
+            }
             _ => Ok(()),
         };
         if let Err(why) = loaded {
@@ -185,8 +188,8 @@
             return;
         };
         if let Some(job) = self.jobs.get_mut(id).filter(|job| job.more > 0) {
-            let types = job.spec.types.get_or_insert_with(Vec::new);
-            types.extend(record.types);
+            let types = job.spec.machine_types.get_or_insert_with(Vec::new);
+            types.extend(record.machine_types);
         }
     }
 
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -48,7 +48,7 @@
 use start_latencies::StartLatencies;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::cloud::MachineType;
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 /// Direct calls to workers per second. What they leave out goes with the answers to the workers' reports.
 const DIRECT_CALLS_PER_S: f64 = 20.0;
@@ -82,7 +82,7 @@
     /// Which jobs wait for which others.
     dependencies: dependencies::Dependencies,
     /// Jobs archived in this term.
-    archived: RecentMap<Final>,
+    archived: RecentMap<JobOutcome>,
     /// Jobs that peers, or this node, have reported as cancelled and that are not known here, or not yet.
     cancellation_notices: RecentMap<()>,
     /// The job that the last message to the peers ended with, if there are more.
--- a/crates/control/src/leader/model/job.rs
+++ b/crates/control/src/leader/model/job.rs
@@ -9,7 +9,7 @@
 use super::Chunk;
 use sched::{RangeSet, Resources};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::records::{Final, JobRecord};
+use wire::records::{JobOutcome, JobRecord};
 use wire::users::{Priority, Shape, Submission};
 
 /// What the jobs that depend on a job need of it.
@@ -83,14 +83,14 @@
     pub fn new(record: JobRecord, version: u64) -> Self {
         Job {
             spec: record.spec,
-            submitted_at: record.at,
+            submitted_at: record.accepted_at_ms,
             version,
             aborted: record.aborted,
             recorded_abort: record.aborted,
             tasks_per_chunk: constants::CHUNK_TASKS,
             chunks: BTreeMap::new(),
             needs: BTreeSet::new(),
-            ready_at: record.at,
+            ready_at: record.accepted_at_ms,
             downstream: None,
             busy: RangeSet::default(),
             done: 0,
@@ -106,7 +106,7 @@
             pause_until: 0,
             first_run: None,
             reserved_machines: Vec::new(),
-            more: record.more,
+            more: record.overflow_record_count,
         }
     }
 
@@ -152,12 +152,12 @@
     }
 
     /// How it ended, if it is over and may be archived.
-    pub fn final_due(&self) -> Option<Final> {
+    pub fn final_due(&self) -> Option<JobOutcome> {
         // A user who was told "cancelled" must never read "done", even if every task completes meanwhile.
         if self.aborted {
             let is_free = self.assigned == 0 && self.orphans.is_empty();
-            return is_free.then_some(Final::Aborted);
+            return is_free.then_some(JobOutcome::Aborted);
         }
-        self.all_done().then_some(Final::Done)
+        self.all_done().then_some(JobOutcome::Done)
     }
 }
--- a/crates/control/src/leader/model/task_chunk.rs
+++ b/crates/control/src/leader/model/task_chunk.rs
@@ -42,16 +42,16 @@
     /// A chunk as the record on `page` has it, after change number `seq`.
     pub(super) fn from_record(record: ChunkRecord, seq: u64, page: u32) -> Self {
         let assignments = record
-            .at
+            .assignments
             .into_iter()
             .map(|(task, attempt, machine)| (task, Assignment::recorded(machine, attempt)));
         Chunk {
             home: Some(page),
-            done: RangeSet::parse(&record.done).unwrap_or_default(),
+            done: RangeSet::parse(&record.done_ranges).unwrap_or_default(),
             assignments: assignments.collect(),
-            highest_attempt: record.hi,
-            run_seconds: record.secs,
-            timed_tasks: record.timed,
+            highest_attempt: record.highest_attempt,
+            run_seconds: record.timed_run_s,
+            timed_tasks: record.timed_tasks,
             seq,
             saved: seq,
         }
@@ -61,13 +61,13 @@
     pub fn record(&self) -> ChunkRecord {
         let assignments = self.assignments.iter();
         ChunkRecord {
-            done: self.done.to_string(),
-            at: assignments
+            done_ranges: self.done.to_string(),
+            assignments: assignments
                 .map(|(task, a)| (*task, a.attempt, a.machine.clone()))
                 .collect(),
-            hi: self.highest_attempt,
-            secs: self.run_seconds,
-            timed: self.timed_tasks,
+            highest_attempt: self.highest_attempt,
+            timed_run_s: self.run_seconds,
+            timed_tasks: self.timed_tasks,
         }
     }
 
--- a/crates/control/src/leader/pages/copies.rs
+++ b/crates/control/src/leader/pages/copies.rs
@@ -17,13 +17,13 @@
 
 /// The copies that a page's record contains.
 pub(in crate::leader) fn copies_in(record: &PageRecord) -> Vec<PartCopy> {
-    let wide = record.parts.iter().map(|entry| PartCopy {
-        part: PartId::new(&entry.job, entry.part),
+    let wide = record.entries.iter().map(|entry| PartCopy {
+        part: PartId::new(&entry.job, entry.chunk_number),
         seq: entry.seq,
         is_wide: true,
     });
-    let small = record.small.iter().map(|entry| PartCopy {
-        part: PartId::new(&entry.job, entry.part),
+    let small = record.dense_entries.iter().map(|entry| PartCopy {
+        part: PartId::new(&entry.job, entry.chunk_number),
         seq: entry.seq,
         is_wide: false,
     });
@@ -57,14 +57,14 @@
 
     /// Takes in the copies of a page.
     pub fn add_page(&mut self, page: u32, record: PageRecord) {
-        for entry in record.parts {
-            let part = PartId::new(&entry.job, entry.part);
+        for entry in record.entries {
+            let part = PartId::new(&entry.job, entry.chunk_number);
             let (seq, chunk) = (entry.seq, entry.chunk);
             insert_if_newest(&mut self.wide, part, LoadedCopy { page, seq, chunk });
         }
-        for entry in record.small {
-            let part = PartId::new(&entry.job, entry.part);
-            let Some(chunk) = entry.chunk.read() else {
+        for entry in record.dense_entries {
+            let part = PartId::new(&entry.job, entry.chunk_number);
+            let Some(chunk) = entry.chunk.decode() else {
                 log::error!(
                     "event=part_unreadable job={} part={}",
                     part.job,
--- a/crates/control/src/leader/pages/encoding.rs
+++ b/crates/control/src/leader/pages/encoding.rs
@@ -3,7 +3,7 @@
 use super::copies::{copies_in, PartCopy};
 use super::draft::{PageDraft, PageDrafts};
 use crate::leader::Leader;
-use wire::records::{job_key, page_key, PageEntry, PageRecord, SmallEntry, SmallPart};
+use wire::records::{job_key, page_key, DenseChunk, DensePageEntry, PageEntry, PageRecord};
 use wire::state::{Compare, Write};
 
 /// The rewrite of one page, ready to be put into a transaction.
@@ -59,16 +59,16 @@
             let (job, part, seq) = (id.job.clone(), id.number, chunk.seq);
             let chunk = chunk.record();
             if self.pages.is_dense() {
-                record.small.push(SmallEntry {
+                record.dense_entries.push(DensePageEntry {
                     job,
-                    part,
+                    chunk_number: part,
                     seq,
-                    chunk: SmallPart::from(&chunk),
+                    chunk: DenseChunk::from(&chunk),
                 });
             } else {
-                record.parts.push(PageEntry {
+                record.entries.push(PageEntry {
                     job,
-                    part,
+                    chunk_number: part,
                     seq,
                     chunk,
                 });
--- a/crates/control/src/leader/pages/limits.rs
+++ b/crates/control/src/leader/pages/limits.rs
@@ -21,7 +21,7 @@
 /// Whether a transaction stays within limits.
 fn fits(txn: &Txn, limits: &Limits) -> bool {
     let value_fits = |write: &Write| match write {
-        Write::Put { value, .. } => wire::json_bytes(value) <= limits.value_bytes,
+        Write::Put { value, .. } => wire::json_size(value) <= limits.value_bytes,
         Write::Delete { .. } => true,
     };
     txn.writes.len() <= limits.txn_ops
--- a/crates/control/src/leader/planning/decisions.rs
+++ b/crates/control/src/leader/planning/decisions.rs
@@ -88,7 +88,9 @@
 
     fn preempt(&mut self, id: &str, task: u32, by: &str, now: Now) {
         let job = self.jobs.get(id);
-        let grace_s = job.map_or(0.0, |job| job.spec.save_s + PREEMPTION_EXTRA_GRACE_S);
+        let grace_s = job.map_or(0.0, |job| {
+            job.spec.checkpoint_write_s + PREEMPTION_EXTRA_GRACE_S
+        });
         log::info!("event=preempt task={id}/{task} by={by}");
         self.stop_task(id, task, grace_s, PREEMPTED, now);
         self.next_housekeeping = now.mono;
--- a/crates/control/src/leader/planning/estimates.rs
+++ b/crates/control/src/leader/planning/estimates.rs
@@ -45,7 +45,7 @@
             };
         }
         TaskEstimate {
-            seconds: job.spec.guess_s,
+            seconds: job.spec.estimated_run_s,
             sampling: pilots > 0,
         }
     }
--- a/crates/control/src/leader/planning/job_snapshots.rs
+++ b/crates/control/src/leader/planning/job_snapshots.rs
@@ -157,7 +157,7 @@
     fn job_snapshot(&mut self, entry: &JobEntry, usage: JobUsage) -> JobSnapshot {
         let (job, spec) = (entry.job, &entry.job.spec);
         let latest_start = self.latest_start(entry);
-        let kinds = spec.types.as_ref();
+        let kinds = spec.machine_types.as_ref();
         let (pilots_due, queue) = (self.pilots_due(entry, &usage), self.queue(entry, &usage));
         JobSnapshot {
             team: entry.team,
@@ -169,8 +169,8 @@
             one_zone: spec.one_zone,
             max_per_zone: spec.spread.then(|| job.tasks().div_ceil(2)),
             tasks_by_zone: usage.by_zone,
-            spot: spec.spot,
-            uncheckpointed: spec.checkpoint_s <= 0.0 && spec.gpus <= 0.0,
+            spot: spec.spot_allowed,
+            uncheckpointed: spec.checkpoint_interval_s <= 0.0 && spec.gpus <= 0.0,
             image: self.images.number(&spec.image),
             pilots_due,
             waiting: self.waiting_tasks(job),
@@ -274,7 +274,7 @@
         && assignment.stage == AssignmentStage::Seen
         && (!job.is_gang() || job.tasks() == 1)
         && (assignment.running_since.is_none()
-            || remaining_s > job.spec.save_s + PREEMPTION_LEAST_GAIN_S)
+            || remaining_s > job.spec.checkpoint_write_s + PREEMPTION_LEAST_GAIN_S)
 }
 
 /// Seconds that the preemption of a task costs: the time to save a checkpoint, or all its work where it takes none.
@@ -283,6 +283,11 @@
         true => GANG_PREEMPTION_COST_S,
         false => 0.0,
     };
-    let saves = job.spec.checkpoint_s > 0.0;
-    gang_cost_s + if saves { job.spec.save_s } else { elapsed_s }
+    let saves = job.spec.checkpoint_interval_s > 0.0;
+    gang_cost_s
+        + if saves {
+            job.spec.checkpoint_write_s
+        } else {
+            elapsed_s
+        }
 }
--- a/crates/control/src/leader/store.rs
+++ b/crates/control/src/leader/store.rs
@@ -24,7 +24,7 @@
 use constants::DEFERRED_WRITES_PER_TRANSACTION;
 use std::collections::VecDeque;
 use transaction::PendingTransaction;
-use wire::records::LEADER;
+use wire::records::LEADER_KEY;
 
 impl Leader {
     /// Sends transactions for the queued writes, as many as may be in flight at a time.
@@ -167,7 +167,7 @@
                 self.transactions.mark_ambiguous(number);
                 self.transactions.retry_later(number, now);
             }
-            StateReply::Conflict { failed } if failed.iter().any(|key| key == LEADER) => {
+            StateReply::Conflict { failed } if failed.iter().any(|key| key == LEADER_KEY) => {
                 let event = NodeEvent::SteppedDown {
                     reason: "a transaction was fenced",
                 };
--- a/crates/control/src/leader/store/builder.rs
+++ b/crates/control/src/leader/store/builder.rs
@@ -5,7 +5,7 @@
 use crate::leader::pages::{max_compares, NoRoom, PageDrafts, PageRoom, PageWrite};
 use crate::settings::Limits;
 use constants::TXN_BYTES;
-use wire::records::{page_key, LEADER};
+use wire::records::{page_key, LEADER_KEY};
 use wire::state::{Compare, Txn, Write};
 
 /// A transaction that is being put together.
@@ -23,7 +23,7 @@
 impl TransactionBuilder {
     /// A transaction that fails unless the leader's record has this version.
     pub fn new(leader_version: u64, limits: &Limits) -> Self {
-        let fence = Compare::new(LEADER, leader_version);
+        let fence = Compare::new(LEADER_KEY, leader_version);
         TransactionBuilder {
             max_writes: limits.txn_ops,
             max_compares: max_compares(limits),
--- a/crates/control/src/leader/store/conflicts.rs
+++ b/crates/control/src/leader/store/conflicts.rs
@@ -7,7 +7,7 @@
 use crate::leader::Leader;
 use crate::requests::{LeaderRequest, Priority, RecordId, StateOp, StateReply};
 use serde::de::DeserializeOwned;
-use wire::records::{job_key, JobRecord, PageRecord, JOBS};
+use wire::records::{job_key, JobRecord, PageRecord, JOB_PREFIX};
 use wire::state::Item;
 
 /// A record to be read again, with its key.
@@ -49,7 +49,7 @@
         failed
             .iter()
             .filter_map(|key| {
-                let id = key.strip_prefix(JOBS)?;
+                let id = key.strip_prefix(JOB_PREFIX)?;
                 self.jobs.contains_key(id).then(|| Refresh {
                     record: RecordId::Job(id.to_string()),
                     key: key.clone(),
--- a/crates/control/src/leader/store/record_write.rs
+++ b/crates/control/src/leader/store/record_write.rs
@@ -5,7 +5,7 @@
 use crate::leader::Leader;
 use crate::requests::RecordId;
 use constants::TXN_BYTES;
-use wire::records::{final_key, job_key, job_overflow_key};
+use wire::records::{final_record_key, job_key, job_overflow_key};
 use wire::state::{Compare, Write};
 
 /// Estimated bytes of the record of a rental request.
@@ -74,7 +74,7 @@
     fn types_write(&self) -> Option<RecordWrite> {
         let types = self.types.desired.clone()?;
         // The types recorded last suffice: they are for nodes that start without a leader.
-        let bytes = wire::json_bytes(&types);
+        let bytes = wire::json_size(&types);
         if bytes > self.limits().value_bytes {
             log::info!("event=types_too_long bytes={bytes}");
             return None;
@@ -92,7 +92,7 @@
         let outcome = job.final_due()?;
         let mut writes = vec![
             Write::delete(job_key(id)),
-            Write::put(final_key(id), &outcome),
+            Write::put(final_record_key(id), &outcome),
         ];
         writes.extend((1..=job.more).map(|number| Write::delete(job_overflow_key(id, number))));
         Some(RecordWrite {
@@ -102,7 +102,7 @@
             },
             compares: vec![
                 Compare::new(job_key(id), job.version),
-                Compare::new(final_key(id), 0),
+                Compare::new(final_record_key(id), 0),
             ],
             writes,
             bytes: ARCHIVE_BYTES,
--- a/crates/control/src/leader/store/saved.rs
+++ b/crates/control/src/leader/store/saved.rs
@@ -6,7 +6,7 @@
 use crate::leader::Leader;
 use crate::requests::RecordId;
 use wire::cloud::MachineType;
-use wire::records::{Final, RentalRecord};
+use wire::records::{JobOutcome, RentalRecord};
 
 /// Milliseconds of a second, for times in the log.
 const MS_PER_SECOND: f64 = 1000.0;
@@ -60,7 +60,7 @@
     }
 
     /// A finished job is recorded as final: it is removed from everything that knows it as open.
-    fn on_archived(&mut self, id: &str, outcome: Final, effects: &mut Effects) {
+    fn on_archived(&mut self, id: &str, outcome: JobOutcome, effects: &mut Effects) {
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
@@ -72,7 +72,7 @@
         );
         self.remove_from_machines(id, &job);
         self.remove_from_pages(id, &job);
-        if outcome == Final::Aborted {
+        if outcome == JobOutcome::Aborted {
             self.forget_failures(id, &job);
         }
         self.plan_due = true;
@@ -97,7 +97,7 @@
     }
 
     /// How a job ended that was archived in this term. The watch may still report a change of it.
-    pub(in crate::leader) fn archived_outcome(&self, id: &str) -> Option<Final> {
+    pub(in crate::leader) fn archived_outcome(&self, id: &str) -> Option<JobOutcome> {
         self.archived.get(id).copied()
     }
 }
--- a/crates/control/src/leader/store/transaction.rs
+++ b/crates/control/src/leader/store/transaction.rs
@@ -3,7 +3,7 @@
 use crate::leader::pages::PartCopy;
 use crate::requests::RecordId;
 use wire::cloud::MachineType;
-use wire::records::{job_key, page_key, rental_key, Final, RentalRecord, TYPES};
+use wire::records::{job_key, page_key, rental_key, JobOutcome, RentalRecord, MACHINE_TYPES_KEY};
 use wire::state::Txn;
 
 /// The change that a transaction makes to one record.
@@ -23,7 +23,7 @@
         /// Id of the job.
         id: String,
         /// How it ended.
-        outcome: Final,
+        outcome: JobOutcome,
     },
     /// A rental request is written or deleted.
     Rental {
@@ -57,7 +57,7 @@
             }
             RecordChange::ArchiveJob { id, .. } => job_key(id),
             RecordChange::Rental { name, .. } => rental_key(name),
-            RecordChange::MachineTypes(_) => TYPES.into(),
+            RecordChange::MachineTypes(_) => MACHINE_TYPES_KEY.into(),
         }
     }
 }
--- a/crates/control/src/leader/tests/job_watch.rs
+++ b/crates/control/src/leader/tests/job_watch.rs
@@ -21,7 +21,7 @@
         let items = vec![item];
         StateReply::Page(Page {
             items,
-            more,
+            has_more: more,
             revision,
         })
     };
--- a/crates/control/src/leader/tests/page_writes.rs
+++ b/crates/control/src/leader/tests/page_writes.rs
@@ -47,9 +47,9 @@
             for write in writes {
                 if let Write::Put { key, value, .. } = write {
                     assert!(
-                        wire::json_bytes(&value) <= 2048,
+                        wire::json_size(&value) <= 2048,
                         "{}",
-                        wire::json_bytes(&value)
+                        wire::json_size(&value)
                     );
                     pages.push((key, value.deserialized().expect("a page")));
                 }
@@ -64,7 +64,10 @@
 
 /// Jobs that a page holds chunks of.
 fn jobs(page: &PageRecord) -> BTreeSet<&str> {
-    page.small.iter().map(|entry| entry.job.as_str()).collect()
+    page.dense_entries
+        .iter()
+        .map(|entry| entry.job.as_str())
+        .collect()
 }
 
 /// Half of each page was written again unchanged, and starts waited ten seconds for their records.
@@ -141,10 +144,15 @@
     assert!(!leader.jobs.values().any(is_unsaved), "all is recorded");
     let assignments: usize = leader.jobs.values().map(|job| job.assigned as usize).sum();
     let mut seen: BTreeMap<(String, u32), (u64, usize)> = BTreeMap::new();
-    for entry in written.values().flat_map(|page: &PageRecord| &page.small) {
-        let chunk = entry.chunk.read().expect("readable");
-        let part = seen.entry((entry.job.clone(), entry.part)).or_default();
-        *part = (*part).max((entry.seq, chunk.at.len()));
+    for entry in written
+        .values()
+        .flat_map(|page: &PageRecord| &page.dense_entries)
+    {
+        let chunk = entry.chunk.decode().expect("readable");
+        let part = seen
+            .entry((entry.job.clone(), entry.chunk_number))
+            .or_default();
+        *part = (*part).max((entry.seq, chunk.assignments.len()));
     }
     assert_eq!(seen.values().map(|(_, n)| n).sum::<usize>(), assignments);
 }
--- a/crates/control/src/leader/watch/draining.rs
+++ b/crates/control/src/leader/watch/draining.rs
@@ -25,7 +25,7 @@
                     stops.push(TaskStop {
                         job: id.clone(),
                         task: *task,
-                        grace_s: (job.spec.save_s + STOP_MARGIN_S).min(left_s),
+                        grace_s: (job.spec.checkpoint_write_s + STOP_MARGIN_S).min(left_s),
                     });
                 }
             }
@@ -49,7 +49,7 @@
 
 /// Whether a task stops when its machine is drained: it can save its progress, or has none yet.
 fn stops_under_notice(job: &Job, task: u32) -> bool {
-    let can_save = job.spec.checkpoint_s > 0.0;
+    let can_save = job.spec.checkpoint_interval_s > 0.0;
     let assignment = job.assignment(task);
     can_save || assignment.is_some_and(|assignment| assignment.running_since.is_none())
 }
--- a/crates/control/src/leader/worker_heartbeats.rs
+++ b/crates/control/src/leader/worker_heartbeats.rs
@@ -99,7 +99,9 @@
             self.plan_due = true;
         }
         machine.last_heartbeat = Some(now);
-        machine.notice_at = heartbeat.notice_s.map(|s| now + milliseconds(s.max(0.0)));
+        machine.notice_at = heartbeat
+            .reclaim_in_s
+            .map(|s| now + milliseconds(s.max(0.0)));
         machine.fencing_token_seen = true;
         machine.has_deferred_answer = false;
     }
@@ -109,7 +111,7 @@
 /// the worker's lease.
 fn note_answer(machine: &mut Machine, heartbeat: &WorkerHeartbeat, now: u64) -> Option<u64> {
     let previous_answer = machine.last_answer.replace(now);
-    machine.describe(&heartbeat.kind, &heartbeat.zone, heartbeat.spot);
+    machine.describe(&heartbeat.machine_type, &heartbeat.zone, heartbeat.spot);
     machine.addr = Some(heartbeat.addr.clone());
     previous_answer
 }
--- a/crates/control/src/leader/worker_heartbeats/image_cache.rs
+++ b/crates/control/src/leader/worker_heartbeats/image_cache.rs
@@ -21,7 +21,7 @@
         };
         machine.images.insert(image, (now, size_gb));
         let machine_type = find_machine_type(&self.types.desired, &machine.kind);
-        let capacity_gb = machine_type.map_or(f64::MAX, |machine_type| machine_type.cache_gb);
+        let capacity_gb = machine_type.map_or(f64::MAX, |machine_type| machine_type.image_cache_gb);
         evict_least_recently_used(&mut machine.images, capacity_gb);
     }
 }
--- a/crates/control/src/leader/worker_heartbeats/reconciliation.rs
+++ b/crates/control/src/leader/worker_heartbeats/reconciliation.rs
@@ -60,7 +60,7 @@
         }
         log::info!(
             "event=worker_registered machine={name} kind={} zone={} spot={} tasks={}",
-            heartbeat.kind,
+            heartbeat.machine_type,
             heartbeat.zone,
             heartbeat.spot,
             heartbeat.tasks.len()
--- a/crates/control/src/machine_types.rs
+++ b/crates/control/src/machine_types.rs
@@ -5,7 +5,7 @@
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use constants::LEADER_POLL_MS;
-use wire::records::TYPES;
+use wire::records::MACHINE_TYPES_KEY;
 
 /// Reads the record of machine types until it has been found.
 pub(crate) struct MachineTypesReader {
@@ -30,7 +30,7 @@
             return;
         }
         self.reading = true;
-        let read = StateOp::Get(TYPES.into());
+        let read = StateOp::Get(MACHINE_TYPES_KEY.into());
         effects.request_state(Priority::Leadership, read, StateTag::Types);
     }
 
--- a/crates/control/src/node/peer_messages.rs
+++ b/crates/control/src/node/peer_messages.rs
@@ -5,7 +5,7 @@
 use crate::forwarding::HttpRequest;
 use crate::peers::PeerHeartbeat;
 use wire::peers::{JobUpdate, PeerMessage};
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 impl Node {
     pub(super) fn on_peer(&mut self, from: &str, message: PeerMessage, effects: &mut Effects) {
@@ -91,7 +91,11 @@
     /// The leader has filed jobs as ended, each of them as done or as cancelled.
     fn on_ended_jobs(&mut self, jobs: Vec<(String, bool)>) {
         for (id, is_done) in jobs {
-            let end = if is_done { Final::Done } else { Final::Aborted };
+            let end = if is_done {
+                JobOutcome::Done
+            } else {
+                JobOutcome::Aborted
+            };
             self.gateway.remember_final(id, end);
         }
     }
--- a/crates/control/src/node/worker_heartbeats.rs
+++ b/crates/control/src/node/worker_heartbeats.rs
@@ -260,5 +260,5 @@
 /// Redirects a worker to a controller, or to the next one it knows.
 fn redirect(controller: Option<String>, id: RequestId, effects: &mut Effects) {
     let leader = controller;
-    effects.respond(id, 421, wire::encode(&Redirect { leader }));
+    effects.respond(id, 421, wire::encode(&Redirect { controller: leader }));
 }
--- a/crates/control/src/partitions/leading/grants.rs
+++ b/crates/control/src/partitions/leading/grants.rs
@@ -7,7 +7,7 @@
 use crate::peers::Peers;
 use ::partitions::partition_of;
 use constants::{PEER_FRESH_MS, REDIRECT_GRANT_MS};
-use wire::partitions::{GrantRequest, PartitionBody};
+use wire::partitions::{GrantRequest, PartitionMessageBody};
 use wire::workers::WorkerHeartbeat;
 
 impl Leading {
@@ -33,7 +33,7 @@
         let entitled = self.handover.entitled(from);
         let grant = leader.on_grant_request(from, request, &entitled, view.grant_ms, now);
         match grant {
-            Ok(Some(grant)) => send(from, self.term, PartitionBody::Grant(grant), effects),
+            Ok(Some(grant)) => send(from, self.term, PartitionMessageBody::Grant(grant), effects),
             Ok(None) => {}
             Err(why) => log::error!("event=grant_request_refused from={from} why=\"{why}\""),
         }
--- a/crates/control/src/partitions/leading/permits.rs
+++ b/crates/control/src/partitions/leading/permits.rs
@@ -5,7 +5,7 @@
 use crate::leader::{AnsweredHeartbeat, Leader};
 use crate::partitions::send;
 use constants::{PERMITS_A_FRAME, PERMITS_WAIT_MS};
-use wire::partitions::PartitionBody;
+use wire::partitions::PartitionMessageBody;
 
 impl Leading {
     /// The leader answered a report that a peer forwarded, without orders: the machine may get a permit.
@@ -35,7 +35,7 @@
         for ((owner, boot), permits) in std::mem::take(&mut self.permits) {
             for permits in permits.chunks(PERMITS_A_FRAME) {
                 let permits = permits.to_vec();
-                let body = PartitionBody::Permits { boot, permits };
+                let body = PartitionMessageBody::Permits { boot, permits };
                 send(&owner, self.term, body, effects);
             }
         }
@@ -49,7 +49,7 @@
             self.send_permits(effects);
             for permits in recalled.chunks(PERMITS_A_FRAME) {
                 let permits = permits.to_vec();
-                let body = PartitionBody::Recall { boot, permits };
+                let body = PartitionMessageBody::Recall { boot, permits };
                 send(&owner, self.term, body, effects);
             }
         }
--- a/crates/control/src/partitions/leading/table.rs
+++ b/crates/control/src/partitions/leading/table.rs
@@ -5,7 +5,7 @@
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use constants::TABLE_RETRY_MS;
 use wire::partitions::PartitionId;
-use wire::records::{PartitionsRecord, PARTITIONS};
+use wire::records::{OwnershipTableRecord, OWNERSHIP_TABLE_PREFIX};
 use wire::state::Page;
 
 impl Leading {
@@ -18,7 +18,7 @@
     }
 
     fn request_page(&mut self, from: String, effects: &mut Effects) {
-        let prefix = PARTITIONS;
+        let prefix = OWNERSHIP_TABLE_PREFIX;
         self.send_request(Pending::Read, StateOp::List { prefix, from }, effects);
     }
 
@@ -73,7 +73,7 @@
     /// The table has been read. All of it fits into a page: four records of less than a kilobyte.
     fn on_table(&mut self, page: Page) {
         for item in page.items {
-            let record = item.value.deserialized::<PartitionsRecord>();
+            let record = item.value.deserialized::<OwnershipTableRecord>();
             let read = record.map_err(|why| why.to_string()).and_then(|record| {
                 let loaded = self.handover.load(&item.key, record, item.version);
                 loaded.map_err(|why| why.to_string())
--- a/crates/control/src/partitions/mod.rs
+++ b/crates/control/src/partitions/mod.rs
@@ -20,7 +20,7 @@
 use constants::PARTITIONS_LOG_MS;
 use leading::Leading;
 use load::LoadMeter;
-use wire::partitions::{PartitionBody, PartitionId, PartitionMessage};
+use wire::partitions::{PartitionId, PartitionMessage, PartitionMessageBody};
 use wire::peers::PeerMessage;
 use wire::workers::WorkerHeartbeat;
 
@@ -219,7 +219,7 @@
         else {
             return;
         };
-        let body = PartitionBody::Request(request);
+        let body = PartitionMessageBody::Request(request);
         send(leader, view.term, body, effects);
     }
 
@@ -235,14 +235,14 @@
         let now = effects.now.mono;
         let PartitionMessage { term, body } = message;
         match body {
-            PartitionBody::Request(request) => {
+            PartitionMessageBody::Request(request) => {
                 let (Some(leading), Some(leader)) = (&mut self.leading, leader) else {
                     log::debug!("event=grant_request_refused from={from} why=\"does not lead\"");
                     return;
                 };
                 leading.on_request(from, term, &request, view, leader, effects);
             }
-            PartitionBody::Grant(grant) => {
+            PartitionMessageBody::Grant(grant) => {
                 let number = grant.number;
                 if self.owner.on_grant(term, grant, now) {
                     let label = from.to_string();
@@ -254,10 +254,10 @@
                     );
                 }
             }
-            PartitionBody::Permits { boot, permits } => {
+            PartitionMessageBody::Permits { boot, permits } => {
                 self.owner.on_permits(term, boot, permits, now);
             }
-            PartitionBody::Recall { boot, permits } => {
+            PartitionMessageBody::Recall { boot, permits } => {
                 self.owner.on_recall(term, boot, &permits);
             }
         }
@@ -280,7 +280,7 @@
 }
 
 /// Sends a message about partitions to a peer.
-fn send(to: &str, term: u64, body: PartitionBody, effects: &mut Effects) {
+fn send(to: &str, term: u64, body: PartitionMessageBody, effects: &mut Effects) {
     let message = PeerMessage::Partitions(PartitionMessage { term, body });
     effects.send_to_peer(to.to_string(), message);
 }
--- a/crates/control/src/peer_heartbeats.rs
+++ b/crates/control/src/peer_heartbeats.rs
@@ -13,7 +13,7 @@
 use crate::state::StateClient;
 use constants::{COUNTS_MS, JOB_UPDATES_MAX, PEER_HEARTBEAT_MS};
 use wire::peers::PeerMessage;
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 /// Where the numbers of a process begin that its peers send back to it. So an echo of, or an answer to, an earlier
 /// process of this node can be recognised. 31 bits stay free, which as milliseconds is three weeks.
@@ -24,7 +24,7 @@
 /// A job that has ended.
 struct EndedJob {
     id: String,
-    end: Final,
+    end: JobOutcome,
 }
 
 /// Sends heartbeats and notices to peers.
@@ -75,7 +75,7 @@
     }
 
     /// Notes that a job has ended. Peers are notified together with the next heartbeat.
-    pub fn on_job_ended(&mut self, job: String, end: Final) {
+    pub fn on_job_ended(&mut self, job: String, end: JobOutcome) {
         self.ended_jobs.push(EndedJob { id: job, end });
     }
 
@@ -162,7 +162,7 @@
         let ended = std::mem::take(&mut self.ended_jobs);
         // A message beyond the size of a frame would not be sent at all.
         for jobs in ended.chunks(JOB_UPDATES_MAX) {
-            let is_done = |job: &EndedJob| job.end == Final::Done;
+            let is_done = |job: &EndedJob| job.end == JobOutcome::Done;
             let jobs = jobs.iter().map(|job| (job.id.clone(), is_done(job)));
             effects.send_to_all_peers(PeerMessage::Over {
                 jobs: jobs.collect(),
--- a/crates/control/src/peer_heartbeats/tests.rs
+++ b/crates/control/src/peer_heartbeats/tests.rs
@@ -10,7 +10,7 @@
     let mut heartbeats = PeerHeartbeats::new(1, 0);
     let ids: Vec<String> = (0..12_000).map(|n| format!("run-{n:06}")).collect();
     for id in &ids {
-        heartbeats.on_job_ended(id.clone(), Final::Done);
+        heartbeats.on_job_ended(id.clone(), JobOutcome::Done);
     }
     let mut effects = Effects::new(Now::default());
     heartbeats.send_ended_jobs(&mut effects);
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -1,6 +1,6 @@
 //! Requests to the state service and the cloud, their outcomes, and who sent them: plain data that every actor may use.
 
-use wire::cloud::{MachineList, MachineType, Rent};
+use wire::cloud::{MachineList, MachineType, RentalRequest};
 use wire::state::{Changes, Item, Page, Txn};
 
 /// Order in which requests are sent when the budget is short. Each but the first has a rate of its own, so that however
@@ -113,7 +113,7 @@
     /// Returns machines, by name.
     Return(Vec<String>),
     /// Rents machines.
-    Rent(Rent),
+    Rent(RentalRequest),
     /// Reads a page of the machine list.
     List {
         /// Name after which the page begins; empty for the first page.
--- a/crates/control/src/state/replies.rs
+++ b/crates/control/src/state/replies.rs
@@ -29,7 +29,7 @@
         (StateOp::Txn(_), _) => return decode_txn_reply(status, body),
         (StateOp::Grant { .. }, 200) => {
             let granted: Lease = wire::decode(body)?;
-            StateReply::Granted(granted.lease)
+            StateReply::Granted(granted.id)
         }
         (StateOp::Renew(_), 200) => StateReply::Renewed,
         (StateOp::Renew(_), 404) => StateReply::NoLease,
@@ -52,7 +52,7 @@
         409 => {
             let answer: TxnResponse = wire::decode(body)?;
             StateReply::Conflict {
-                failed: answer.failed,
+                failed: answer.failed_keys,
             }
         }
         400 if String::from_utf8_lossy(body).contains(NO_SUCH_LEASE) => StateReply::NoLease,
--- a/crates/control/tests/bad_input.rs
+++ b/crates/control/tests/bad_input.rs
@@ -13,7 +13,7 @@
 /// A submission in which no field is omitted.
 fn complete() -> Submission {
     Submission {
-        types: Some(vec![fakes::KIND.into()]),
+        machine_types: Some(vec![fakes::KIND.into()]),
         zone: Some("a".into()),
         due_s: Some(900.0),
         ..array(ID, 2)
@@ -192,9 +192,9 @@
         ("a team never seen", one(|j| j.team = "never seen".into())),
         (
             "a type never seen",
-            one(|j| j.types = Some(vec!["g5".into()])),
+            one(|j| j.machine_types = Some(vec!["g5".into()])),
         ),
-        ("no type at all", one(|j| j.types = Some(vec![]))),
+        ("no type at all", one(|j| j.machine_types = Some(vec![]))),
         ("a zone never seen", one(|j| j.zone = Some("z".into()))),
         ("more CPUs than any type", one(|j| j.cpus = 33.0)),
         ("more GPUs than any type", one(|j| j.gpus = 5.0)),
@@ -258,7 +258,7 @@
     let mut w = world(3, 2, 0.0);
     let junk = "not a record";
     w.state.write(&job_key("run-7"), &junk, None);
-    w.state.write(&final_key("run-8"), &junk, None);
+    w.state.write(&final_record_key("run-8"), &junk, None);
     w.state.write("j/not-an-id", &7, None);
     w.run(1_000);
     for round in 0..2 {
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -109,16 +109,20 @@
 
 /// All copies of parts of jobs in the records, in either form.
 pub fn parts(w: &World) -> Vec<PageEntry> {
-    let pages = w.state.keys(PAGES).into_iter();
+    let pages = w.state.keys(PAGE_PREFIX).into_iter();
     let read = pages.filter_map(|key| w.state.read::<PageRecord>(&key));
-    let plain = |e: SmallEntry| PageEntry {
+    let plain = |e: DensePageEntry| PageEntry {
         job: e.job,
-        part: e.part,
+        chunk_number: e.chunk_number,
         seq: e.seq,
-        chunk: e.chunk.read().expect("readable"),
+        chunk: e.chunk.decode().expect("readable"),
     };
-    read.flat_map(|p| p.parts.into_iter().chain(p.small.into_iter().map(plain)))
-        .collect()
+    read.flat_map(|p| {
+        p.entries
+            .into_iter()
+            .chain(p.dense_entries.into_iter().map(plain))
+    })
+    .collect()
 }
 
 pub fn follower(w: &World) -> usize {
@@ -136,7 +140,7 @@
 /// A job behind others.
 pub fn after(job: Submission, needs: &[&str]) -> Submission {
     Submission {
-        needs: needs.iter().map(|n| n.to_string()).collect(),
+        dependencies: needs.iter().map(|n| n.to_string()).collect(),
         ..job
     }
 }
--- a/crates/control/tests/failing_jobs.rs
+++ b/crates/control/tests/failing_jobs.rs
@@ -71,7 +71,7 @@
     };
     // Expected to run long: taken for samples, the failed tasks would make them the smallest of all.
     let long = |job: Submission| Submission {
-        guess_s: 2_000.0,
+        estimated_run_s: 2_000.0,
         ..job
     };
     assert_eq!(w.submit(0, &long(array("run-1", 1)), failing()), 201);
@@ -111,7 +111,7 @@
         let timed: u32 = parts(&w)
             .iter()
             .filter(|e| e.job == id)
-            .map(|e| e.chunk.timed)
+            .map(|e| e.chunk.timed_tasks)
             .sum();
         assert_eq!(timed, 0, "no failed task of {id} is a sample");
     }
--- a/crates/control/tests/four_thousand_machines.rs
+++ b/crates/control/tests/four_thousand_machines.rs
@@ -71,7 +71,7 @@
 #[test]
 fn a_change_of_leader_at_4_000_machines_ends_no_lease_and_starts_no_task_again() {
     let mut w = full_cluster();
-    let pages_of_records = w.state.keys(PAGES).len();
+    let pages_of_records = w.state.keys(PAGE_PREFIX).len();
     assert!(
         pages_of_records < 120,
         "{pages_of_records} pages of records"
--- a/crates/control/tests/guest_teams.rs
+++ b/crates/control/tests/guest_teams.rs
@@ -5,7 +5,7 @@
 use common::*;
 use fakes::{array, gang, Behaviour, World};
 use vetchmount_control::settings::Team;
-use wire::records::JOBS;
+use wire::records::JOB_PREFIX;
 use wire::users::{Phase, Submission};
 
 const MACHINES: usize = 8;
@@ -86,8 +86,8 @@
 
 /// Jobs of a team that are not over.
 fn open_jobs(w: &World, team: &str) -> usize {
-    let open = w.state.keys(JOBS);
-    let ids = open.iter().filter_map(|key| key.strip_prefix(JOBS));
+    let open = w.state.keys(JOB_PREFIX);
+    let ids = open.iter().filter_map(|key| key.strip_prefix(JOB_PREFIX));
     ids.filter(|id| w.jobs[*id].team == team).count()
 }
 
@@ -114,7 +114,7 @@
     };
     for n in 0..6 {
         let job = Submission {
-            guess_s: 30.0,
+            estimated_run_s: 30.0,
             ..array(&format!("run-{}", 100 + n), 6)
         };
         submit(&mut w, job, runs(30_000));
@@ -123,7 +123,7 @@
         cpus: 0.25,
         gpus: 0.0,
         mem_gb: 0.5,
-        guess_s: 5.0,
+        estimated_run_s: 5.0,
         ..array(id, tasks)
     };
     submit(&mut w, tiny("run-200", 5_000), runs(5_000));
--- a/crates/control/tests/large_arrays.rs
+++ b/crates/control/tests/large_arrays.rs
@@ -37,7 +37,7 @@
         cpus: 0.25,
         gpus: 0.0,
         mem_gb: 0.5,
-        guess_s: 5.0,
+        estimated_run_s: 5.0,
         ..array(id, tasks)
     }
 }
@@ -64,14 +64,18 @@
         small_task_is_done(&mut w, &format!("run-{}", 100 + n), within_ms);
         w.run(5_000);
         most_looks = most_looks.max(LOOKS.load(Ordering::Relaxed) - looks);
-        let pages = w.state.largest(PAGES);
+        let pages = w.state.largest(PAGE_PREFIX);
         assert!(pages <= 8 * 1024, "a page of {pages} bytes");
         assert!(w.on_machines("run-1").len() <= MACHINES * 128);
     }
     let tasks_done: u64 = parts(&w)
         .iter()
         .filter(|e| e.job == "run-1")
-        .map(|e| sched::RangeSet::parse(&e.chunk.done).expect("ranges").len())
+        .map(|e| {
+            sched::RangeSet::parse(&e.chunk.done_ranges)
+                .expect("ranges")
+                .len()
+        })
         .sum();
     assert!(tasks_done >= 6_000, "{tasks_done} tasks done");
     // A look for each decision, some 100 tasks a second, and two for each round.
@@ -99,7 +103,7 @@
         }
     }
     assert!(
-        w.until(20_000, |w| w.state.keys(JOBS).is_empty()),
+        w.until(20_000, |w| w.state.keys(JOB_PREFIX).is_empty()),
         "all are over"
     );
     assert_eq!(w.state.too_many, 0, "no change was refused for its rate");
--- a/crates/control/tests/meetings.rs
+++ b/crates/control/tests/meetings.rs
@@ -412,12 +412,12 @@
             spec.cpus = [1.0, 2.0, 0.5][rng.usize(..3)];
             spec.gpus = [1.0, 1.0, 2.0, 0.0][rng.usize(..4)];
         }
-        spec.spot = rng.u8(..4) > 0;
+        spec.spot_allowed = rng.u8(..4) > 0;
         spec.team = if rng.u8(..3) == 0 { "u" } else { "t" }.into();
         spec.priority = [Priority::Low, Priority::Normal, Priority::Urgent][rng.usize(..3)];
         let saves = rng.bool();
         if saves {
-            (spec.checkpoint_s, spec.save_s) = (5.0, 0.5);
+            (spec.checkpoint_interval_s, spec.checkpoint_write_s) = (5.0, 0.5);
         }
         let run_ms = match rng.u8(..4) {
             0 => rng.u64(500..3_000),
@@ -431,7 +431,7 @@
             gang: if is_gang { tasks as u32 } else { 0 },
             fails: false,
         };
-        spec.guess_s = run_ms as f64 / 1000.0;
+        spec.estimated_run_s = run_ms as f64 / 1000.0;
         let now = self.w.now;
         let cancel_at = match rng.u8(..10) {
             0 => now,
--- a/crates/control/tests/node_wakeup.rs
+++ b/crates/control/tests/node_wakeup.rs
@@ -140,7 +140,9 @@
         let sent = w.send(first, "POST", "/v1/report", wire::encode(&report));
         w.run(2_500);
         let (status, body) = w.answer(sent).expect("an answer");
-        let named = wire::decode::<Redirect>(&body).ok().and_then(|e| e.leader);
+        let named = wire::decode::<Redirect>(&body)
+            .ok()
+            .and_then(|e| e.controller);
         assert_eq!((status, named), (421, None), "offset {offset}");
         clean(&w);
     }
--- a/crates/control/tests/operations.rs
+++ b/crates/control/tests/operations.rs
@@ -13,14 +13,14 @@
 fn a_guests_idle_time_work_begins_but_does_not_go_before_work_with_deadlines() {
     let mut w = world(3, 4, 0.0);
     let guest = Submission {
-        guess_s: 30.0,
+        estimated_run_s: 30.0,
         ..array("run-900", 96)
     };
     assert_eq!(w.submit(0, &guest, runs(30_000)), 201);
     w.run(3_000);
     for n in 0..8 {
         let job = Submission {
-            guess_s: 4.0,
+            estimated_run_s: 4.0,
             due_s: Some(45.0),
             ..array(&format!("run-{n}"), 6)
         };
@@ -66,7 +66,7 @@
     let held_back = worker.report(KIND, now);
     assert!(!held_back.tasks.is_empty(), "it runs something");
     let places = |w: &fakes::World| {
-        let all = parts(w).into_iter().flat_map(|part| part.chunk.at);
+        let all = parts(w).into_iter().flat_map(|part| part.chunk.assignments);
         all.filter(|(_, _, machine)| machine == cut_machine).count()
     };
     assert!(w.until(30_000, |w| places(w) == 0), "freed by the lapse");
--- a/crates/control/tests/partitions.rs
+++ b/crates/control/tests/partitions.rs
@@ -85,8 +85,8 @@
 /// Owner and epoch of each partition, as the state service has them.
 fn recorded(w: &World) -> Vec<(String, u64)> {
     let mut rows = Vec::new();
-    for key in w.state.keys(PARTITIONS) {
-        let record: PartitionsRecord = w.state.read(&key).expect("a record of the table");
+    for key in w.state.keys(OWNERSHIP_TABLE_PREFIX) {
+        let record: OwnershipTableRecord = w.state.read(&key).expect("a record of the table");
         let row = |row: &PartitionRow| (record.owners[usize::from(row.owner)].clone(), row.epoch);
         rows.extend(record.rows.iter().map(row));
     }
@@ -196,14 +196,14 @@
 fn jobs_end_well(w: &mut World, done: &[&str], cancelled: &[&str]) {
     w.heal();
     let all: Vec<&str> = done.iter().chain(cancelled).copied().collect();
-    let outcome = |w: &World, id: &str| w.state.read::<Final>(&final_key(id));
+    let outcome = |w: &World, id: &str| w.state.read::<JobOutcome>(&final_record_key(id));
     let over = |w: &mut World| all.iter().all(|id| outcome(w, id).is_some());
-    assert!(w.until(900_000, over), "{:?}", w.state.keys(JOBS));
+    assert!(w.until(900_000, over), "{:?}", w.state.keys(JOB_PREFIX));
     for id in done {
-        assert_eq!(outcome(w, id), Some(Final::Done), "{id}");
+        assert_eq!(outcome(w, id), Some(JobOutcome::Done), "{id}");
     }
     for id in cancelled {
-        assert_eq!(outcome(w, id), Some(Final::Aborted), "{id}");
+        assert_eq!(outcome(w, id), Some(JobOutcome::Aborted), "{id}");
     }
     clean(w);
 }
@@ -322,7 +322,7 @@
             let leader = w.leader().expect("a leader");
             let epoch = recorded(&w)[usize::from(partition)].1;
             let victims: Vec<usize> = who.iter().map(|n| [leader, old, new][*n]).collect();
-            w.counted_keys = PARTITIONS;
+            w.counted_keys = OWNERSHIP_TABLE_PREFIX;
             if delay == 0 && who[0] == 0 {
                 w.crash_at_counted_write = Some((w.counted_writes + 1, executed));
             }
@@ -792,9 +792,9 @@
 #[test]
 fn an_unreadable_or_foreign_table_is_left_alone_and_the_leader_answers_everybody() {
     let mut w = busy(3);
-    let key = partitions_key(1);
-    let mut record: PartitionsRecord = w.state.read(&key).expect("a record");
-    record.count = 32;
+    let key = ownership_table_key(1);
+    let mut record: OwnershipTableRecord = w.state.read(&key).expect("a record");
+    record.partition_count = 32;
     w.state.write(&key, &record, None);
     let version = w.state.version(&key);
     start_all(&mut w, &operator(Vec::new()));
--- a/crates/control/tests/pipelines.rs
+++ b/crates/control/tests/pipelines.rs
@@ -126,7 +126,7 @@
         201
     );
     let record: JobRecord = w.state.read(&job_key("run-4")).expect("recorded");
-    assert_eq!(record.spec.needs, ["run-1", "run-2"]);
+    assert_eq!(record.spec.dependencies, ["run-1", "run-2"]);
     // Behind a cancelled job a name never accepted is still none.
     assert_eq!(w.abort(0, "run-2"), Some(Phase::Aborted));
     for names in [["run-2", "run-99"], ["run-99", "run-2"]] {
@@ -185,11 +185,11 @@
         let late = after(array("run-80", 1), &[&ids[4], &ids[0]]);
         assert_eq!(w.submit(other, &late, runs(1_000)), 201);
         assert_eq!(w.phase(other, "run-80"), Some(Phase::Aborted));
-        let open = |w: &mut World| w.state.keys(JOBS).len() <= 1;
+        let open = |w: &mut World| w.state.keys(JOB_PREFIX).len() <= 1;
         assert!(
             w.until(20_000, open),
             "filed away: {:?}",
-            w.state.keys(JOBS)
+            w.state.keys(JOB_PREFIX)
         );
         w.run(40_000);
         for id in ids[1..].iter().chain(&fan) {
@@ -213,8 +213,8 @@
         m.cut_until = now + 60_000;
     }
     assert_eq!(w.abort(0, &ids[0]), Some(Phase::Aborted));
-    assert!(w.until(5_000, |w| w.state.keys(JOBS).len() == 1));
-    assert!(w.until(60_000, |w| w.state.keys(JOBS).is_empty()));
+    assert!(w.until(5_000, |w| w.state.keys(JOB_PREFIX).len() == 1));
+    assert!(w.until(60_000, |w| w.state.keys(JOB_PREFIX).is_empty()));
     clean(&w);
 }
 
@@ -270,8 +270,8 @@
         assert!(w.until(10_000, |w| w.phase(node, &last) == Some(Phase::Aborted)));
     }
     // The rest follows, within the rate of the state service.
-    assert!(w.until(60_000, |w| w.state.keys(JOBS).is_empty()));
-    assert_eq!(w.state.keys(FINALS).len(), 221);
+    assert!(w.until(60_000, |w| w.state.keys(JOB_PREFIX).is_empty()));
+    assert_eq!(w.state.keys(FINAL_RECORD_PREFIX).len(), 221);
     clean(&w);
 }
 
@@ -285,7 +285,8 @@
     w.state.write(&job_key("run-2"), &record, None);
     w.run(10_000);
     assert_eq!(started(&w, "run-2"), 0);
-    w.state.write(&final_key("run-1"), &Final::Done, None);
+    w.state
+        .write(&final_record_key("run-1"), &JobOutcome::Done, None);
     assert!(done(&mut w, "run-2", 10_000));
     clean(&w);
 }
--- a/crates/control/tests/question_floods.rs
+++ b/crates/control/tests/question_floods.rs
@@ -202,7 +202,9 @@
         }
         let waiting = self.changes.iter().filter(|c| w.now > c.began + 5_000);
         assert_eq!(waiting.count(), 0, "submissions or cancellations starve");
-        let open = |id: &&String| w.state.read::<Final>(&final_key(id)) != Some(Final::Done);
+        let open = |id: &&String| {
+            w.state.read::<JobOutcome>(&final_record_key(id)) != Some(JobOutcome::Done)
+        };
         let open: Vec<&String> = early.iter().filter(open).collect();
         assert!(open.is_empty(), "submitted long ago, not done: {open:?}");
     }
@@ -216,7 +218,7 @@
 fn record_open_jobs(w: &mut World, ids: &[String]) {
     for id in ids {
         let spec = Submission {
-            types: Some(vec!["none".into()]),
+            machine_types: Some(vec!["none".into()]),
             ..array(id, 1)
         };
         w.describe(&spec, runs(1_000));
@@ -374,7 +376,7 @@
         w.run(10);
     }
     assert_eq!((w.leader(), w.term_of(leader)), (Some(leader), term));
-    let end = w.state.read::<Final>(&final_key("run-1"));
-    assert_eq!(end, Some(Final::Done), "started and ended meanwhile");
+    let end = w.state.read::<JobOutcome>(&final_record_key("run-1"));
+    assert_eq!(end, Some(JobOutcome::Done), "started and ended meanwhile");
     clean(&w);
 }
--- a/crates/control/tests/scenarios.rs
+++ b/crates/control/tests/scenarios.rs
@@ -113,7 +113,7 @@
     assert!(w.until(20_000, |w| w.phase(other, "run-7") == Some(Phase::Done)));
     w.run(15_000);
     assert_eq!(
-        w.state.keys(JOBS),
+        w.state.keys(JOB_PREFIX),
         Vec::<String>::new(),
         "nothing came back"
     );
@@ -214,7 +214,7 @@
     let recorded = |w: &mut World| {
         let parts = parts(w);
         let mine = parts.iter().filter(|e| e.job == "run-26");
-        mine.map(|e| e.chunk.at.len()).max() == Some(3)
+        mine.map(|e| e.chunk.assignments.len()).max() == Some(3)
     };
     assert!(w.until(2_000, recorded));
     assert!(w.on_machines("run-26").is_empty(), "recorded, not started");
@@ -242,7 +242,7 @@
                 attempt,
                 phase: TaskPhase::Ended,
                 cause: Some(cause),
-                saved: None,
+                checkpoint_written: None,
             };
             tasks
         ];
@@ -267,7 +267,7 @@
         ..runs(20_000)
     };
     let mut job = gang("run-28", 2);
-    (job.checkpoint_s, job.save_s) = (5.0, 1.0);
+    (job.checkpoint_interval_s, job.checkpoint_write_s) = (5.0, 1.0);
     assert_eq!(w.submit(0, &job, b), 201);
     w.run(6_000);
     let first = w.on_machines("run-28");
@@ -468,7 +468,7 @@
 fn under_notice_tasks_move_on_and_the_machine_goes_back() {
     let mut w = world(1, 2, 0.0);
     let mut job = array("run-16", 2);
-    (job.checkpoint_s, job.save_s) = (5.0, 1.0);
+    (job.checkpoint_interval_s, job.checkpoint_write_s) = (5.0, 1.0);
     let b = Behaviour {
         save_ms: 1_000,
         ..runs(20_000)
@@ -607,7 +607,7 @@
     assert_eq!(names.len(), w.rentals.len());
     assert_eq!(w.capacity, 8);
     assert!(
-        w.state.keys(RENTALS).is_empty(),
+        w.state.keys(RENTAL_PREFIX).is_empty(),
         "no request is kept for ever"
     );
     clean(&w);
@@ -656,7 +656,7 @@
     let mut w = world(1, 1, 0.0);
     let mut service = array("run-22", 2);
     service.shape = Shape::Service;
-    service.guess_s = 0.0;
+    service.estimated_run_s = 0.0;
     assert_eq!(w.submit(0, &service, runs(1_000_000)), 201);
     w.run(30_000);
     assert_eq!(w.on_machines("run-22").len(), 2);
@@ -672,13 +672,13 @@
     assert_eq!(w.submit(0, &array("run-21", 100_000), runs(5_000)), 201);
     w.run(20_000);
     assert!(w.on_machines("run-21").len() <= 8);
-    for key in w.state.keys(PAGES) {
+    for key in w.state.keys(PAGE_PREFIX) {
         let record: PageRecord = w.state.read(&key).expect("record");
         assert!(wire::encode(&record).len() < 8 * 1024, "{key}");
     }
     assert_eq!(w.phase(0, "run-21"), Some(Phase::Running));
     assert_eq!(w.abort(0, "run-21"), Some(Phase::Aborted));
-    assert!(w.until(10_000, |w| w.state.keys(JOBS).is_empty()));
+    assert!(w.until(10_000, |w| w.state.keys(JOB_PREFIX).is_empty()));
     clean(&w);
 }
 
@@ -695,10 +695,10 @@
     assert!(w.until(10_000, all));
     let placing = w.state.writes - before - 40;
     assert!(placing <= 30, "{placing} changes to place 160 tasks");
-    assert!(w.until(60_000, |w| w.state.keys(JOBS).is_empty()));
+    assert!(w.until(60_000, |w| w.state.keys(JOB_PREFIX).is_empty()));
     let changes = w.state.writes - before;
     assert!(changes < 40 * 4, "{changes} changes for 40 jobs");
-    assert!(w.state.keys(PAGES).len() <= 4, "empty pages go");
+    assert!(w.state.keys(PAGE_PREFIX).len() <= 4, "empty pages go");
     clean(&w);
 }
 
@@ -833,7 +833,7 @@
         ..runs(20_000)
     };
     let mut big = gang("run-70", 6);
-    big.guess_s = 2_000.0;
+    big.estimated_run_s = 2_000.0;
     assert_eq!(w.submit(0, &big, b), 201);
     let began = (14..130).any(|n| {
         let (job, b) = small(n);
@@ -919,7 +919,7 @@
         ..runs(60_000)
     };
     let mut first = gang("run-90", 2);
-    first.guess_s = 290.0;
+    first.estimated_run_s = 290.0;
     assert_eq!(w.submit(0, &first, b), 201);
     assert!(w.until(8_000, |w| w.on_machines("run-90").len() == 2));
     for n in 0..40 {
@@ -975,7 +975,7 @@
 fn a_large_fleet_goes_on_after_a_crash_of_all_without_a_second_start() {
     let mut w = fleet();
     let started = |w: &World| -> usize { w.workers.values().map(|m| m.started.len()).sum() };
-    let pages = w.state.keys(PAGES).len();
+    let pages = w.state.keys(PAGE_PREFIX).len();
     assert!(pages < 90, "{pages} pages for 5,400 places");
     (0..5).for_each(|i| w.crash(i));
     w.run(3_000);
--- a/crates/control/tests/staged_upgrades.rs
+++ b/crates/control/tests/staged_upgrades.rs
@@ -69,30 +69,34 @@
 }
 
 fn level(w: &World) -> LevelRecord {
-    w.state.read(LEVEL).expect("the level")
+    w.state.read(CLUSTER_LEVEL_KEY).expect("the level")
 }
 
 fn active(w: &World) -> u32 {
-    w.state.read::<LevelRecord>(LEVEL).map_or(0, |l| l.active)
+    w.state
+        .read::<LevelRecord>(CLUSTER_LEVEL_KEY)
+        .map_or(0, |l| l.active)
 }
 
-fn phase(w: &World) -> Option<Phase> {
-    w.state.read::<LevelRecord>(LEVEL).map(|l| l.phase)
+fn phase(w: &World) -> Option<RolloutPhase> {
+    w.state
+        .read::<LevelRecord>(CLUSTER_LEVEL_KEY)
+        .map(|l| l.phase)
 }
 
 fn finalized(w: &World) -> u32 {
-    let mark: Option<GenerationRecord> = w.state.read(MARK);
+    let mark: Option<GenerationRecord> = w.state.read(COMMON_GENERATION_KEY);
     mark.map_or(0, |m| m.generation)
 }
 
 fn term(w: &World) -> TermRecord {
-    w.state.read(TERM).expect("the term")
+    w.state.read(TERM_KEY).expect("the term")
 }
 
 fn small_pages(w: &World) -> usize {
-    let pages = w.state.keys(PAGES).into_iter();
+    let pages = w.state.keys(PAGE_PREFIX).into_iter();
     let read = pages.filter_map(|key| w.state.read::<PageRecord>(&key));
-    read.filter(|page| !page.small.is_empty()).count()
+    read.filter(|page| !page.dense_entries.is_empty()).count()
 }
 
 /// Jobs with what became of them, so that each has one outcome in the end.
@@ -144,16 +148,16 @@
     fn has_one_outcome_each(&self, w: &mut World) {
         let all: Vec<String> = self.run.iter().chain(&self.cancelled).cloned().collect();
         let over = |w: &mut World| {
-            let is_over = |id: &String| w.state.read::<Final>(&final_key(id)).is_some();
+            let is_over = |id: &String| w.state.read::<JobOutcome>(&final_record_key(id)).is_some();
             all.iter().all(is_over)
         };
-        assert!(w.until(600_000, over), "{:?}", w.state.keys(JOBS));
-        let outcome = |w: &World, id: &String| w.state.read::<Final>(&final_key(id));
+        assert!(w.until(600_000, over), "{:?}", w.state.keys(JOB_PREFIX));
+        let outcome = |w: &World, id: &String| w.state.read::<JobOutcome>(&final_record_key(id));
         for id in &self.run {
-            assert_eq!(outcome(w, id), Some(Final::Done), "{id}");
+            assert_eq!(outcome(w, id), Some(JobOutcome::Done), "{id}");
         }
         for id in &self.cancelled {
-            assert_eq!(outcome(w, id), Some(Final::Aborted), "{id}");
+            assert_eq!(outcome(w, id), Some(JobOutcome::Aborted), "{id}");
         }
         let mut starts: BTreeMap<&String, usize> = BTreeMap::new();
         for (task, _) in w.workers.values().flat_map(|m| &m.started) {
@@ -171,21 +175,21 @@
     let mut w = cluster_of(&held(0));
     let mut load = Load::default();
     load.add(&mut w, false);
-    assert_eq!((active(&w), phase(&w)), (0, Some(Phase::Idle)));
+    assert_eq!((active(&w), phase(&w)), (0, Some(RolloutPhase::Idle)));
     replace(&mut w, 0, &automatic(2));
-    assert!(w.until(10_000, |w| phase(w) == Some(Phase::Mixed)));
+    assert!(w.until(10_000, |w| phase(w) == Some(RolloutPhase::Mixed)));
     load.add(&mut w, false);
     replace(&mut w, 1, &automatic(2));
     w.run(6_000);
-    assert_eq!((active(&w), phase(&w)), (0, Some(Phase::Mixed)));
+    assert_eq!((active(&w), phase(&w)), (0, Some(RolloutPhase::Mixed)));
     replace(&mut w, 2, &automatic(2));
-    assert!(w.until(10_000, |w| phase(w) == Some(Phase::Soaking)));
+    assert!(w.until(10_000, |w| phase(w) == Some(RolloutPhase::Soaking)));
     assert_eq!((active(&w), finalized(&w)), (2, 0));
     load.add(&mut w, false);
     assert_eq!(small_pages(&w), 0, "still readable by the build before");
     assert!(!term(&w).fenced);
     assert!(w.until(20_000, |w| finalized(w) == 2), "{:?}", level(&w));
-    assert_eq!(phase(&w), Some(Phase::Finalized));
+    assert_eq!(phase(&w), Some(RolloutPhase::Finalized));
     assert!(term(&w).fenced);
     w.run(2_000);
     load.add(&mut w, true);
@@ -221,7 +225,7 @@
         replace(&mut w, orders[0], &held(0));
         replace(&mut w, orders[1], &held(0));
         assert!(
-            w.until(20_000, |w| phase(w) == Some(Phase::Idle)),
+            w.until(20_000, |w| phase(w) == Some(RolloutPhase::Idle)),
             "{:?}",
             level(&w)
         );
@@ -230,7 +234,7 @@
             replace(&mut w, node, &held(2));
             w.run(4_000);
         }
-        let soaks = |w: &mut World| phase(w) == Some(Phase::Soaking) && active(w) == 2;
+        let soaks = |w: &mut World| phase(w) == Some(RolloutPhase::Soaking) && active(w) == 2;
         assert!(w.until(60_000, soaks), "{:?}", level(&w));
         load.add(&mut w, false);
         for (returned, node) in orders.into_iter().rev().enumerate() {
@@ -245,7 +249,7 @@
         assert_eq!(small_pages(&w), 0);
         assert!(!term(&w).fenced);
         assert!(
-            w.until(20_000, |w| phase(w) == Some(Phase::Idle)),
+            w.until(20_000, |w| phase(w) == Some(RolloutPhase::Idle)),
             "{:?}",
             level(&w)
         );
@@ -320,7 +324,7 @@
     load.has_one_outcome_each(&mut w);
 }
 
-const NODES_PREFIX: &str = wire::records::NODES;
+const NODES_PREFIX: &str = wire::records::NODE_GENERATION_PREFIX;
 
 /// Every write of the level on the way of an upgrade, a rollback and the next upgrade: the process that sends it ends
 /// before it is executed, or after it with the answer lost.
@@ -355,7 +359,10 @@
                 }
             });
             let announced = |i: usize| w.state.read::<MemberRecord>(&member_key(&format!("n{i}")));
-            let highest = (0..NODES).filter_map(announced).map(|m| m.newest).min();
+            let highest = (0..NODES)
+                .filter_map(announced)
+                .map(|m| m.newest_level)
+                .min();
             assert!(
                 active(&w) <= highest.unwrap_or(0),
                 "{crash:?} {:?}",
@@ -405,7 +412,7 @@
         rollout.soak_s = 20.0;
     }
     let mut w = cluster_of(&patient);
-    assert!(w.until(10_000, |w| phase(w) == Some(Phase::Soaking)));
+    assert!(w.until(10_000, |w| phase(w) == Some(RolloutPhase::Soaking)));
     w.run(15_000);
     let leader = w.leader().expect("leader");
     let other = (0..NODES).find(|n| *n != leader).expect("another");
@@ -432,7 +439,7 @@
     let mut load = Load::default();
     load.add(&mut w, true);
     let member = w.state.version(&member_key("n1"));
-    let version = w.state.version(LEVEL);
+    let version = w.state.version(CLUSTER_LEVEL_KEY);
     replace(&mut w, 1, &held(1));
     w.run(20_000);
     assert_eq!(
@@ -440,7 +447,7 @@
         member,
         "it announced nothing"
     );
-    assert_eq!(w.state.version(LEVEL), version);
+    assert_eq!(w.state.version(CLUSTER_LEVEL_KEY), version);
     assert_eq!(w.ask(1, "GET", "/ready", vec![]).0, 503);
     assert_eq!(w.submit(1, &array("run-1", 1), runs(100)), 503);
     // It alone is left: it does not lead either.
@@ -463,12 +470,15 @@
     if let Some(rollout) = &mut too_new.rollout {
         rollout.oldest_level = 1;
     }
-    let (member, version) = (w.state.version(&member_key("n1")), w.state.version(LEVEL));
+    let (member, version) = (
+        w.state.version(&member_key("n1")),
+        w.state.version(CLUSTER_LEVEL_KEY),
+    );
     replace(&mut w, 1, &too_new);
     w.run(8_000);
     assert_eq!(w.ask(1, "GET", "/ready", vec![]).0, 503);
     assert_eq!(w.state.version(&member_key("n1")), member);
-    assert_eq!(w.state.version(LEVEL), version);
+    assert_eq!(w.state.version(CLUSTER_LEVEL_KEY), version);
     let mut load = Load::default();
     load.add(&mut w, false);
     load.has_one_outcome_each(&mut w);
@@ -590,7 +600,7 @@
                 w.run(3_000);
                 let members = (0..NODES).filter_map(|i| {
                     let member: Option<MemberRecord> = w.state.read(&member_key(&format!("n{i}")));
-                    member.map(|m| m.newest)
+                    member.map(|m| m.newest_level)
                 });
                 let least = members.min().unwrap_or(0);
                 assert!(
@@ -609,7 +619,7 @@
         for node in 0..NODES {
             if w.state
                 .read::<MemberRecord>(&member_key(&format!("n{node}")))
-                .map(|m| m.newest)
+                .map(|m| m.newest_level)
                 != Some(2)
             {
                 replace(&mut w, node, &automatic(2));
@@ -628,10 +638,10 @@
 fn records_that_can_not_be_read_or_come_from_the_future_are_survived_and_left_alone() {
     // The level: nothing moves, nothing is overwritten, and jobs run.
     let mut w = cluster_of(&held(2));
-    w.state.write(LEVEL, &"nonsense", None);
-    let version = w.state.version(LEVEL);
+    w.state.write(CLUSTER_LEVEL_KEY, &"nonsense", None);
+    let version = w.state.version(CLUSTER_LEVEL_KEY);
     w.run(20_000);
-    assert_eq!(w.state.version(LEVEL), version);
+    assert_eq!(w.state.version(CLUSTER_LEVEL_KEY), version);
     let mut load = Load::default();
     load.add(&mut w, false);
     load.has_one_outcome_each(&mut w);
@@ -644,7 +654,8 @@
         .read::<MemberRecord>(&member_key("n1"))
         .is_some()));
     // The mark of a later build: this one does not take part.
-    w.state.write(MARK, &GenerationRecord::new(7), None);
+    w.state
+        .write(COMMON_GENERATION_KEY, &GenerationRecord::new(7), None);
     w.run(12_000);
     assert_eq!(w.leader(), None);
     assert_eq!(w.ask(0, "GET", "/ready", vec![]).0, 503);
@@ -655,17 +666,17 @@
 fn an_announcement_of_a_controller_that_is_not_configured_pauses_the_upgrade_only_if_it_is_new() {
     let mut w = cluster_of(&held(0));
     let stranger = |boot| MemberRecord {
-        oldest: 0,
-        newest: 2,
+        oldest_level: 0,
+        newest_level: 2,
         build: "elsewhere".into(),
         boot,
         unknown: UnknownFields::new(),
     };
     w.state.write(&member_key("n9"), &stranger(1), None);
     w.run(6_000);
-    assert_eq!(phase(&w), Some(Phase::Idle), "it does not count");
+    assert_eq!(phase(&w), Some(RolloutPhase::Idle), "it does not count");
     replace(&mut w, 0, &held(2));
-    assert!(w.until(10_000, |w| phase(w) == Some(Phase::Mixed)));
+    assert!(w.until(10_000, |w| phase(w) == Some(RolloutPhase::Mixed)));
     assert_eq!(level(&w).pause, None);
     w.state.write(&member_key("n9"), &stranger(2), None);
     let paused = |w: &mut World| matches!(level(w).pause, Some(PauseReason::Unknown { .. }));
@@ -757,7 +768,7 @@
         w.run(5_000);
         load.add(&mut w, false);
     }
-    let leader: LeaderRecord = w.state.read(LEADER).expect("the leader");
+    let leader: LeaderRecord = w.state.read(LEADER_KEY).expect("the leader");
     assert_eq!(leader.level, Some(2));
     load.has_one_outcome_each(&mut w);
 }
--- a/crates/control/tests/troubles.rs
+++ b/crates/control/tests/troubles.rs
@@ -710,7 +710,7 @@
         // Where the records say that its tasks are.
         let recorded = |w: &World| {
             let last = parts(w).into_iter().filter(|p| p.job == "run-1");
-            last.max_by_key(|p| p.seq).map(|p| p.chunk.at)
+            last.max_by_key(|p| p.seq).map(|p| p.chunk.assignments)
         };
         let before = recorded(&w);
         assert_eq!(before.as_ref().map_or(0, Vec::len), 3);
--- a/crates/control/tests/unknown_ids.rs
+++ b/crates/control/tests/unknown_ids.rs
@@ -55,7 +55,8 @@
         // Written by a process that this node hears nothing of.
         w.silent_peers.insert(n);
         record_open_job(&mut w, array(&open, 1));
-        w.state.write(&final_key(&over), &Final::Aborted, None);
+        w.state
+            .write(&final_record_key(&over), &JobOutcome::Aborted, None);
         for id in [&open, &over] {
             assert_eq!(
                 w.ask(n, "GET", &format!("/submissions/{id}"), vec![]).0,
--- a/crates/control/tests/upgrade.rs
+++ b/crates/control/tests/upgrade.rs
@@ -48,7 +48,7 @@
 
 /// The old version leads for a moment and then dies, after so many of its writes.
 fn old_leads(w: &mut World, steps: usize) {
-    let term: TermRecord = w.state.read(TERM).expect("term");
+    let term: TermRecord = w.state.read(TERM_KEY).expect("term");
     let mut left = steps;
     let mut step = |w: &mut World, change: &dyn Fn(&mut World)| {
         if left > 0 {
@@ -63,11 +63,11 @@
         level: None,
     };
     step(w, &|w| {
-        w.state.write(LEADER, &lead, None);
-        w.state.write(TERM, &TermRecord::new(lead.term), None);
+        w.state.write(LEADER_KEY, &lead, None);
+        w.state.write(TERM_KEY, &TermRecord::new(lead.term), None);
     });
     let mut newest: BTreeMap<(String, u32), OldEntry> = BTreeMap::new();
-    let pages = w.state.keys(PAGES);
+    let pages = w.state.keys(PAGE_PREFIX);
     for page in pages.iter().filter_map(|k| w.state.read::<OldPage>(k)) {
         for e in page.parts {
             let known = newest.get(&(e.job.clone(), e.part)).map_or(0, |k| k.seq);
@@ -96,7 +96,7 @@
     });
     // Its process ends, and with it its lease.
     w.run(1_000);
-    w.state.erase(LEADER);
+    w.state.erase(LEADER_KEY);
 }
 
 /// Three nodes of which the last is not yet upgraded.
@@ -112,7 +112,7 @@
 }
 
 fn mark(w: &World) -> u32 {
-    let mark: Option<GenerationRecord> = w.state.read(MARK);
+    let mark: Option<GenerationRecord> = w.state.read(COMMON_GENERATION_KEY);
     mark.map_or(0, |m| m.generation)
 }
 
@@ -145,7 +145,7 @@
 fn all_over(w: &mut World, ids: &[String]) -> bool {
     w.until(600_000, |w| {
         ids.iter()
-            .all(|id| w.state.read::<Final>(&final_key(id)).is_some())
+            .all(|id| w.state.read::<JobOutcome>(&final_record_key(id)).is_some())
     })
 }
 
@@ -190,11 +190,11 @@
     w.crash(w.leader().expect("leader"));
     w.run(8_000);
     assert_eq!(mark(&w), 0);
-    for key in w.state.keys(PAGES) {
+    for key in w.state.keys(PAGE_PREFIX) {
         let page: PageRecord = w.state.read(&key).expect("page");
-        assert!(page.small.is_empty(), "{key}");
+        assert!(page.dense_entries.is_empty(), "{key}");
     }
-    assert!(w.state.keys(MORE).is_empty());
+    assert!(w.state.keys(JOB_OVERFLOW_PREFIX).is_empty());
     for i in 0..3 {
         w.start(i);
     }
@@ -218,7 +218,8 @@
         "asked for something new"
     );
     // A later version's mark is not taken back.
-    w.state.write(MARK, &GenerationRecord::new(7), None);
+    w.state
+        .write(COMMON_GENERATION_KEY, &GenerationRecord::new(7), None);
     for i in 0..2 {
         w.crash(i);
         w.start(i);
@@ -249,7 +250,10 @@
             assert_eq!(w.submit(0, &array(id, 60), runs(40_000)), 201);
         }
         w.run(4_000);
-        assert!(w.state.largest(PAGES) > 2048, "large pages are stored");
+        assert!(
+            w.state.largest(PAGE_PREFIX) > 2048,
+            "large pages are stored"
+        );
         w.start(2);
         w.run(moment);
         w.lower_limits();
@@ -258,12 +262,16 @@
         }
         let ids = load(&mut w);
         let refused = w.state.too_large;
-        assert!(all_over(&mut w, &ids), "{moment}: {:?}", w.state.keys(JOBS));
+        assert!(
+            all_over(&mut w, &ids),
+            "{moment}: {:?}",
+            w.state.keys(JOB_PREFIX)
+        );
         assert!(all_over(&mut w, &wide), "{moment}");
         assert!(refused < 12, "{refused} refused at {moment}");
         assert_eq!(w.state.too_large, refused, "none is tried over and over");
         assert!(mark(&w) == GENERATION);
-        assert!(w.state.largest(PAGES) <= 2048 || w.state.keys(JOBS).is_empty());
+        assert!(w.state.largest(PAGE_PREFIX) <= 2048 || w.state.keys(JOB_PREFIX).is_empty());
         clean(&w);
     }
 }
@@ -285,12 +293,12 @@
     w.start(2);
     assert!(w.until(5_000, |w| mark(w) == GENERATION));
     let wide = |w: &World| {
-        let pages = w.state.keys(PAGES).into_iter();
+        let pages = w.state.keys(PAGE_PREFIX).into_iter();
         let read = pages.filter_map(|k| w.state.read::<PageRecord>(&k));
         let has = |p: &PageRecord| {
-            p.parts
+            p.entries
                 .iter()
-                .any(|e| e.job == "run-2" && !e.chunk.at.is_empty())
+                .any(|e| e.job == "run-2" && !e.chunk.assignments.is_empty())
         };
         read.filter(has).count()
     };
@@ -340,7 +348,7 @@
         Some(more.chain([fakes::KIND.to_string()]).collect())
     };
     let long = |id: &str, n: usize| Submission {
-        types: types(n),
+        machine_types: types(n),
         ..array(id, 2)
     };
     let mut w = rolling();
@@ -352,12 +360,12 @@
     w.lower_limits();
     assert_eq!(w.abort(1, "run-1"), Some(Phase::Aborted));
     assert!(done(&mut w, "run-2", 20_000));
-    assert!(w.until(10_000, |w| w.state.keys(JOBS).is_empty()));
+    assert!(w.until(10_000, |w| w.state.keys(JOB_PREFIX).is_empty()));
     assert_eq!(w.phase(2, "run-1"), Some(Phase::Aborted));
     // Now in parts: seen by the leader of today and by the next one.
     assert_eq!(w.submit(0, &long("run-3", 30), runs(3_000)), 201);
     assert_eq!(w.submit(0, &long("run-4", 30), runs(300_000)), 201);
-    assert_eq!(w.state.keys(MORE).len(), 4);
+    assert_eq!(w.state.keys(JOB_OVERFLOW_PREFIX).len(), 4);
     w.run(3_000);
     assert_eq!(w.on_machines("run-4").len(), 2);
     let old = w.leader().expect("leader");
@@ -366,18 +374,22 @@
     assert!(done(&mut w, "run-3", 20_000));
     assert_eq!(w.submit(1, &long("run-4", 30), runs(0)), 200);
     assert_eq!(w.abort(2, "run-4"), Some(Phase::Aborted));
-    assert!(w.until(10_000, |w| w.state.keys(JOBS).is_empty()));
-    assert!(w.state.keys(MORE).is_empty(), "they go with their job");
+    assert!(w.until(10_000, |w| w.state.keys(JOB_PREFIX).is_empty()));
+    assert!(
+        w.state.keys(JOB_OVERFLOW_PREFIX).is_empty(),
+        "they go with their job"
+    );
     // Beyond the bound, at once, and nothing is kept.
     let (status, body) = w.ask(0, "POST", "/submissions", wire::encode(&long("run-5", 60)));
-    let why: wire::users::Refusal = wire::decode(&body).expect("why");
+    let why: wire::users::ErrorResponse = wire::decode(&body).expect("why");
     assert_eq!(status, 400);
     assert!(why.error.contains("2048"), "{}", why.error);
     assert_eq!(w.phase(0, "run-5"), None);
     // A hundred names fit into one record.
     let names: Vec<String> = (100..200).map(|n| format!("run-{n:06}")).collect();
     for name in &names {
-        w.state.write(&final_key(name), &Final::Done, None);
+        w.state
+            .write(&final_record_key(name), &JobOutcome::Done, None);
     }
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     assert!(w.until(20_000, |w| w.submit(
@@ -395,7 +407,7 @@
     let mut w = rolling();
     for key in [
         "v/n0",
-        MARK,
+        COMMON_GENERATION_KEY,
         "b/00000",
         "b/junk",
         "x/run-8/1",
--- a/crates/fakes/src/checks.rs
+++ b/crates/fakes/src/checks.rs
@@ -3,7 +3,7 @@
 use crate::jobs::job_of;
 use crate::{FakeWorker, Placed, World, KIND, MACHINE};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::records::{final_key, Final};
+use wire::records::{final_record_key, JobOutcome};
 use wire::users::Submission;
 use wire::workers::TaskPhase;
 
@@ -30,7 +30,8 @@
             }));
         }
         let state = &self.state;
-        let ended = |id: &str| state.read::<Final>(&final_key(id)) == Some(Final::Done);
+        let ended =
+            |id: &str| state.read::<JobOutcome>(&final_record_key(id)) == Some(JobOutcome::Done);
         self.rules
             .check_placement(&placed, &self.jobs, ended, self.now);
         if self.is_healed && self.now.is_multiple_of(1_000) {
@@ -46,7 +47,7 @@
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.tasks == 1) {
             let waits = self.is_open(id)
                 && self.is_within_quota(job, &usage)
-                && job.needs.is_empty()
+                && job.dependencies.is_empty()
                 && !usage.jobs.contains(id.as_str())
                 && usage.free.iter().any(|machine| machine.fits(job));
             waiting.push((id.clone(), waits));
@@ -93,7 +94,10 @@
         self.rules.is_accepted(id)
             && self.rules.end(id).is_none()
             && !self.rules.is_called_off(id)
-            && self.state.read::<Final>(&final_key(id)).is_none()
+            && self
+                .state
+                .read::<JobOutcome>(&final_record_key(id))
+                .is_none()
     }
 
     /// Whether the team of a job of one task may use as much as the job needs.
@@ -138,7 +142,7 @@
                 .zone
                 .as_ref()
                 .is_none_or(|zone| *zone == self.worker.zone)
-            && job.types.as_ref().is_none_or(is_listed)
-            && (job.spot || !self.worker.spot)
+            && job.machine_types.as_ref().is_none_or(is_listed)
+            && (job.spot_allowed || !self.worker.spot)
     }
 }
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -2,9 +2,10 @@
 
 use crate::{FakeWorker, World, KIND, MACHINE};
 use wire::cloud::{
-    ListedMachine, MachineList, MachineNames, MachinePhase, MachineType, MachineTypes, Rent,
+    ListedMachine, MachineList, MachineNames, MachinePhase, MachineType, MachineTypes,
+    RentalRequest,
 };
-use wire::users::Refusal;
+use wire::users::ErrorResponse;
 
 /// Machines on a page of the list at most, whatever is requested.
 const LIST_PAGE: usize = 500;
@@ -32,7 +33,7 @@
         let path = target.split('?').next().unwrap_or_default();
         match (method, path) {
             ("GET", "/machine_types") => (200, wire::encode(&machine_types())),
-            ("POST", "/hosts") => match wire::decode::<Rent>(body) {
+            ("POST", "/hosts") => match wire::decode::<RentalRequest>(body) {
                 Ok(rent) => self.rent(rent),
                 Err(_) => (400, vec![]),
             },
@@ -47,14 +48,14 @@
     }
 
     /// Rents machines, or repeats the answer to a request that was executed before.
-    fn rent(&mut self, rent: Rent) -> Response {
-        if let Some(machines) = self.rented.get(&rent.request).cloned() {
+    fn rent(&mut self, rent: RentalRequest) -> Response {
+        if let Some(machines) = self.rented.get(&rent.name).cloned() {
             return (200, wire::encode(&MachineNames { machines }));
         }
         let count = rent.count.min(self.capacity);
         if count == 0 {
             let error = "no capacity".to_string();
-            return (503, wire::encode(&Refusal { error }));
+            return (503, wire::encode(&ErrorResponse { error }));
         }
         self.capacity -= count;
         let mut machines = Vec::new();
@@ -65,8 +66,8 @@
             self.booting.insert(name.clone(), (up_at, rent.clone()));
             machines.push(name);
         }
-        self.rentals.push(rent.request.clone());
-        self.rented.insert(rent.request, machines.clone());
+        self.rentals.push(rent.name.clone());
+        self.rented.insert(rent.name, machines.clone());
         (200, wire::encode(&MachineNames { machines }))
     }
 
@@ -88,12 +89,18 @@
             .map(|(name, (_, rent))| listed(name, &rent.zone, rent.spot, MachinePhase::Booting));
         let mut machines: Vec<ListedMachine> = up.chain(booting).collect();
         let (from, limit) = list_range(target);
-        machines.retain(|machine| machine.id.as_str() > from);
-        machines.sort_by(|a, b| a.id.cmp(&b.id));
+        machines.retain(|machine| machine.name.as_str() > from);
+        machines.sort_by(|a, b| a.name.cmp(&b.name));
         let more = machines.len() > limit;
         machines.truncate(limit);
         self.listed_pages += 1;
-        (200, wire::encode(&MachineList { machines, more }))
+        (
+            200,
+            wire::encode(&MachineList {
+                machines,
+                has_more: more,
+            }),
+        )
     }
 }
 
@@ -104,10 +111,10 @@
         cpus,
         gpus,
         mem_gb,
-        cache_gb: 80.0,
+        image_cache_gb: 80.0,
         fetch_gb_per_s: 1.0,
-        price: 10.0,
-        spot_price: 4.0,
+        price_per_hour: 10.0,
+        spot_price_per_hour: 4.0,
         boot_s: 2.0,
         zones: vec!["a".into(), "b".into()],
     }];
@@ -116,9 +123,9 @@
 
 fn listed(name: &str, zone: &str, spot: bool, phase: MachinePhase) -> ListedMachine {
     ListedMachine {
-        id: name.to_string(),
+        name: name.to_string(),
         addr: Some(format!("{name}:1")),
-        kind: KIND.into(),
+        machine_type: KIND.into(),
         zone: zone.to_string(),
         spot,
         phase,
--- a/crates/fakes/src/jobs.rs
+++ b/crates/fakes/src/jobs.rs
@@ -18,16 +18,16 @@
         mem_gb: 1.0,
         image: "i".into(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
-        spot: true,
-        guess_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        spot_allowed: true,
+        estimated_run_s: 10.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_write_s: 0.0,
         due_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
--- a/crates/fakes/src/network/workers.rs
+++ b/crates/fakes/src/network/workers.rs
@@ -122,7 +122,7 @@
     /// A node sent the worker elsewhere: to the node that it named, or else to the next one.
     fn on_redirect(&mut self, machine: &str, body: &[u8]) {
         let named = wire::decode::<Redirect>(body).ok();
-        let label = named.and_then(|named| named.leader);
+        let label = named.and_then(|named| named.controller);
         let mut settings = self.settings.iter();
         let leader = label.and_then(|label| settings.position(|s| s.label == label));
         let (now, nodes) = (self.now, self.nodes.len());
--- a/crates/fakes/src/rules/placement.rs
+++ b/crates/fakes/src/rules/placement.rs
@@ -34,7 +34,7 @@
             let (cpus, gpus) = used.entry(&job.team).or_default();
             *cpus += job.cpus;
             *gpus += job.gpus;
-            for need in job.needs.iter().filter(|need| !is_done(need)) {
+            for need in job.dependencies.iter().filter(|need| !is_done(need)) {
                 self.report(format!("too_early {task} before {need}"), now);
             }
         }
@@ -111,7 +111,11 @@
 
 /// Whether a job's tasks may not be on every machine.
 fn is_constrained(job: &Submission) -> bool {
-    job.zone.is_some() || job.types.is_some() || !job.spot || job.one_zone || job.spread
+    job.zone.is_some()
+        || job.machine_types.is_some()
+        || !job.spot_allowed
+        || job.one_zone
+        || job.spread
 }
 
 /// Which constraints of a job a task's place violates, given all tasks of the job.
@@ -123,12 +127,12 @@
     let in_zone = tasks.iter().filter(|other| other.zone == placement.zone);
     let in_zone = in_zone.count() as u64;
     let zone = job.zone.as_deref();
-    let types = job.types.as_ref();
+    let types = job.machine_types.as_ref();
     let is_other_type = |types: &Vec<String>| !types.iter().any(|kind| kind == placement.kind);
     let checks = [
         (zone.is_some_and(|zone| zone != placement.zone), "zone"),
         (types.is_some_and(is_other_type), "type"),
-        (!job.spot && placement.spot, "kind"),
+        (!job.spot_allowed && placement.spot, "kind"),
         (job.one_zone && in_zone < tasks.len() as u64, "one zone"),
         (job.spread && in_zone > job.tasks.div_ceil(2), "spread"),
     ];
--- a/crates/fakes/src/state.rs
+++ b/crates/fakes/src/state.rs
@@ -87,7 +87,7 @@
     pub fn largest(&self, prefix: &str) -> usize {
         let under = self.entries.iter().filter(|(k, _)| k.starts_with(prefix));
         under
-            .map(|(_, e)| wire::json_bytes(&e.value))
+            .map(|(_, e)| wire::json_size(&e.value))
             .max()
             .unwrap_or(0)
     }
@@ -163,7 +163,7 @@
         items.truncate(limit);
         let page = Page {
             items,
-            more,
+            has_more: more,
             revision: self.revision,
         };
         Some((200, wire::encode(&page)))
--- a/crates/fakes/src/state/leases.rs
+++ b/crates/fakes/src/state/leases.rs
@@ -67,7 +67,7 @@
             };
             self.leases.insert(self.next_lease, granted);
             let lease = self.next_lease;
-            return (200, wire::encode(&Lease { lease }));
+            return (200, wire::encode(&Lease { id: lease }));
         }
         let id = rest.trim_start_matches('/').split('/').next();
         let Some(id) = id.and_then(|i| i.parse::<u64>().ok()) else {
--- a/crates/fakes/src/state/transactions.rs
+++ b/crates/fakes/src/state/transactions.rs
@@ -19,7 +19,7 @@
     fn refusal(&mut self, now: u64, txn: &Txn) -> Option<u16> {
         let limits = self.limits?;
         let is_large = |w: &Write| match w {
-            Write::Put { value, .. } => wire::json_bytes(value) > limits.value_bytes,
+            Write::Put { value, .. } => wire::json_size(value) > limits.value_bytes,
             Write::Delete { .. } => false,
         };
         let has_many = txn.writes.len() > limits.txn_ops || txn.compares.len() > 4 * limits.txn_ops;
@@ -42,7 +42,13 @@
             .collect();
         if !failed.is_empty() {
             let revision = self.revision;
-            return (409, wire::encode(&TxnResponse { failed, revision }));
+            return (
+                409,
+                wire::encode(&TxnResponse {
+                    failed_keys: failed,
+                    revision,
+                }),
+            );
         }
         let lacks_lease = |write: &Write| match write {
             Write::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
@@ -60,19 +66,19 @@
             }
         }
         let answer = TxnResponse {
-            failed: vec![],
+            failed_keys: vec![],
             revision: self.revision,
         };
         (200, wire::encode(&answer))
     }
 
     fn put(&mut self, key: String, value: ciborium::Value, lease: Option<u64>) {
-        self.bytes_written += wire::json_bytes(&value);
+        self.bytes_written += wire::json_size(&value);
         let version = self.revision;
         self.log.push(Change {
-            put: Some(key.clone()),
+            put_key: Some(key.clone()),
             value: Some(value.clone()),
-            delete: None,
+            deleted_key: None,
             version,
         });
         let entry = Entry {
@@ -87,9 +93,9 @@
     pub(super) fn remove(&mut self, key: &str) {
         if self.entries.remove(key).is_some() {
             self.log.push(Change {
-                put: None,
+                put_key: None,
                 value: None,
-                delete: Some(key.to_string()),
+                deleted_key: Some(key.to_string()),
                 version: self.revision,
             });
         }
--- a/crates/fakes/src/state/watches.rs
+++ b/crates/fakes/src/state/watches.rs
@@ -40,7 +40,10 @@
             if events.is_empty() && now < watch.until {
                 return true;
             }
-            let changes = Changes { revision, events };
+            let changes = Changes {
+                revision,
+                changes: events,
+            };
             due.push((watch.waiter, wire::encode(&changes)));
             false
         });
@@ -50,7 +53,7 @@
 
 fn changes_of(watch: &Watch, log: &[Change]) -> Vec<Change> {
     let concerns = |change: &&Change| {
-        let key = change.put.as_ref().or(change.delete.as_ref());
+        let key = change.put_key.as_ref().or(change.deleted_key.as_ref());
         change.version > watch.from && key.is_some_and(|key| key.starts_with(&watch.prefix))
     };
     log.iter().filter(concerns).cloned().collect()
--- a/crates/fakes/src/users.rs
+++ b/crates/fakes/src/users.rs
@@ -143,7 +143,7 @@
         let mut all = BTreeSet::new();
         let mut stack = vec![id.to_string()];
         while let Some(id) = stack.pop() {
-            for need in self.jobs.get(&id).into_iter().flat_map(|j| &j.needs) {
+            for need in self.jobs.get(&id).into_iter().flat_map(|j| &j.dependencies) {
                 if all.insert(need.clone()) {
                     stack.push(need.clone());
                 }
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -167,13 +167,13 @@
         WorkerHeartbeat {
             machine: self.name.clone(),
             addr: format!("{}:1", self.name),
-            kind: kind.to_string(),
+            machine_type: kind.to_string(),
             zone: self.zone.clone(),
             spot: self.spot,
             incarnation: self.incarnation,
             seq: self.seq,
             term: self.term,
-            notice_s: self
+            reclaim_in_s: self
                 .taken_at
                 .map(|at| at.saturating_sub(now) as f64 / 1000.0),
             tasks: self
@@ -184,7 +184,7 @@
                     attempt: *attempt,
                     phase: state.phase,
                     cause: state.cause,
-                    saved: None,
+                    checkpoint_written: None,
                 })
                 .collect(),
         }
--- a/crates/fakes/src/world.rs
+++ b/crates/fakes/src/world.rs
@@ -10,8 +10,8 @@
 use control::{Operator, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
-use wire::cloud::Rent;
-use wire::records::LEVEL;
+use wire::cloud::RentalRequest;
+use wire::records::CLUSTER_LEVEL_KEY;
 use wire::users::Submission;
 use wire::workers::TaskPhase;
 
@@ -61,7 +61,7 @@
     /// Machines the cloud still has.
     pub capacity: u32,
     pub(crate) rented: BTreeMap<String, Vec<String>>,
-    pub(crate) booting: BTreeMap<String, (u64, Rent)>,
+    pub(crate) booting: BTreeMap<String, (u64, RentalRequest)>,
     pub(crate) next_machine: u32,
     /// Submitted jobs.
     pub jobs: BTreeMap<String, Submission>,
@@ -139,7 +139,7 @@
             broken: Vec::new(),
             rentals: Vec::new(),
             answer_delays_ms: None,
-            counted_keys: LEVEL,
+            counted_keys: CLUSTER_LEVEL_KEY,
             counted_writes: 0,
             crash_at_counted_write: None,
             turns: None,
--- a/crates/fakes/tests/checks.rs
+++ b/crates/fakes/tests/checks.rs
@@ -133,7 +133,7 @@
     );
     wrong(
         Submission {
-            types,
+            machine_types: types,
             ..plain.clone()
         },
         on_a,
@@ -141,7 +141,7 @@
     );
     wrong(
         Submission {
-            spot: false,
+            spot_allowed: false,
             ..plain
         },
         spot,
@@ -305,7 +305,7 @@
 fn a_task_before_what_its_job_needs() {
     let mut r = rules();
     let job = Submission {
-        needs: vec!["run-2".into()],
+        dependencies: vec!["run-2".into()],
         ..array("run-1", 1)
     };
     let on = [placed("m1", "a", "run-1/0")];
--- a/crates/http/src/encoding.rs
+++ b/crates/http/src/encoding.rs
@@ -1,7 +1,7 @@
-//! Writing messages.
+//! Encoding of requests and responses.
 
-/// The reason phrase of a status.
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of a status code.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -25,7 +25,7 @@
     body: &[u8],
     close: bool,
 ) {
-    let mut head = format!("HTTP/1.1 {status} {}\r\n", reason(status));
+    let mut head = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     if !body.is_empty() {
         head.push_str("Content-Type: application/cbor\r\n");
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! A small HTTP/1.1 codec that does no I/O: bytes go in, messages come out.
+//! A small HTTP/1.1 codec that performs no I/O: it parses messages from bytes and encodes them to bytes.
 //!
-//! Both roles are here: [`RequestParser`] with [`encode_response`] for servers, [`ResponseParser`] with
-//! [`encode_request`] for clients. Bodies need a `Content-Length`; chunked bodies are refused.
+//! Servers use [`RequestParser`] and [`encode_response`], clients use [`ResponseParser`] and [`encode_request`]. A body
+//! needs a `Content-Length` header; chunked bodies are rejected.
 
 mod encoding;
 mod head;
@@ -12,36 +12,36 @@
 
 use thiserror::Error;
 
-/// Why a message could not be read. The connection can't be used any further after any of these.
+/// Why a message could not be parsed. The connection cannot be used after any of these errors.
 #[derive(Debug, Error, Clone, Copy, PartialEq, Eq)]
 pub enum ParseError {
-    /// The start line, a header or the length is not valid HTTP.
+    /// The start line, a header or the content length is not valid, or the message has a `Transfer-Encoding`.
     #[error("malformed message")]
     Malformed,
-    /// Header or body is larger than allowed.
+    /// The headers or the body are larger than allowed.
     #[error("message too large")]
     TooLarge,
 }
 
-/// A request as a server sees it.
+/// A request that a server has received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Method in upper case, as sent.
+    /// Method, in upper case.
     pub method: String,
-    /// Path with query.
+    /// Request target: path with query.
     pub target: String,
-    /// Body, empty when there is none.
+    /// Body, empty if there is none.
     pub body: Vec<u8>,
     /// Whether the connection is to be closed after the response.
     pub close: bool,
 }
 
-/// A response as a client sees it.
+/// A response that a client has received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// Body, empty when there is none.
+    /// Body, empty if there is none.
     pub body: Vec<u8>,
     /// Whether the connection is to be closed.
     pub close: bool,
--- a/crates/http/src/parsing.rs
+++ b/crates/http/src/parsing.rs
@@ -1,31 +1,34 @@
-//! Reading messages from a byte stream.
+//! Parsing of requests and responses from a byte stream.
 
 use crate::head::{parse_head, Head};
 use crate::{ParseError, Request, Response};
 use constants::{MAX_BODY_BYTES, MAX_HEADER_BYTES, MAX_REPLY_BYTES};
 
-/// Splits a byte stream into heads and bodies.
+/// Splits a byte stream into messages, each with its head and its body.
 #[derive(Default)]
 struct MessageReader {
+    /// Bytes received that belong to no complete message yet.
     buf: Vec<u8>,
+    /// Number of bytes of `buf` that have been searched for the end of the head.
     scanned: usize,
+    /// Head of the message whose body is incomplete.
     head: Option<Head>,
 }
 
 impl MessageReader {
-    /// The next whole message, if its body has no more than `limit` bytes.
-    fn next(&mut self, limit: usize) -> Result<Option<(Head, Vec<u8>)>, ParseError> {
+    /// Removes and returns the next message, if it is complete. A body of more than `max_body_bytes` is an error.
+    fn next(&mut self, max_body_bytes: usize) -> Result<Option<(Head, Vec<u8>)>, ParseError> {
         if self.head.is_none() {
             self.head = parse_head(&self.buf, &mut self.scanned)?;
         }
         let Some(head) = &self.head else {
             return Ok(None);
         };
-        let length = head.length.unwrap_or(0);
-        if length > limit {
+        let body_bytes = head.content_length.unwrap_or(0);
+        if body_bytes > max_body_bytes {
             return Err(ParseError::TooLarge);
         }
-        let total = head.size + length;
+        let total = head.size + body_bytes;
         if self.buf.len() < total {
             return Ok(None);
         }
@@ -39,29 +42,29 @@
     }
 }
 
-/// Reads requests from a byte stream, however it is split.
+/// Parses requests from a byte stream that arrives in pieces of any size.
 #[derive(Default)]
 pub struct RequestParser {
-    inner: MessageReader,
+    reader: MessageReader,
 }
 
 impl RequestParser {
-    /// Adds bytes that arrived.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.inner.buf.extend_from_slice(bytes);
+        self.reader.buf.extend_from_slice(bytes);
     }
 
-    /// Whether bytes of an unfinished request are waiting.
+    /// Whether bytes of an incomplete request are buffered.
     pub fn is_partial(&self) -> bool {
-        !self.inner.buf.is_empty()
+        !self.reader.buf.is_empty()
     }
 
-    /// The next whole request, if it is there.
+    /// Removes and returns the next request, if it is complete.
     pub fn next_request(&mut self) -> Result<Option<Request>, ParseError> {
-        let Some((head, body)) = self.inner.next(MAX_BODY_BYTES)? else {
+        let Some((head, body)) = self.reader.next(MAX_BODY_BYTES)? else {
             return Ok(None);
         };
-        let mut parts = head.start.split(' ');
+        let mut parts = head.start_line.split(' ');
         let (method, target, version) = (parts.next(), parts.next(), parts.next());
         let (Some(method), Some(target), Some(version), None) =
             (method, target, version, parts.next())
@@ -82,24 +85,24 @@
     }
 }
 
-/// Reads responses from a byte stream, however it is split.
+/// Parses responses from a byte stream that arrives in pieces of any size.
 #[derive(Default)]
 pub struct ResponseParser {
-    inner: MessageReader,
+    reader: MessageReader,
 }
 
 impl ResponseParser {
-    /// Adds bytes that arrived.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.inner.buf.extend_from_slice(bytes);
+        self.reader.buf.extend_from_slice(bytes);
     }
 
-    /// The next whole response, if it is there.
+    /// Removes and returns the next response, if it is complete.
     pub fn next_response(&mut self) -> Result<Option<Response>, ParseError> {
-        let Some((head, body)) = self.inner.next(MAX_REPLY_BYTES)? else {
+        let Some((head, body)) = self.reader.next(MAX_REPLY_BYTES)? else {
             return Ok(None);
         };
-        let mut parts = head.start.splitn(3, ' ');
+        let mut parts = head.start_line.splitn(3, ' ');
         let version = parts.next().unwrap_or_default();
         let status = parts.next().and_then(|status| status.parse::<u16>().ok());
         match status {
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,18 +1,18 @@
-//! Requests and responses, whole, split and malformed.
+//! Requests and responses: complete, split into pieces, malformed and too large.
 
 use constants::MAX_HEADER_BYTES;
 use vetchmount_http::*;
 
 #[test]
-fn a_request_split_at_every_byte_is_read_once_and_whole() {
+fn requests_that_arrive_byte_by_byte_are_parsed_once_and_completely() {
     let mut bytes = Vec::new();
     encode_request(&mut bytes, "POST", "h", "/submissions", b"abc");
     encode_request(&mut bytes, "GET", "h", "/ready", b"");
-    let (mut parser, mut seen) = (RequestParser::default(), Vec::new());
-    for b in &bytes {
-        parser.feed(&[*b]);
-        while let Some(r) = parser.next_request().expect("valid") {
-            seen.push((r.method, r.target, r.body, r.close));
+    let (mut parser, mut requests) = (RequestParser::default(), Vec::new());
+    for byte in &bytes {
+        parser.feed(&[*byte]);
+        while let Some(request) = parser.next_request().expect("valid") {
+            requests.push((request.method, request.target, request.body, request.close));
         }
     }
     let post = (
@@ -22,13 +22,13 @@
         false,
     );
     let get = ("GET".to_string(), "/ready".to_string(), Vec::new(), false);
-    assert_eq!(seen, vec![post, get]);
+    assert_eq!(requests, vec![post, get]);
     assert!(!parser.is_partial());
 }
 
 #[test]
-fn bad_and_oversized_requests_are_told_apart() {
-    for (text, wanted) in [
+fn malformed_and_oversized_requests_give_different_errors() {
+    for (text, expected) in [
         ("nonsense\r\n\r\n", ParseError::Malformed),
         ("GET / HTTP/2\r\n\r\n", ParseError::Malformed),
         (
@@ -46,7 +46,7 @@
     ] {
         let mut parser = RequestParser::default();
         parser.feed(text.as_bytes());
-        assert_eq!(parser.next_request(), Err(wanted), "{text:?}");
+        assert_eq!(parser.next_request(), Err(expected), "{text:?}");
     }
     let mut parser = RequestParser::default();
     parser.feed(&vec![b'a'; MAX_HEADER_BYTES + 1]);
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn responses_keep_status_body_and_close() {
+fn responses_round_trip_with_status_body_and_close() {
     let mut bytes = Vec::new();
     encode_response(&mut bytes, 503, Some(2), b"", true);
     encode_response(&mut bytes, 200, None, b"xy", false);
     let mut parser = ResponseParser::default();
     parser.feed(&bytes);
-    let first = parser.next_response().expect("valid").expect("whole");
+    let first = parser.next_response().expect("valid").expect("complete");
     assert!(first.status == 503 && first.close && first.body.is_empty());
-    let second = parser.next_response().expect("valid").expect("whole");
+    let second = parser.next_response().expect("valid").expect("complete");
     assert!(second.status == 200 && !second.close && second.body == b"xy");
 }
--- a/crates/partitions/src/handover.rs
+++ b/crates/partitions/src/handover.rs
@@ -5,7 +5,7 @@
 use constants::MOVE_TIMEOUT_MS;
 use std::collections::BTreeMap;
 use wire::partitions::{PartitionEpoch, PartitionId};
-use wire::records::{PartitionsRecord, LEADER};
+use wire::records::{OwnershipTableRecord, LEADER_KEY};
 use wire::state::{Compare, Txn, Write};
 
 /// A move under way.
@@ -64,7 +64,7 @@
     pub fn load(
         &mut self,
         key: &str,
-        record: PartitionsRecord,
+        record: OwnershipTableRecord,
         version: u64,
     ) -> Result<(), TableError> {
         self.table.load(key, record, version)
@@ -147,7 +147,7 @@
         });
         Some(Txn {
             compares: vec![
-                Compare::new(LEADER, leader_version),
+                Compare::new(LEADER_KEY, leader_version),
                 Compare::new(key.clone(), version),
             ],
             writes: vec![Write::put(key, &value)],
--- a/crates/partitions/src/owner/decisions.rs
+++ b/crates/partitions/src/owner/decisions.rs
@@ -100,10 +100,11 @@
 fn repeats(report: &WorkerHeartbeat, earlier: &WorkerHeartbeat) -> bool {
     let is_same_session = (report.incarnation, report.term) == (earlier.incarnation, earlier.term);
     is_same_session
-        && report.notice_s.is_none()
-        && earlier.notice_s.is_none()
+        && report.reclaim_in_s.is_none()
+        && earlier.reclaim_in_s.is_none()
         && report.tasks == earlier.tasks
         && report.addr == earlier.addr
         && report.machine == earlier.machine
-        && (&report.kind, &report.zone, report.spot) == (&earlier.kind, &earlier.zone, earlier.spot)
+        && (&report.machine_type, &report.zone, report.spot)
+            == (&earlier.machine_type, &earlier.zone, earlier.spot)
 }
--- a/crates/partitions/src/table.rs
+++ b/crates/partitions/src/table.rs
@@ -3,7 +3,7 @@
 use crate::hash::{HASH, PARTITION_COUNT};
 use std::collections::BTreeMap;
 use wire::partitions::PartitionId;
-use wire::records::{partitions_key, PartitionRow, PartitionsRecord, UnknownFields};
+use wire::records::{ownership_table_key, OwnershipTableRecord, PartitionRow, UnknownFields};
 
 /// Partitions of a record. With labels of 40 characters it takes less than the smallest value limit known, 1 KiB.
 const ROWS_A_RECORD: PartitionId = 16;
@@ -76,20 +76,22 @@
     pub fn load(
         &mut self,
         key: &str,
-        record: PartitionsRecord,
+        record: OwnershipTableRecord,
         version: u64,
     ) -> Result<(), TableError> {
-        if record.count != PARTITION_COUNT {
+        if record.partition_count != PARTITION_COUNT {
             return Err(TableError::Count {
-                count: record.count,
+                count: record.partition_count,
             });
         }
-        if record.hash != HASH {
-            return Err(TableError::Hash { hash: record.hash });
+        if record.hash_name != HASH {
+            return Err(TableError::Hash {
+                hash: record.hash_name,
+            });
         }
-        let number = record.first / ROWS_A_RECORD;
-        let is_whole = record.first.is_multiple_of(ROWS_A_RECORD)
-            && key == partitions_key(number)
+        let number = record.first_partition / ROWS_A_RECORD;
+        let is_whole = record.first_partition.is_multiple_of(ROWS_A_RECORD)
+            && key == ownership_table_key(number)
             && record.rows.len() == usize::from(ROWS_A_RECORD)
             && number < RECORDS;
         let owner_of = |row: &PartitionRow| record.owners.get(usize::from(row.owner));
@@ -98,7 +100,7 @@
             let key = key.to_string();
             return Err(TableError::Rows { key });
         };
-        let first = usize::from(record.first);
+        let first = usize::from(record.first_partition);
         for (offset, (row, owner)) in record.rows.iter().zip(owners).enumerate() {
             let known = &mut self.rows[first + offset];
             // Epochs never decrease. A reading that was overtaken by our own write may be older.
@@ -166,7 +168,7 @@
     }
 
     /// A record with its key and the version that it has now.
-    pub(crate) fn record(&self, number: u16) -> (String, PartitionsRecord, u64) {
+    pub(crate) fn record(&self, number: u16) -> (String, OwnershipTableRecord, u64) {
         let first = number * ROWS_A_RECORD;
         let rows = &self.rows[usize::from(first)..usize::from(first + ROWS_A_RECORD)];
         let mut owners: Vec<String> = rows.iter().map(|row| row.owner.clone()).collect();
@@ -180,15 +182,15 @@
         });
         let rows = rows.collect();
         let stored = self.records.get(&number).cloned().unwrap_or_default();
-        let record = PartitionsRecord {
-            count: PARTITION_COUNT,
-            hash: HASH.to_string(),
-            first,
+        let record = OwnershipTableRecord {
+            partition_count: PARTITION_COUNT,
+            hash_name: HASH.to_string(),
+            first_partition: first,
             owners,
             rows,
             unknown: stored.unknown,
         };
-        (partitions_key(number), record, stored.version)
+        (ownership_table_key(number), record, stored.version)
     }
 
     /// A record was written as it is in this table.
--- a/crates/partitions/tests/model.rs
+++ b/crates/partitions/tests/model.rs
@@ -118,19 +118,19 @@
     WorkerHeartbeat {
         machine: name.to_string(),
         addr: "10.0.0.1:1".into(),
-        kind: "g4".into(),
+        machine_type: "g4".into(),
         zone: "a".into(),
         spot: false,
         incarnation: 1,
         seq,
         term: TERM,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks: vec![TaskStatus {
             task: "run-1/0".into(),
             attempt: 1,
             phase: TaskPhase::Running,
             cause: None,
-            saved: None,
+            checkpoint_written: None,
         }],
     }
 }
--- a/crates/partitions/tests/owner.rs
+++ b/crates/partitions/tests/owner.rs
@@ -13,19 +13,19 @@
     WorkerHeartbeat {
         machine: MACHINE.into(),
         addr: "10.0.0.1:1".into(),
-        kind: "g4".into(),
+        machine_type: "g4".into(),
         zone: "a".into(),
         spot: false,
         incarnation: 1,
         seq,
         term: TERM,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks: vec![TaskStatus {
             task: "run-1/0".into(),
             attempt: 1,
             phase: TaskPhase::Running,
             cause: None,
-            saved: None,
+            checkpoint_written: None,
         }],
     }
 }
@@ -76,7 +76,7 @@
     let changes: [&dyn Fn(&mut WorkerHeartbeat); 7] = [
         &|r| r.incarnation = 2,
         &|r| r.term = TERM + 1,
-        &|r| r.notice_s = Some(20.0),
+        &|r| r.reclaim_in_s = Some(20.0),
         &|r| r.addr = "10.0.0.2:1".into(),
         &|r| r.tasks.clear(),
         &|r| r.tasks[0].phase = TaskPhase::Saving,
--- a/crates/partitions/tests/table.rs
+++ b/crates/partitions/tests/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use vetchmount_partitions::{partition_of, Handover, OwnershipTable, TableError, PARTITION_COUNT};
-use wire::records::{partitions_key, PartitionsRecord, PARTITIONS};
+use wire::records::{ownership_table_key, OwnershipTableRecord, OWNERSHIP_TABLE_PREFIX};
 use wire::state::{Txn, Write};
 
 /// Values of this build: another build that maps otherwise must not run beside it.
@@ -39,7 +39,7 @@
 /// A store of the table's records, with the leader key's version ignored.
 #[derive(Default)]
 struct Store {
-    records: BTreeMap<String, (PartitionsRecord, u64)>,
+    records: BTreeMap<String, (OwnershipTableRecord, u64)>,
     revision: u64,
 }
 
@@ -48,7 +48,7 @@
         for guard in txn
             .compares
             .iter()
-            .filter(|g| g.key.starts_with(PARTITIONS))
+            .filter(|g| g.key.starts_with(OWNERSHIP_TABLE_PREFIX))
         {
             let version = self.records.get(&guard.key).map_or(0, |(_, v)| *v);
             if version != guard.version {
@@ -60,9 +60,9 @@
             let Write::Put { key, value, .. } = write else {
                 panic!("the table is never deleted");
             };
-            let record: PartitionsRecord = value.deserialized().expect("a record");
+            let record: OwnershipTableRecord = value.deserialized().expect("a record");
             assert!(
-                wire::json_bytes(&record) <= 1_024,
+                wire::json_size(&record) <= 1_024,
                 "fits the smallest value known"
             );
             self.records.insert(key.clone(), (record, self.revision));
@@ -181,29 +181,29 @@
 #[test]
 fn records_of_another_shape_are_refused_with_their_reason() {
     let (_, store) = recorded("n0");
-    let key = partitions_key(1);
+    let key = ownership_table_key(1);
     let (good, version) = store.records.get(&key).expect("a record").clone();
-    let load = |change: &dyn Fn(&mut PartitionsRecord), key: &str| {
+    let load = |change: &dyn Fn(&mut OwnershipTableRecord), key: &str| {
         let mut record = good.clone();
         change(&mut record);
         OwnershipTable::new("n0").load(key, record, version)
     };
     assert_eq!(load(&|_| {}, &key), Ok(()));
     assert_eq!(
-        load(&|r| r.count = 32, &key),
+        load(&|r| r.partition_count = 32, &key),
         Err(TableError::Count { count: 32 })
     );
     let hash = "md5".to_string();
     assert_eq!(
-        load(&|r| r.hash = "md5".into(), &key),
+        load(&|r| r.hash_name = "md5".into(), &key),
         Err(TableError::Hash { hash })
     );
     let rows = Err(TableError::Rows { key: key.clone() });
     assert_eq!(load(&|r| r.rows.truncate(3), &key), rows);
     assert_eq!(load(&|r| r.rows[0].owner = 9, &key), rows);
-    assert_eq!(load(&|r| r.first = 8, &key), rows);
-    assert_eq!(load(&|r| r.first = u16::MAX - 15, &key), rows);
-    assert!(load(&|_| {}, &partitions_key(2)).is_err());
+    assert_eq!(load(&|r| r.first_partition = 8, &key), rows);
+    assert_eq!(load(&|r| r.first_partition = u16::MAX - 15, &key), rows);
+    assert!(load(&|_| {}, &ownership_table_key(2)).is_err());
 }
 
 /// What a newer build has added to a record survives its next write here.
@@ -217,7 +217,7 @@
     store.load(&mut handover);
     assert!(handover.begin(20, "n1", true, 0));
     settle(&mut handover, &mut store, 0);
-    let (record, _) = &store.records[&partitions_key(1)];
+    let (record, _) = &store.records[&ownership_table_key(1)];
     assert_eq!(record.unknown["since"], 5.into());
     assert!(record.rows[4].pinned);
 }
--- a/crates/rollout/src/gates.rs
+++ b/crates/rollout/src/gates.rs
@@ -1,7 +1,7 @@
 //! Whether a feature may be used, and under which condition.
 
 use crate::levels::{Feature, GateKind, Level, LevelRange, BASE, GENERATION_1};
-use wire::records::LEVEL;
+use wire::records::CLUSTER_LEVEL_KEY;
 use wire::state::Compare;
 
 /// Which features a controller may use.
@@ -64,6 +64,6 @@
     /// `None` if the gate is closed. What is final needs no condition, since the final level never decreases.
     pub fn condition(&self, feature: Feature) -> Option<(Level, Compare)> {
         let version = self.version.filter(|_| self.is_open(feature))?;
-        Some((self.active, Compare::new(LEVEL, version)))
+        Some((self.active, Compare::new(CLUSTER_LEVEL_KEY, version)))
     }
 }
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -14,7 +14,9 @@
 use crate::request::{Event, Reply, Request};
 use constants::GENERATION_POLL_MS;
 use std::collections::BTreeMap;
-use wire::records::{node_key, GenerationRecord, UnknownFields, GENERATIONS, MARK};
+use wire::records::{
+    node_generation_key, GenerationRecord, UnknownFields, COMMON_GENERATION_KEY, GENERATIONS_PREFIX,
+};
 use wire::state::{Compare, Item, Txn, Write};
 
 /// Labels that are conditions of raising the mark. The smallest transaction limit allows sixteen conditions.
@@ -84,7 +86,7 @@
             return Output::default();
         }
         let from = String::new();
-        let prefix = GENERATIONS;
+        let prefix = GENERATIONS_PREFIX;
         self.ask(Request::List { prefix, from }, Vec::new())
     }
 
@@ -132,7 +134,7 @@
 
     fn act(&mut self, known: &BTreeMap<String, Read>) -> Output {
         let read = |key: &str| known.get(key).cloned().unwrap_or_default();
-        let mark = read(MARK);
+        let mark = read(COMMON_GENERATION_KEY);
         if mark.generation >= GENERATION_1 {
             self.raised = true;
             return Output {
@@ -142,7 +144,7 @@
                 }],
             };
         }
-        let own_key = node_key(&self.label);
+        let own_key = node_generation_key(&self.label);
         let own = read(&own_key);
         if own.generation < GENERATION_1 {
             let request = raise(own_key, own, Vec::new());
@@ -151,7 +153,7 @@
         let nodes: Vec<(String, Read)> = self
             .labels
             .iter()
-            .map(|label| node_key(label))
+            .map(|label| node_generation_key(label))
             .map(|key| (key.clone(), read(&key)))
             .collect();
         let has_recorded = |(_, read): &&(String, Read)| read.generation >= GENERATION_1;
@@ -169,7 +171,7 @@
             }
         };
         let evidence = self.evidence.unwrap_or("every node has told");
-        let request = raise(MARK.to_string(), mark, compares);
+        let request = raise(COMMON_GENERATION_KEY.to_string(), mark, compares);
         self.ask(request, vec![Event::MarkRaised { missing, evidence }])
     }
 }
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -18,7 +18,7 @@
 use crate::supervision::Supervision;
 use constants::{ELECTION_DEFER_MS, GENERATION_POLL_MS};
 use reading::stored;
-use wire::records::{Phase, LEADER, TERM};
+use wire::records::{RolloutPhase, LEADER_KEY, TERM_KEY};
 use wire::state::Compare;
 
 /// Whether a process may take part.
@@ -41,7 +41,7 @@
     /// The announcement was sent.
     Announce,
     /// A transition was sent, from this phase.
-    Transition(Phase, Transition),
+    Transition(RolloutPhase, Transition),
     /// The mark of a proven level was sent.
     Prove,
 }
@@ -135,7 +135,7 @@
         };
         let newer = |label: &&String| {
             let member = snapshot.member(label);
-            member.is_some_and(|member| member.newest > self.identity.range.newest())
+            member.is_some_and(|member| member.newest_level > self.identity.range.newest())
                 && self.supervision.liveness(label, snapshot, now) == Liveness::Confirmed
         };
         match self.supervision.labels().iter().find(newer) {
@@ -150,7 +150,7 @@
             return false;
         };
         let member = snapshot.member(label);
-        member.is_some_and(|member| feature.is_in(member.newest))
+        member.is_some_and(|member| feature.is_in(member.newest_level))
             && self.supervision.liveness(label, snapshot, now) == Liveness::Confirmed
     }
 
@@ -158,7 +158,7 @@
     pub fn peer_newest(&self, label: &str) -> Level {
         let snapshot = self.snapshot.as_ref();
         let member = snapshot.and_then(|snapshot| snapshot.member(label));
-        member.map_or(0, |member| member.newest)
+        member.map_or(0, |member| member.newest_level)
     }
 
     /// A heartbeat of another controller arrived.
@@ -199,17 +199,17 @@
     pub fn on_reply(&mut self, reply: Reply, now: u64, unix: u64) -> Output {
         self.busy = false;
         match (std::mem::replace(&mut self.step, Step::Idle), reply) {
-            (Step::ReadMembers, Reply::Page(page)) => self.on_members(page.items, page.more),
+            (Step::ReadMembers, Reply::Page(page)) => self.on_members(page.items, page.has_more),
             (Step::ReadMark, reply @ (Reply::Item(_) | Reply::Missing)) => {
                 self.reading.mark = stored(reply);
                 match self.is_about_to_finalize() {
-                    true => self.send(Step::ReadTerm, Request::Get(TERM)),
+                    true => self.send(Step::ReadTerm, Request::Get(TERM_KEY)),
                     false => self.on_read(now, unix),
                 }
             }
             (Step::ReadTerm, reply @ (Reply::Item(_) | Reply::Missing)) => {
                 self.reading.term = stored(reply);
-                self.send(Step::ReadLeader, Request::Get(LEADER))
+                self.send(Step::ReadLeader, Request::Get(LEADER_KEY))
             }
             (Step::ReadLeader, reply @ (Reply::Item(_) | Reply::Missing)) => {
                 self.reading.leader = stored(reply);
--- a/crates/rollout/src/machine/learning.rs
+++ b/crates/rollout/src/machine/learning.rs
@@ -4,7 +4,7 @@
 use crate::plan;
 use crate::request::Event;
 use crate::snapshot::{Snapshot, Stored};
-use wire::records::{Phase, LEVEL, MARK, MEMBERS};
+use wire::records::{RolloutPhase, CLUSTER_LEVEL_KEY, COMMON_GENERATION_KEY, MEMBER_PREFIX};
 
 impl RolloutMachine {
     /// Everything has been read.
@@ -28,7 +28,7 @@
         self.gates
             .learn(snapshot.active(), finalized, snapshot.level.version());
         let level = snapshot.level.record();
-        let phase = level.map_or(Phase::Idle, |level| level.phase);
+        let phase = level.map_or(RolloutPhase::Idle, |level| level.phase);
         if known.is_none() || gates_before != self.gates && phase_before != Some(phase) {
             events.push(Event::LevelRead {
                 active: snapshot.active(),
@@ -47,7 +47,7 @@
         let members = snapshot.members.iter().map(|(label, member)| {
             let before = known.and_then(|known| known.members.get(label));
             let was_unreadable = before.is_some_and(Stored::is_unreadable);
-            let key = format!("{MEMBERS}{label}");
+            let key = format!("{MEMBER_PREFIX}{label}");
             (key, member.is_unreadable() && !was_unreadable)
         });
         let level_was = known.is_some_and(|known| known.level.is_unreadable());
@@ -55,8 +55,8 @@
         let is_level_new = snapshot.level.is_unreadable() && !level_was;
         let is_mark_new = snapshot.mark.is_unreadable() && !mark_was;
         [
-            (LEVEL.to_string(), is_level_new),
-            (MARK.to_string(), is_mark_new),
+            (CLUSTER_LEVEL_KEY.to_string(), is_level_new),
+            (COMMON_GENERATION_KEY.to_string(), is_mark_new),
         ]
         .into_iter()
         .chain(members)
--- a/crates/rollout/src/machine/reading.rs
+++ b/crates/rollout/src/machine/reading.rs
@@ -4,14 +4,16 @@
 use crate::request::{Reply, Request};
 use crate::snapshot::Stored;
 use serde::de::DeserializeOwned;
-use wire::records::{Phase, LEVEL, MARK, MEMBERS, ROLLOUT};
+use wire::records::{
+    RolloutPhase, CLUSTER_LEVEL_KEY, COMMON_GENERATION_KEY, MEMBER_PREFIX, ROLLOUT_PREFIX,
+};
 use wire::state::Item;
 
 impl RolloutMachine {
     /// The next page of the level and the announcements.
     pub(super) fn list_request(&self) -> Request {
         Request::List {
-            prefix: ROLLOUT,
+            prefix: ROLLOUT_PREFIX,
             from: self.read_from.clone(),
         }
     }
@@ -19,9 +21,9 @@
     pub(super) fn on_members(&mut self, items: Vec<Item>, more: bool) -> Output {
         let last = items.last().map(|item| item.key.clone());
         for item in items {
-            if item.key == LEVEL {
+            if item.key == CLUSTER_LEVEL_KEY {
                 self.reading.level = stored(Reply::Item(item));
-            } else if let Some(label) = item.key.strip_prefix(MEMBERS).map(str::to_string) {
+            } else if let Some(label) = item.key.strip_prefix(MEMBER_PREFIX).map(str::to_string) {
                 let member = stored(Reply::Item(item));
                 self.reading.members.insert(label, member);
             }
@@ -31,14 +33,14 @@
                 self.read_from = last;
                 self.send(Step::ReadMembers, self.list_request())
             }
-            None => self.send(Step::ReadMark, Request::Get(MARK)),
+            None => self.send(Step::ReadMark, Request::Get(COMMON_GENERATION_KEY)),
         }
     }
 
     /// Whether the level may be finalized next. Term and leader are read only for that.
     pub(super) fn is_about_to_finalize(&self) -> bool {
         let level = self.reading.level.record();
-        level.is_some_and(|level| level.phase == Phase::Soaking) && self.policy.finalizes
+        level.is_some_and(|level| level.phase == RolloutPhase::Soaking) && self.policy.finalizes
     }
 }
 
--- a/crates/rollout/src/machine/status.rs
+++ b/crates/rollout/src/machine/status.rs
@@ -12,7 +12,7 @@
         let snapshot = self.snapshot.as_ref()?;
         let level = snapshot.level.record()?;
         let controllers = self.supervision.controllers(snapshot, now);
-        let view = self.view(snapshot, &controllers, now, level.since);
+        let view = self.view(snapshot, &controllers, now, level.last_transition_ms);
         let statuses = controllers.iter();
         let statuses = statuses.map(|controller| controller_status(controller, snapshot));
         Some(RolloutStatus {
@@ -20,7 +20,7 @@
             active: snapshot.active(),
             target: level.target,
             finalized: snapshot.finalized(),
-            since: level.since,
+            since: level.last_transition_ms,
             pause: level.pause.clone(),
             waits_for: view.waits_for(level),
             admitted: self.is_admitted(),
@@ -33,7 +33,7 @@
     let member = snapshot.member(&controller.label);
     ControllerStatus {
         label: controller.label.clone(),
-        levels: member.map(|member| (member.oldest, member.newest)),
+        levels: member.map(|member| (member.oldest_level, member.newest_level)),
         build: member.map(|member| member.build.clone()),
         liveness: match controller.liveness {
             Liveness::Confirmed => "confirmed",
--- a/crates/rollout/src/machine/transitions.rs
+++ b/crates/rollout/src/machine/transitions.rs
@@ -7,7 +7,7 @@
 use crate::request::{Event, Request};
 use crate::snapshot::Snapshot;
 use constants::{GENERATION_POLL_MS, LEVEL_POLL_MS};
-use wire::records::Phase;
+use wire::records::RolloutPhase;
 
 impl RolloutMachine {
     /// Writes what is due, if anything.
@@ -28,8 +28,9 @@
             }
         }
         let level = snapshot.level.record();
-        let is_at_rest =
-            level.is_some_and(|level| matches!(level.phase, Phase::Idle | Phase::Finalized));
+        let is_at_rest = level.is_some_and(|level| {
+            matches!(level.phase, RolloutPhase::Idle | RolloutPhase::Finalized)
+        });
         let poll_ms = match is_at_rest {
             true => LEVEL_POLL_MS,
             false => GENERATION_POLL_MS,
@@ -83,7 +84,7 @@
 }
 
 /// What a committed transition is logged as.
-pub(super) fn events_of(from: Phase, transition: &Transition) -> Vec<Event> {
+pub(super) fn events_of(from: RolloutPhase, transition: &Transition) -> Vec<Event> {
     let level = &transition.level;
     let mut events = vec![Event::Moved {
         from,
--- a/crates/rollout/src/plan/transactions.rs
+++ b/crates/rollout/src/plan/transactions.rs
@@ -3,7 +3,9 @@
 use crate::levels::{Feature, Level};
 use crate::plan::Transition;
 use crate::snapshot::Snapshot;
-use wire::records::{GenerationRecord, Phase, TermRecord, LEVEL, MARK, TERM};
+use wire::records::{
+    GenerationRecord, RolloutPhase, TermRecord, CLUSTER_LEVEL_KEY, COMMON_GENERATION_KEY, TERM_KEY,
+};
 use wire::state::{Compare, Txn, Write};
 
 /// The transaction of a transition. Finalizing raises the mark, and writes the term in the layout that keeps builds
@@ -11,19 +13,19 @@
 pub fn transaction(snapshot: &Snapshot, transition: &Transition) -> Option<Txn> {
     let mut txn = Txn {
         compares: vec![
-            Compare::new(LEVEL, snapshot.level.version()),
-            Compare::new(MARK, snapshot.mark.version()),
+            Compare::new(CLUSTER_LEVEL_KEY, snapshot.level.version()),
+            Compare::new(COMMON_GENERATION_KEY, snapshot.mark.version()),
         ],
-        writes: vec![Write::put(LEVEL, &transition.level)],
+        writes: vec![Write::put(CLUSTER_LEVEL_KEY, &transition.level)],
     };
-    let finalizes = transition.level.phase == Phase::Finalized
+    let finalizes = transition.level.phase == RolloutPhase::Finalized
         && transition.level.active > snapshot.finalized();
     if finalizes {
         let term = snapshot.term.record()?;
         txn.compares
-            .push(Compare::new(TERM, snapshot.term.version()));
+            .push(Compare::new(TERM_KEY, snapshot.term.version()));
         txn.writes.push(Write::put(
-            MARK,
+            COMMON_GENERATION_KEY,
             &raised_mark(snapshot, transition.level.active),
         ));
         if Feature::FencedTerm.is_in(transition.level.active) && !term.fenced {
@@ -31,7 +33,7 @@
                 fenced: true,
                 ..term.clone()
             };
-            txn.writes.push(Write::put(TERM, &fenced));
+            txn.writes.push(Write::put(TERM_KEY, &fenced));
         }
     }
     Some(txn)
@@ -40,8 +42,11 @@
 /// The transaction that makes a level final by proof, whoever has announced what.
 pub fn proven(snapshot: &Snapshot, level: Level) -> Txn {
     Txn {
-        compares: vec![Compare::new(MARK, snapshot.mark.version())],
-        writes: vec![Write::put(MARK, &raised_mark(snapshot, level))],
+        compares: vec![Compare::new(COMMON_GENERATION_KEY, snapshot.mark.version())],
+        writes: vec![Write::put(
+            COMMON_GENERATION_KEY,
+            &raised_mark(snapshot, level),
+        )],
     }
 }
 
--- a/crates/rollout/src/plan/transitions.rs
+++ b/crates/rollout/src/plan/transitions.rs
@@ -4,7 +4,7 @@
 use crate::observation::Liveness;
 use crate::plan::{Controller, Transition, View};
 use crate::snapshot::Stored;
-use wire::records::{LevelRecord, PauseReason, Phase};
+use wire::records::{LevelRecord, PauseReason, RolloutPhase};
 
 /// Why a paused upgrade is resumed, for the log.
 pub(crate) const RESUMED: &str = "resumed";
@@ -16,7 +16,7 @@
         let announced = self.snapshot.member(&controller.label);
         match (announced, controller.liveness) {
             (None, _) | (Some(_), Liveness::Unannounced) => self.snapshot.finalized(),
-            (Some(member), _) => member.newest,
+            (Some(member), _) => member.newest_level,
         }
     }
 
@@ -63,11 +63,11 @@
             .iter()
             .find(|c| c.liveness != Liveness::Confirmed);
         match (level.phase, not_confirmed) {
-            (Phase::Idle | Phase::Finalized, _) => "nothing".into(),
-            (Phase::Mixed, _) => format!("{label}, which supports level {least}"),
+            (RolloutPhase::Idle | RolloutPhase::Finalized, _) => "nothing".into(),
+            (RolloutPhase::Mixed, _) => format!("{label}, which supports level {least}"),
             (_, Some(controller)) => format!("a heartbeat of {}", controller.label),
-            (Phase::Ready, None) => "the next look".into(),
-            (Phase::Soaking, None) => "finalization".into(),
+            (RolloutPhase::Ready, None) => "the next look".into(),
+            (RolloutPhase::Soaking, None) => "finalization".into(),
         }
     }
 
@@ -84,12 +84,12 @@
     }
 
     /// A transition that changes the phase alone.
-    fn transition(&self, from: &LevelRecord, phase: Phase, why: &'static str) -> Transition {
+    fn transition(&self, from: &LevelRecord, phase: RolloutPhase, why: &'static str) -> Transition {
         Transition {
             level: LevelRecord {
                 phase,
-                number: from.number + 1,
-                since: self.unix,
+                transition_count: from.transition_count + 1,
+                last_transition_ms: self.unix,
                 ..from.clone()
             },
             why,
@@ -97,12 +97,12 @@
     }
 
     /// Phase where no newer level is the target.
-    fn resting_phase(&self, active: Level) -> Phase {
+    fn resting_phase(&self, active: Level) -> RolloutPhase {
         let finalized = self.snapshot.finalized();
         match (active > finalized, finalized > 0) {
-            (true, _) => Phase::Soaking,
-            (false, true) => Phase::Finalized,
-            (false, false) => Phase::Idle,
+            (true, _) => RolloutPhase::Soaking,
+            (false, true) => RolloutPhase::Finalized,
+            (false, false) => RolloutPhase::Idle,
         }
     }
 
@@ -125,7 +125,7 @@
         (active < level.active).then(|| {
             let mut transition = self.transition(
                 level,
-                Phase::Mixed,
+                RolloutPhase::Mixed,
                 "a controller does not support the level",
             );
             transition.level.active = active;
@@ -158,41 +158,43 @@
         let (common, least_label) = self.least_supported();
         let target = self.target();
         match level.phase {
-            Phase::Idle | Phase::Finalized if target > level.active => {
-                let mut transition = self.transition(level, Phase::Mixed, "a newer build is there");
+            RolloutPhase::Idle | RolloutPhase::Finalized if target > level.active => {
+                let mut transition =
+                    self.transition(level, RolloutPhase::Mixed, "a newer build is there");
                 transition.level.target = target;
                 Some(transition)
             }
-            Phase::Mixed if target <= level.active => {
+            RolloutPhase::Mixed if target <= level.active => {
                 let phase = self.resting_phase(level.active);
                 let mut transition = self.transition(level, phase, "no newer build is left");
                 transition.level.target = level.active;
                 transition.level.pause = None;
                 Some(transition)
             }
-            Phase::Mixed if common > level.active => {
+            RolloutPhase::Mixed if common > level.active => {
                 let mut transition =
-                    self.transition(level, Phase::Ready, "every controller supports it");
+                    self.transition(level, RolloutPhase::Ready, "every controller supports it");
                 transition.level.target = common;
                 Some(transition)
             }
-            Phase::Ready if common <= level.active => {
-                let mut transition = self.transition(level, Phase::Mixed, "a controller went back");
+            RolloutPhase::Ready if common <= level.active => {
+                let mut transition =
+                    self.transition(level, RolloutPhase::Mixed, "a controller went back");
                 transition.level.pause = Some(PauseReason::Regressed {
                     label: least_label.to_string(),
                 });
                 Some(transition)
             }
             _ if level.pause.is_some() || !self.all_confirmed() => None,
-            Phase::Ready => {
+            RolloutPhase::Ready => {
                 let mut transition =
-                    self.transition(level, Phase::Soaking, "every controller is heard");
+                    self.transition(level, RolloutPhase::Soaking, "every controller is heard");
                 transition.level.active = common;
                 transition.level.target = common;
                 Some(transition)
             }
-            Phase::Soaking if self.may_finalize && self.leader_is_announced() => {
-                Some(self.transition(level, Phase::Finalized, "it soaked without trouble"))
+            RolloutPhase::Soaking if self.may_finalize && self.leader_is_announced() => {
+                Some(self.transition(level, RolloutPhase::Finalized, "it soaked without trouble"))
             }
             _ => None,
         }
--- a/crates/rollout/src/request.rs
+++ b/crates/rollout/src/request.rs
@@ -1,7 +1,7 @@
 //! Requests of the state machines to the state service, its replies, and the events that they emit.
 
 use crate::levels::{Level, LevelRange};
-use wire::records::{PauseReason, Phase};
+use wire::records::{PauseReason, RolloutPhase};
 use wire::state::{Item, Page, Txn};
 
 /// A request to the state service.
@@ -50,14 +50,14 @@
         /// Final level.
         finalized: Level,
         /// Phase of the upgrade.
-        phase: Phase,
+        phase: RolloutPhase,
     },
     /// This controller has committed a transition, forward or back.
     Moved {
         /// Phase before.
-        from: Phase,
+        from: RolloutPhase,
         /// Phase after.
-        to: Phase,
+        to: RolloutPhase,
         /// Level that is active now.
         active: Level,
         /// Why.
--- a/crates/rollout/src/snapshot.rs
+++ b/crates/rollout/src/snapshot.rs
@@ -83,6 +83,9 @@
     /// Newest level that any controller has announced.
     pub fn newest_announced(&self) -> Level {
         let members = self.members.values().filter_map(Stored::record);
-        members.map(|member| member.newest).max().unwrap_or(BASE)
+        members
+            .map(|member| member.newest_level)
+            .max()
+            .unwrap_or(BASE)
     }
 }
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -2,7 +2,7 @@
 
 use crate::levels::Level;
 use serde::Serialize;
-use wire::records::{PauseReason, Phase};
+use wire::records::{PauseReason, RolloutPhase};
 
 /// What is known of one controller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct RolloutStatus {
     /// Phase.
-    pub phase: Phase,
+    pub phase: RolloutPhase,
     /// Level that is active.
     pub active: Level,
     /// Level that the upgrade leads to.
--- a/crates/rollout/src/supervision.rs
+++ b/crates/rollout/src/supervision.rs
@@ -8,7 +8,7 @@
 use crate::snapshot::Snapshot;
 use constants::CALM_MS;
 use std::collections::BTreeMap;
-use wire::records::{PauseReason, Phase};
+use wire::records::{PauseReason, RolloutPhase};
 
 /// A value of the level record, and since when it has been unchanged by our own monotonic clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -92,7 +92,7 @@
     /// Notes what was read.
     pub fn note(&mut self, snapshot: &Snapshot, now: u64, events: &mut Vec<Event>) {
         if let Some(level) = snapshot.level.record() {
-            let moved = (level.number, level.announcements);
+            let moved = (level.transition_count, level.announcement_count);
             Since::note(&mut self.progress, moved, now);
         }
         self.note_unconfigured(snapshot, now, events);
@@ -142,7 +142,8 @@
     /// saw the level active. It restarts after each restart or silence of a controller.
     fn note_soak(&mut self, snapshot: &Snapshot, now: u64) {
         let level = snapshot.level.record();
-        let Some(level) = level.filter(|l| l.phase == Phase::Soaking && l.pause.is_none()) else {
+        let Some(level) = level.filter(|l| l.phase == RolloutPhase::Soaking && l.pause.is_none())
+        else {
             self.soak = None;
             return;
         };
@@ -158,7 +159,7 @@
             self.soak = None;
         }
         if confirmed {
-            Since::note(&mut self.soak, level.number, now);
+            Since::note(&mut self.soak, level.transition_count, now);
         }
     }
 
@@ -194,7 +195,7 @@
     ) -> Option<PauseReason> {
         let controllers = &self.controllers(snapshot, now);
         let level = snapshot.level.record()?;
-        if level.target <= level.active && level.phase != Phase::Soaking {
+        if level.target <= level.active && level.phase != RolloutPhase::Soaking {
             return None;
         }
         let unconfigured = self.unconfigured_restart.as_ref();
@@ -209,7 +210,7 @@
         if let Some(pause @ PauseReason::Regressed { .. }) = &level.pause {
             let supports = |c: &Controller| {
                 let member = snapshot.member(&c.label);
-                member.is_some_and(|m| m.newest >= level.target)
+                member.is_some_and(|m| m.newest_level >= level.target)
                     && c.liveness == Liveness::Confirmed
             };
             let returned = controllers.iter().all(supports);
@@ -229,7 +230,7 @@
         now: u64,
     ) -> Option<PauseReason> {
         let level = snapshot.level.record()?;
-        let may_stall = matches!(level.phase, Phase::Mixed | Phase::Ready);
+        let may_stall = matches!(level.phase, RolloutPhase::Mixed | RolloutPhase::Ready);
         // A pause is itself a transition, but no progress.
         let was_stalled = matches!(level.pause, Some(PauseReason::Stalled { .. }));
         let is_overdue = self.progress.is_some_and(|progress| {
@@ -242,7 +243,7 @@
         let target = level.target;
         let lacks = |c: &&Controller| {
             let member = snapshot.member(&c.label);
-            member.is_none_or(|m| m.newest < target) || c.liveness != Liveness::Confirmed
+            member.is_none_or(|m| m.newest_level < target) || c.liveness != Liveness::Confirmed
         };
         let label = controllers.iter().find(lacks).map(|c| c.label.clone());
         Some(PauseReason::Stalled {
@@ -257,5 +258,5 @@
     let (Some(before), Some(level)) = (before, snapshot.level.record()) else {
         return false;
     };
-    level.announcements > before.announcements
+    level.announcement_count > before.announcement_count
 }
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -115,11 +115,11 @@
             .map(|label| (label.to_string(), self.get(&member_key(label))))
             .filter(|(_, member): &(String, Stored<MemberRecord>)| *member != Stored::Missing);
         Snapshot {
-            level: self.get(LEVEL),
-            mark: self.get(MARK),
+            level: self.get(CLUSTER_LEVEL_KEY),
+            mark: self.get(COMMON_GENERATION_KEY),
             members: members.collect(),
-            term: self.get(TERM),
-            leader: self.get(LEADER),
+            term: self.get(TERM_KEY),
+            leader: self.get(LEADER_KEY),
         }
     }
 }
@@ -129,7 +129,7 @@
         let mut store = Store::default();
         store.commit(&Txn {
             compares: Vec::new(),
-            writes: vec![Write::put(TERM, &TermRecord::new(1))],
+            writes: vec![Write::put(TERM_KEY, &TermRecord::new(1))],
         });
         let mut scripts: Vec<Vec<Build>> = scripts.into();
         let processes = scripts.iter_mut().map(|script| Process {
@@ -226,17 +226,17 @@
     /// The transaction by which a process would be elected now, if it may stand.
     fn election(&self, number: usize, fault: Fault) -> Option<Txn> {
         let process = &self.processes[number];
-        let term: Stored<TermRecord> = self.store.get(TERM);
+        let term: Stored<TermRecord> = self.store.get(TERM_KEY);
         let record = term.record()?;
         let mut compares = vec![
-            Compare::new(LEADER, self.store.version(LEADER)),
-            Compare::new(TERM, term.version()),
+            Compare::new(LEADER_KEY, self.store.version(LEADER_KEY)),
+            Compare::new(TERM_KEY, term.version()),
         ];
         match process.build {
             Build::Unaware if record.fenced => return None,
             Build::Unaware => {}
             Build::Levels(_) => {
-                let guard = Compare::new(MARK, process.admitted_by?);
+                let guard = Compare::new(COMMON_GENERATION_KEY, process.admitted_by?);
                 if fault != Fault::ElectionWithoutMark {
                     compares.push(guard);
                 }
@@ -252,12 +252,12 @@
             term: record.term + 1,
             ..record.clone()
         };
-        let writes = vec![Write::put(LEADER, &leader), Write::put(TERM, &next)];
+        let writes = vec![Write::put(LEADER_KEY, &leader), Write::put(TERM_KEY, &next)];
         Some(Txn { compares, writes })
     }
 
     fn leads(&self, number: usize) -> bool {
-        let leader: Stored<LeaderRecord> = self.store.get(LEADER);
+        let leader: Stored<LeaderRecord> = self.store.get(LEADER_KEY);
         let process = &self.processes[number];
         leader
             .record()
@@ -311,7 +311,7 @@
     fn breach(&self, before: &State) -> Option<&'static str> {
         let (now, then) = (self.store.snapshot(), before.store.snapshot());
         let mut members = now.members.values().filter_map(Stored::record);
-        if members.any(|member| member.newest < now.active()) {
+        if members.any(|member| member.newest_level < now.active()) {
             return Some("1: active above what is announced");
         }
         if now.finalized() < then.finalized() {
@@ -405,13 +405,13 @@
 
 #[test]
 fn transitions_without_the_levels_version_are_found() {
-    let broken = broken_by(Fault::WithoutGuard(LEVEL)).expect("found");
+    let broken = broken_by(Fault::WithoutGuard(CLUSTER_LEVEL_KEY)).expect("found");
     assert!(broken.starts_with('1'), "{broken}");
 }
 
 #[test]
 fn a_finalization_without_the_terms_version_is_found() {
-    let broken = broken_by(Fault::WithoutGuard(TERM)).expect("found");
+    let broken = broken_by(Fault::WithoutGuard(TERM_KEY)).expect("found");
     assert!(broken.starts_with('3'), "{broken}");
 }
 
--- a/crates/rollout/tests/records.rs
+++ b/crates/rollout/tests/records.rs
@@ -90,16 +90,16 @@
             mem_gb: 1.5,
             image: "i".into(),
             image_gb: 1.0,
-            types,
+            machine_types: types,
             zone: None,
             one_zone: false,
             spread: false,
-            spot: true,
-            guess_s: 10.0,
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            spot_allowed: true,
+            estimated_run_s: 10.0,
+            checkpoint_interval_s: 0.0,
+            checkpoint_write_s: 0.0,
             due_s,
-            needs: needs.into_iter().map(|n| format!("run-{n:06}")).collect(),
+            dependencies: needs.into_iter().map(|n| format!("run-{n:06}")).collect(),
         }
     }
 }
@@ -194,15 +194,15 @@
         fields in unknown_fields(),
     ) {
         let mut level = LevelRecord::idle(active, 5);
-        level.number = number.into();
-        level.phase = Phase::Soaking;
+        level.transition_count = number.into();
+        level.phase = RolloutPhase::Soaking;
         level.pause = Some(PauseReason::Stalled { label: "n1".into() });
         level.unknown = fields.clone();
         let read: LevelRecord = to_value(&level).deserialized().expect("readable");
         prop_assert_eq!(read, level);
         let member = MemberRecord {
-            oldest: 0,
-            newest: active,
+            oldest_level: 0,
+            newest_level: active,
             build: "b".into(),
             boot: number.into(),
             unknown: fields,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -19,7 +19,9 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use wire::records::{GenerationRecord, LevelRecord, TermRecord, LEVEL, MARK, TERM};
+use wire::records::{
+    GenerationRecord, LevelRecord, TermRecord, CLUSTER_LEVEL_KEY, COMMON_GENERATION_KEY, TERM_KEY,
+};
 
 /// How often the end of the jobs is checked.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -130,18 +132,18 @@
     /// The last term: it grows by one with each election.
     pub fn term(&self) -> u64 {
         self.state
-            .read::<TermRecord>(TERM)
+            .read::<TermRecord>(TERM_KEY)
             .map_or(0, |record| record.term)
     }
 
     /// The cluster's feature level, where staged upgrades are on.
     pub fn level(&self) -> Option<LevelRecord> {
-        self.state.read(LEVEL)
+        self.state.read(CLUSTER_LEVEL_KEY)
     }
 
     /// Level that is final.
     pub fn finalized(&self) -> u32 {
-        let mark: Option<GenerationRecord> = self.state.read(MARK);
+        let mark: Option<GenerationRecord> = self.state.read(COMMON_GENERATION_KEY);
         mark.map_or(0, |record| record.generation)
     }
 
--- a/crates/standins/src/services.rs
+++ b/crates/standins/src/services.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 use wire::cloud::{ListedMachine, MachineList, MachinePhase, MachineType, MachineTypes};
-use wire::users::Refusal;
+use wire::users::ErrorResponse;
 
 /// How often leases and watches are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
@@ -128,7 +128,7 @@
                 ("POST", "/hosts/return") => (200, Vec::new()),
                 ("POST", _) => {
                     let error = "no capacity".to_string();
-                    (503, wire::encode(&Refusal { error }))
+                    (503, wire::encode(&ErrorResponse { error }))
                 }
                 _ => (200, wire::encode(&machine_list(&machines))),
             }
@@ -145,10 +145,10 @@
         cpus,
         gpus,
         mem_gb,
-        cache_gb: 80.0,
+        image_cache_gb: 80.0,
         fetch_gb_per_s: 1.0,
-        price: 10.0,
-        spot_price: 4.0,
+        price_per_hour: 10.0,
+        spot_price_per_hour: 4.0,
         boot_s: 5.0,
         zones: vec!["a".into()],
     };
@@ -159,9 +159,9 @@
 
 fn machine_list(machines: &[String]) -> MachineList {
     let listed = |id: &String| ListedMachine {
-        id: id.clone(),
+        name: id.clone(),
         addr: None,
-        kind: fakes::KIND.into(),
+        machine_type: fakes::KIND.into(),
         zone: "a".into(),
         spot: false,
         phase: MachinePhase::Running,
@@ -169,6 +169,6 @@
     };
     MachineList {
         machines: machines.iter().map(listed).collect(),
-        more: false,
+        has_more: false,
     }
 }
--- a/crates/standins/src/workers.rs
+++ b/crates/standins/src/workers.rs
@@ -74,7 +74,7 @@
         Ok((421, body)) => {
             let named = wire::decode::<Redirect>(&body)
                 .ok()
-                .and_then(|elsewhere| elsewhere.leader);
+                .and_then(|elsewhere| elsewhere.controller);
             let leader =
                 named.and_then(|name| shared.labels.iter().position(|label| *label == name));
             match leader.filter(|leader| *leader != worker.node) {
--- a/crates/wire/examples/json_cbor.rs
+++ b/crates/wire/examples/json_cbor.rs
@@ -1,5 +1,5 @@
-//! Converts between JSON and the CBOR that the service speaks, from standard input to standard output, for trying the
-//! service by hand: JSON to CBOR by default, CBOR to JSON with `--decode`.
+//! Converts between JSON and CBOR from standard input to standard output, for requests to the service by hand: JSON to
+//! CBOR by default, CBOR to JSON with `--decode`.
 
 use std::io::{self, Read, Write};
 
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages of the cloud: machine types, rentals and the list of machines.
+//! Messages of the cloud provider's API: machine types, rentals and the machine list.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,20 +15,20 @@
     pub mem_gb: f64,
     /// Size of the image cache in GB.
     #[serde(rename = "local_gb", default)]
-    pub cache_gb: f64,
+    pub image_cache_gb: f64,
     /// Rate at which images are fetched, in GB per second.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price per hour.
+    /// Price per hour as an on-demand instance.
     #[serde(rename = "hourly", default)]
-    pub price: f64,
+    pub price_per_hour: f64,
     /// Price per hour as a spot instance.
     #[serde(rename = "low_price", default)]
-    pub spot_price: f64,
+    pub spot_price_per_hour: f64,
     /// Usual boot time, in seconds.
     #[serde(rename = "startup_s", default)]
     pub boot_s: f64,
-    /// Zones in which it is offered.
+    /// Zones in which the type is offered.
     #[serde(rename = "valleys", default)]
     pub zones: Vec<String>,
 }
@@ -41,19 +41,19 @@
     pub types: Vec<MachineType>,
 }
 
-/// A request to rent machines. It is idempotent under its name.
+/// A request to rent machines. It is idempotent: repeating it under the same name rents nothing more.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rent {
-    /// Name of the request. A new request never reuses it.
+pub struct RentalRequest {
+    /// Name of the request. Names are never reused.
     #[serde(rename = "ask")]
-    pub request: String,
+    pub name: String,
     /// Machine type.
     #[serde(rename = "breed")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "valley")]
     pub zone: String,
-    /// Whether the machines are to be spot instances.
+    /// Whether to rent spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Number of machines.
@@ -61,7 +61,7 @@
     pub count: u32,
 }
 
-/// Names of machines that were rented, or are to be returned.
+/// Names of machines that have been rented, or are to be returned.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
     /// Names of the machines.
@@ -81,17 +81,18 @@
     Failed,
 }
 
-/// A machine in the list.
+/// An entry of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Name.
-    pub id: String,
+    /// Name of the machine.
+    #[serde(rename = "id")]
+    pub name: String,
     /// Address of its worker.
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
     /// Machine type.
     #[serde(rename = "breed")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "valley")]
     pub zone: String,
@@ -100,7 +101,7 @@
     pub spot: bool,
     /// Phase.
     pub phase: MachinePhase,
-    /// Age in seconds since the rental request.
+    /// Seconds since the rental request.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
@@ -108,10 +109,10 @@
 /// A page of the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Machines, in the order of their names.
+    /// Machines, ordered by name.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
     /// Whether more pages follow.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Message formats of vetchmount's interfaces. Clients can use them, too.
 //!
-//! Bodies are CBOR. Controllers exchange `postcard` frames that begin with their length. The protocols have field names
-//! of their own: each is mapped at its field by serde, and the Rust names are the usual ones.
+//! Request and response bodies are CBOR. Controllers exchange length-prefixed `postcard` frames. Field names of the
+//! protocols that differ from the usual terms are mapped by serde attributes at each field.
 
 pub mod cloud;
 pub mod partitions;
@@ -28,14 +28,14 @@
 /// Encodes a CBOR body.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut body = Vec::new();
-    // Writing to memory fails only for types that CBOR can't express. No type of this crate is one.
+    // Writing to memory fails only for types that CBOR cannot represent, and this crate has no such type.
     if ciborium::ser::into_writer(message, &mut body).is_err() {
         body.clear();
     }
     body
 }
 
-/// Counts the bytes that are written to it.
+/// A writer that discards its input and counts the bytes.
 struct ByteCounter {
     bytes: usize,
 }
@@ -51,10 +51,10 @@
     }
 }
 
-/// Size of a message as JSON, in bytes. The services limit sizes in this form.
-pub fn json_bytes<T: Serialize>(message: &T) -> usize {
+/// Size of a message when encoded as JSON, in bytes. The size limits of the services apply to this encoding.
+pub fn json_size<T: Serialize>(message: &T) -> usize {
     let mut counter = ByteCounter { bytes: 0 };
-    // A message that can't be written as JSON counts as too large for any limit.
+    // A message that cannot be encoded as JSON counts as larger than any limit.
     match serde_json::to_writer(&mut counter, message) {
         Ok(()) => counter.bytes,
         Err(_) => usize::MAX,
