--- a/crates/wire/src/peers.rs
+++ b/crates/wire/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between controllers: `postcard` frames that begin with their length and a version.
+//! Messages between controllers: `postcard` frames that start with their length and the protocol version.
 
 use crate::partitions::PartitionMessage;
 use constants::{MAX_FRAME_BYTES, PEER_VERSION};
@@ -7,7 +7,7 @@
 /// Progress of an open job, sent by the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobUpdate {
-    /// Job.
+    /// Job id.
     pub id: String,
     /// Number of tasks that are done.
     pub done: u32,
@@ -27,17 +27,17 @@
         /// Label of the sender.
         node: String,
     },
-    /// Heartbeat.
+    /// Periodic message that reports the state of the sender.
     Heartbeat {
         /// Highest term that the sender knows.
         term: u64,
-        /// Milliseconds since the state service last answered it without an error.
+        /// Milliseconds since the state service last answered the sender without an error.
         state_ago_ms: u64,
         /// Whether the sender is the leader of that term.
         leads: bool,
         /// Milliseconds since a worker last contacted the sender, if any did.
         worker_ago_ms: Option<u64>,
-        /// The sender's steady clock.
+        /// The sender's monotonic clock.
         sent: u64,
         /// `sent` of the last heartbeat that the sender received from the receiver.
         echo: u64,
@@ -50,20 +50,19 @@
     Aborted {
         /// Number of this cancellation among those of the process.
         number: u64,
-        /// Job.
+        /// Job id.
         job: String,
     },
-    /// Open jobs, from the leader: counts of tasks for display, and the version of the record, for reads from the state
-    /// service.
+    /// Open jobs, from the leader: task counts for display, and record versions for reads from the state service.
     Counts {
         /// Term of the leader.
         term: u64,
         /// Jobs.
         jobs: Vec<JobUpdate>,
     },
-    /// Jobs whose final records have just been written: the job, and whether it is done rather than cancelled.
+    /// Jobs whose final records have just been written.
     Over {
-        /// Jobs.
+        /// Id of each job, and whether the job is done rather than cancelled.
         jobs: Vec<(String, bool)>,
     },
     /// A user's request, forwarded to a controller that can reach the state service.
@@ -72,7 +71,7 @@
         call: u64,
         /// HTTP method.
         method: String,
-        /// HTTP target.
+        /// HTTP request target.
         target: String,
         /// Body.
         body: Vec<u8>,
@@ -86,8 +85,8 @@
         /// Body.
         body: Vec<u8>,
     },
-    /// The leader stops as planned, and the receiver is to succeed it. Sent only to processes that have announced the
-    /// feature: others can't decode it and would close the connection.
+    /// The leader is about to stop as planned, and the receiver is its successor. Sent only to processes that have
+    /// announced the feature: others cannot decode the message and would close the connection.
     Handover {
         /// Term of the leader that stops.
         term: u64,
@@ -96,14 +95,14 @@
     Partitions(PartitionMessage),
 }
 
-/// Bytes of a frame's length, which counts the version and the content.
+/// Size of a frame's length field. Its value counts the version and the content.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of a frame before its content: length and version.
+/// Size of a frame's header: the length field and the version.
 const HEADER_BYTES: usize = LENGTH_BYTES + 1;
-/// Minimum length of a frame: a version and one byte of content.
+/// Minimum value of the length field: a version and one byte of content.
 const MIN_FRAME_BYTES: usize = 2;
 
-/// Appends a message to `output` as a frame. A message that is too large is left out.
+/// Appends a message to `output` as a frame. A message that exceeds the maximum frame size is dropped.
 pub fn encode_frame(output: &mut Vec<u8>, message: &PeerMessage) {
     if let Ok(bytes) = postcard::to_stdvec(message) {
         if bytes.len() < MAX_FRAME_BYTES {
@@ -114,21 +113,22 @@
     }
 }
 
-/// Why a frame can't be decoded. Its connection is of no further use.
+/// Why a frame cannot be decoded. The connection cannot be used after any of these errors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The length is out of bounds.
     #[error("frame length out of bounds")]
     Length,
     /// The frame has another version of the protocol.
-    #[error("other protocol version")]
+    #[error("unsupported protocol version")]
     Version,
-    /// The content can't be decoded.
-    #[error("unreadable frame")]
+    /// The content cannot be decoded.
+    #[error("frame content cannot be decoded")]
     Content,
 }
 
-/// Removes the next whole frame from the front of `buffer`. `None` if there is no whole frame yet.
+/// Removes the next complete frame from the front of `buffer` and decodes it. Returns `None` if there is no complete
+/// frame yet.
 pub fn decode_frame(buffer: &mut Vec<u8>) -> Result<Option<PeerMessage>, FrameError> {
     let Some(length_bytes) = buffer.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/crates/wire/src/records/generation.rs
+++ b/crates/wire/src/records/generation.rs
@@ -1,10 +1,10 @@
-//! Records of the generations that controllers run. They are used where staged upgrades are not switched on; otherwise
-//! see [`super::LevelRecord`].
+//! Records of the generations that controllers run. They are used where staged upgrades are disabled; where they are
+//! enabled, see [`super::LevelRecord`].
 
 use super::{unknown, UnknownFields};
 use serde::{Deserialize, Serialize, Serializer};
 
-/// The generation that a controller runs, or that all are known to run.
+/// The generation that one controller runs, or that all controllers are known to run.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct GenerationRecord {
     /// Number of the generation. It never decreases.
@@ -15,7 +15,7 @@
 }
 
 impl GenerationRecord {
-    /// A generation without further fields.
+    /// A record without unknown fields.
     pub fn new(generation: u32) -> Self {
         GenerationRecord {
             generation,
--- a/crates/wire/src/records/job.rs
+++ b/crates/wire/src/records/job.rs
@@ -1,40 +1,40 @@
 //! Records of jobs, open and finished.
 
 use super::{unknown, UnknownFields};
-use crate::users::{Submission, ID_PREFIX};
+use crate::users::{Submission, JOB_ID_PREFIX};
 use serde::{Deserialize, Serialize, Serializer};
 
 /// An open job.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(from = "StoredJob")]
 pub struct JobRecord {
-    /// The submission, without the parts that are in further records.
+    /// The submission, without what is in overflow records.
     pub spec: Submission,
-    /// Time of day at which the job was accepted, in milliseconds.
-    pub at: u64,
-    /// Whether its user has cancelled the job.
+    /// Wall-clock time at which the job was accepted, in milliseconds.
+    pub accepted_at_ms: u64,
+    /// Whether the user has cancelled the job.
     pub aborted: bool,
-    /// Number of further records, [`JobOverflowRecord`].
-    pub more: u32,
+    /// Number of overflow records ([`JobOverflowRecord`]).
+    pub overflow_record_count: u32,
     /// Fields that a newer build has added.
     pub unknown: UnknownFields,
 }
 
 impl JobRecord {
-    /// A job that has just been accepted, in one record.
-    pub fn new(spec: Submission, at: u64) -> Self {
+    /// A newly accepted job without overflow records.
+    pub fn new(spec: Submission, accepted_at_ms: u64) -> Self {
         JobRecord {
             spec,
-            at,
+            accepted_at_ms,
             aborted: false,
-            more: 0,
+            overflow_record_count: 0,
             unknown: UnknownFields::new(),
         }
     }
 }
 
-/// A job's record as it is stored. The ids of the jobs that it depends on are written without their common prefix and
-/// separated by spaces, so that a hundred of them fit into a small value.
+/// A job's record as it is stored. The ids of its dependencies are written without their common prefix and separated by
+/// spaces, so that a hundred of them fit into a small value.
 #[derive(Deserialize)]
 struct StoredJob {
     spec: Submission,
@@ -57,13 +57,13 @@
     fn from(stored: StoredJob) -> Self {
         let mut spec = stored.spec;
         let suffixes = stored.needs.split(' ').filter(|text| !text.is_empty());
-        spec.needs
-            .extend(suffixes.map(|suffix| format!("{ID_PREFIX}{suffix}")));
+        let ids = suffixes.map(|suffix| format!("{JOB_ID_PREFIX}{suffix}"));
+        spec.dependencies.extend(ids);
         JobRecord {
             spec,
-            at: stored.at,
+            accepted_at_ms: stored.at,
             aborted: stored.aborted,
-            more: stored.more,
+            overflow_record_count: stored.more,
             unknown: stored.unknown,
         }
     }
@@ -82,33 +82,36 @@
             more: u32,
         }
         let mut spec = self.spec.clone();
-        let needs = std::mem::take(&mut spec.needs);
-        let suffixes = needs.iter().map(|id| id.trim_start_matches(ID_PREFIX));
+        let dependencies = std::mem::take(&mut spec.dependencies);
+        let suffixes = dependencies
+            .iter()
+            .map(|id| id.trim_start_matches(JOB_ID_PREFIX));
         let known = Known {
             needs: suffixes.collect::<Vec<_>>().join(" "),
             spec,
-            at: self.at,
+            at: self.accepted_at_ms,
             aborted: self.aborted,
-            more: self.more,
+            more: self.overflow_record_count,
         };
         unknown::serialize_with(&known, &self.unknown, serializer)
     }
 }
 
-/// Parts of a submission that do not fit into the open job's own record.
+/// What does not fit into the record of an open job.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct JobOverflowRecord {
     /// Further allowed machine types.
-    pub types: Vec<String>,
+    #[serde(rename = "types")]
+    pub machine_types: Vec<String>,
 }
 
-/// How a job ended.
+/// How a job ended. This is the content of its final record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Final {
+pub enum JobOutcome {
     /// All tasks completed.
     #[serde(rename = "d")]
     Done,
-    /// Cancelled by its user.
+    /// Cancelled by the user.
     #[serde(rename = "a")]
     Aborted,
 }
--- a/crates/wire/src/records/partitions.rs
+++ b/crates/wire/src/records/partitions.rs
@@ -4,38 +4,41 @@
 use serde::{Deserialize, Serialize};
 
 /// Prefix of the ownership table. Builds without partitions read nothing under it.
-pub const PARTITIONS: &str = "p/";
+pub const OWNERSHIP_TABLE_PREFIX: &str = "p/";
 
-/// Key of a part of the table.
-pub fn partitions_key(part: u16) -> String {
-    format!("{PARTITIONS}{part:02}")
+/// Key of a part of the ownership table.
+pub fn ownership_table_key(part: u16) -> String {
+    format!("{OWNERSHIP_TABLE_PREFIX}{part:02}")
 }
 
 /// A part of the ownership table.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PartitionsRecord {
+pub struct OwnershipTableRecord {
     /// Number of partitions in the whole table.
-    pub count: u16,
-    /// Name of the hash that maps machines to partitions.
-    pub hash: String,
+    #[serde(rename = "count")]
+    pub partition_count: u16,
+    /// Name of the hash function that maps machines to partitions.
+    #[serde(rename = "hash")]
+    pub hash_name: String,
     /// First partition of this part.
-    pub first: u16,
+    #[serde(rename = "first")]
+    pub first_partition: u16,
     /// Labels of the owners, to which the rows refer by index.
     pub owners: Vec<String>,
-    /// Partitions in order.
+    /// Partitions in ascending order.
     pub rows: Vec<PartitionRow>,
     /// Fields that a newer build has added.
     #[serde(flatten)]
     pub unknown: UnknownFields,
 }
 
-/// A row of the table.
+/// A row of the ownership table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRow {
-    /// Index of the owner among the labels.
+    /// Index of the owner in [`OwnershipTableRecord::owners`].
     #[serde(rename = "o")]
     pub owner: u16,
-    /// Epoch, which grows with each change of the owner.
+    /// Epoch, which increases with each change of the owner.
     #[serde(rename = "e")]
     pub epoch: u64,
     /// Whether the partition is pinned to its owner.
--- a/crates/wire/src/records/rollout.rs
+++ b/crates/wire/src/records/rollout.rs
@@ -3,25 +3,27 @@
 use super::UnknownFields;
 use serde::{Deserialize, Serialize};
 
-/// Prefix of all records of staged upgrades. Builds without them read nothing under it.
-pub const ROLLOUT: &str = "u/";
+/// Prefix of all records of staged upgrades. Builds without staged upgrades read nothing under it.
+pub const ROLLOUT_PREFIX: &str = "u/";
 /// Key of the cluster's feature level.
-pub const LEVEL: &str = "u/level";
+pub const CLUSTER_LEVEL_KEY: &str = "u/level";
 /// Prefix of the controllers' announcements.
-pub const MEMBERS: &str = "u/n/";
+pub const MEMBER_PREFIX: &str = "u/n/";
 
 /// Key of a controller's announcement.
 pub fn member_key(label: &str) -> String {
-    format!("{MEMBERS}{label}")
+    format!("{MEMBER_PREFIX}{label}")
 }
 
-/// Feature levels that a controller's process supports.
+/// A controller's announcement: the feature levels that its process supports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Oldest supported level.
-    pub oldest: u32,
+    #[serde(rename = "oldest")]
+    pub oldest_level: u32,
     /// Newest supported level.
-    pub newest: u32,
+    #[serde(rename = "newest")]
+    pub newest_level: u32,
     /// Name of the build, for display.
     pub build: String,
     /// Random number of the process, as in its heartbeats.
@@ -34,16 +36,16 @@
 /// Phase of an upgrade.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Phase {
+pub enum RolloutPhase {
     /// Nothing has been upgraded yet.
     Idle,
-    /// Some controllers support a newer level, others do not.
+    /// Some controllers support a newer level, and others do not.
     Mixed,
     /// All controllers support the newer level; it is not active yet.
     Ready,
     /// The level is active, and controllers may still return to the previous build.
     Soaking,
-    /// The level is active permanently.
+    /// The level is permanently active.
     Finalized,
 }
 
@@ -51,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "why", rename_all = "snake_case")]
 pub enum PauseReason {
-    /// A controller restarts repeatedly.
+    /// A controller has restarted repeatedly.
     Restarting {
         /// Label of the controller.
         label: String,
@@ -61,7 +63,7 @@
         /// Label of the controller.
         label: String,
     },
-    /// The upgrade has made no progress for too long.
+    /// The upgrade has made no progress within the time limit.
     Stalled {
         /// What the upgrade waits for.
         label: String,
@@ -84,8 +86,8 @@
     }
 }
 
-/// The feature level of the cluster. Each announcement and each transition writes this record, so a transaction that
-/// compares its version fails if any of them has happened meanwhile.
+/// The feature level of the cluster. Every announcement and every transition writes this record, so a transaction that
+/// compares the record's version fails after a concurrent announcement or transition.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LevelRecord {
     /// Active level. Every announced controller supports it.
@@ -93,13 +95,16 @@
     /// Target level of the upgrade.
     pub target: u32,
     /// Phase of the upgrade.
-    pub phase: Phase,
+    pub phase: RolloutPhase,
     /// Number of transitions so far.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub transition_count: u64,
     /// Number of announcements so far.
-    pub announcements: u64,
-    /// Time of day of the last transition, in milliseconds, for display.
-    pub since: u64,
+    #[serde(rename = "announcements")]
+    pub announcement_count: u64,
+    /// Wall-clock time of the last transition, in milliseconds, for display.
+    #[serde(rename = "since")]
+    pub last_transition_ms: u64,
     /// Why the upgrade is paused, if it is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pause: Option<PauseReason>,
@@ -109,15 +114,15 @@
 }
 
 impl LevelRecord {
-    /// The record of a cluster that runs a level and is not being upgraded.
-    pub fn idle(active: u32, since: u64) -> Self {
+    /// The record of a cluster that runs the level `active` and is not being upgraded.
+    pub fn idle(active: u32, last_transition_ms: u64) -> Self {
         LevelRecord {
             active,
             target: active,
-            phase: Phase::Idle,
-            number: 0,
-            announcements: 0,
-            since,
+            phase: RolloutPhase::Idle,
+            transition_count: 0,
+            announcement_count: 0,
+            last_transition_ms,
             pause: None,
             unknown: UnknownFields::new(),
         }
--- a/crates/wire/src/records/unknown.rs
+++ b/crates/wire/src/records/unknown.rs
@@ -3,8 +3,8 @@
 use serde::{Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// Fields of a record that this build does not know. They are preserved when the record is written again, so that what
-/// a newer build has added is not lost. Empty in records that this build creates.
+/// Fields of a record that this build does not know. They are written back with the record, so that fields of a newer
+/// build are not lost. Records that this build creates have none.
 pub type UnknownFields = BTreeMap<String, ciborium::Value>;
 
 /// Serializes a record with its unknown fields. Without unknown fields, the bytes are those of the known fields alone.
@@ -14,7 +14,7 @@
     serializer: S,
 ) -> Result<S::Ok, S::Error> {
     #[derive(Serialize)]
-    struct Both<'a, T> {
+    struct AllFields<'a, T> {
         #[serde(flatten)]
         known: &'a T,
         #[serde(flatten)]
@@ -23,6 +23,6 @@
     if unknown.is_empty() {
         known.serialize(serializer)
     } else {
-        Both { known, unknown }.serialize(serializer)
+        AllFields { known, unknown }.serialize(serializer)
     }
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,4 +1,4 @@
-//! Messages of the state service: keys, transactions, leases and watches.
+//! Messages of the state service, a key-value store with transactions, leases and watches.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -12,22 +12,22 @@
     /// Value.
     #[serde(rename = "v")]
     pub value: Value,
-    /// Version: the revision of its last change.
+    /// Version: the revision of the key's last change.
     #[serde(rename = "stamp")]
     pub version: u64,
-    /// Lease to which it is attached. The key is deleted when the lease expires.
+    /// Lease to which the key is attached. The key is deleted when the lease expires.
     #[serde(rename = "tether", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
-/// A page of keys.
+/// A page of a key listing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// Keys with their values, in the order of the keys.
+    /// Keys with their values, ordered by key.
     pub items: Vec<Item>,
     /// Whether more pages follow.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// Revision of the store.
     #[serde(rename = "epoch")]
     pub revision: u64,
@@ -39,13 +39,13 @@
     /// Key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Version that the key must have. 0 means that it must not exist.
+    /// Version that the key must have. 0 means that the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
 impl Compare {
-    /// The condition that a key has a version.
+    /// Requires that `key` has the given version.
     pub fn new(key: impl Into<String>, version: u64) -> Self {
         let key = key.into();
         Self { key, version }
@@ -82,7 +82,7 @@
 }
 
 impl Write {
-    /// Sets a key to a record.
+    /// Sets a key to a record, without a lease.
     pub fn put<T: Serialize>(key: impl Into<String>, record: &T) -> Self {
         Write::Put {
             key: key.into(),
@@ -100,10 +100,10 @@
 /// A transaction.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Txn {
-    /// Conditions, all of which must be true.
+    /// Conditions, all of which must hold.
     #[serde(rename = "guards")]
     pub compares: Vec<Compare>,
-    /// Writes, all or none of which are executed.
+    /// Writes, which are applied atomically.
     #[serde(rename = "writes")]
     pub writes: Vec<Write>,
 }
@@ -111,9 +111,9 @@
 /// Response to a transaction, or to a read of a key that does not exist.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct TxnResponse {
-    /// Keys whose conditions failed.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub failed: Vec<String>,
+    /// Keys whose conditions did not hold.
+    #[serde(rename = "failed", default, skip_serializing_if = "Vec::is_empty")]
+    pub failed_keys: Vec<String>,
     /// Revision of the store.
     #[serde(rename = "epoch", default)]
     pub revision: u64,
@@ -132,7 +132,7 @@
 pub struct Lease {
     /// Id of the lease.
     #[serde(rename = "tether")]
-    pub lease: u64,
+    pub id: u64,
 }
 
 /// A change that a watch reports.
@@ -140,14 +140,14 @@
 pub struct Change {
     /// Key that was set.
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
-    pub put: Option<String>,
-    /// Value that it was set to.
+    pub put_key: Option<String>,
+    /// Value that the key was set to.
     #[serde(rename = "v", default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
     /// Key that was deleted.
     #[serde(rename = "drop", default, skip_serializing_if = "Option::is_none")]
-    pub delete: Option<String>,
-    /// Revision of the change.
+    pub deleted_key: Option<String>,
+    /// Revision of the change, which is the new version of a key that was set.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -158,7 +158,7 @@
     /// Revision up to which changes are reported.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// Changes, in the order of their revisions.
+    /// Changes, ordered by revision.
     #[serde(rename = "log", default)]
-    pub events: Vec<Change>,
+    pub changes: Vec<Change>,
 }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,8 +1,8 @@
-//! Messages of the workers: heartbeats, and the orders that they receive.
+//! Messages between workers and controllers: heartbeats, and the orders that workers receive.
 
 use serde::{Deserialize, Serialize};
 
-/// State of a task on a machine.
+/// Phase of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskPhase {
@@ -15,7 +15,7 @@
     Running,
     /// Writing a checkpoint after an order to stop.
     Saving,
-    /// Ended; [`TaskStatus::cause`] says why.
+    /// Ended, for the reason in [`TaskStatus::cause`].
     Ended,
 }
 
@@ -42,7 +42,7 @@
     Busy,
     /// Refused: the job or the task is unknown.
     Unknown,
-    /// A cause that this version does not know. It is treated as a failure.
+    /// A cause that this build does not know. It is treated as a failure.
     #[serde(other)]
     Other,
 }
@@ -61,9 +61,9 @@
     /// Why the task ended, if it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<EndCause>,
-    /// Whether a checkpoint of its progress was written.
+    /// Whether a checkpoint of the task's progress was written.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub checkpoint_written: Option<bool>,
 }
 
 /// A worker's heartbeat, which reports all tasks on its machine.
@@ -77,14 +77,14 @@
     pub addr: String,
     /// Machine type.
     #[serde(rename = "breed")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "valley")]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Incarnation, which grows whenever the worker's lease expires.
+    /// Incarnation of the worker, which grows whenever its lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
     /// Sequence number among all of the worker's messages.
@@ -93,9 +93,9 @@
     /// Highest term that the worker has seen.
     #[serde(rename = "mandate")]
     pub term: u64,
-    /// Seconds until the cloud reclaims the machine, if it has announced that.
+    /// Seconds until the cloud reclaims the machine, if the cloud has announced it.
     #[serde(rename = "recall_s", default)]
-    pub notice_s: Option<f64>,
+    pub reclaim_in_s: Option<f64>,
     /// Tasks on the machine.
     #[serde(rename = "shards", default)]
     pub tasks: Vec<TaskStatus>,
@@ -105,20 +105,20 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum Order {
-    /// Start a task.
+    /// Starts a task.
     #[serde(rename = "launch")]
     Start {
-        /// Task.
+        /// Name of the task.
         #[serde(rename = "shard")]
         task: String,
         /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop a task.
+    /// Stops a task.
     #[serde(rename = "kill")]
     Stop {
-        /// Task.
+        /// Name of the task.
         #[serde(rename = "shard")]
         task: String,
         /// Number of the attempt.
@@ -128,10 +128,10 @@
         #[serde(rename = "leeway_s")]
         grace_s: f64,
     },
-    /// Remove an ended task from the heartbeats.
+    /// Removes an ended task from the heartbeats.
     #[serde(rename = "reap")]
     Forget {
-        /// Task.
+        /// Name of the task.
         #[serde(rename = "shard")]
         task: String,
         /// Number of the attempt.
@@ -150,23 +150,23 @@
     pub orders: Vec<Order>,
 }
 
-/// Orders that are sent to a worker's own address.
+/// Orders that a controller sends to the worker's own address.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectOrders {
     /// Term of the controller, the fencing token of its orders.
     #[serde(rename = "mandate")]
     pub term: u64,
-    /// Incarnation of the worker for which they are meant.
+    /// Incarnation of the worker for which the orders are meant.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
     /// Orders.
     pub orders: Vec<Order>,
 }
 
-/// Response with status 421: the worker is to report to another controller.
+/// Response with status 421, which tells the worker to report to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
     /// Label of that controller, if it is known.
     #[serde(rename = "steward", skip_serializing_if = "Option::is_none", default)]
-    pub leader: Option<String>,
+    pub controller: Option<String>,
 }
--- a/crates/wire/tests/production.rs
+++ b/crates/wire/tests/production.rs
@@ -1,5 +1,6 @@
-//! What the version before the pipelines reads and writes, frozen: its bytes and its types, copied once and never
-//! changed. Both versions run side by side during the upgrade, so each must read what the other writes.
+//! Compatibility with the build in production, which has no job dependencies. The golden files and the types in `old`
+//! are copies of its bytes and types, and are never changed. During an upgrade both builds run side by side, so each must
+//! read what the other writes.
 
 use constants::{MAX_FRAME_BYTES, PEER_VERSION};
 use vetchmount_wire as wire;
@@ -7,7 +8,7 @@
 use wire::records::*;
 use wire::users::{Priority, Shape, Submission};
 
-/// The record and frame types of the version in production.
+/// The record and frame types of the build in production.
 mod old {
     use serde::{Deserialize, Serialize};
     use vetchmount_wire::users::{Priority, Shape};
@@ -135,41 +136,41 @@
 }
 
 fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|b| format!("{b:02x}")).collect()
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 fn submission() -> Submission {
     Submission {
-        types: Some(vec!["g8".into()]),
+        machine_types: Some(vec!["g8".into()]),
         zone: Some("a".into()),
         due_s: Some(900.0),
-        ..plain()
+        ..base_submission()
     }
 }
 
 fn chunk() -> ChunkRecord {
     ChunkRecord {
-        done: "0-3,7".into(),
-        at: vec![(4, 1, "vm-000231".into())],
-        hi: 2,
-        secs: 12.5,
-        timed: 5,
+        done_ranges: "0-3,7".into(),
+        assignments: vec![(4, 1, "vm-000231".into())],
+        highest_attempt: 2,
+        timed_run_s: 12.5,
+        timed_tasks: 5,
     }
 }
 
 fn records() -> Vec<(&'static str, Vec<u8>)> {
     let job = JobRecord::new(submission(), 1_700_000_000_000);
     let page = PageRecord {
-        parts: vec![PageEntry {
+        entries: vec![PageEntry {
             job: "run-000412".into(),
-            part: 3,
+            chunk_number: 3,
             seq: 12,
             chunk: chunk(),
         }],
         ..PageRecord::default()
     };
     let rental = RentalRecord {
-        kind: "g8".into(),
+        machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         count: 12,
@@ -186,8 +187,8 @@
         ("rental", wire::encode(&rental)),
         ("leader", wire::encode(&leader)),
         ("term", wire::encode(&TermRecord::new(41))),
-        ("done", wire::encode(&Final::Done)),
-        ("aborted", wire::encode(&Final::Aborted)),
+        ("done", wire::encode(&JobOutcome::Done)),
+        ("aborted", wire::encode(&JobOutcome::Aborted)),
     ]
 }
 
@@ -261,78 +262,83 @@
 ];
 
 #[test]
-fn records_have_the_bytes_and_keys_of_the_version_in_production() {
+fn records_have_the_bytes_and_keys_of_the_build_in_production() {
     let golden: Vec<(&str, &str)> = include_str!("golden-records.txt")
         .lines()
-        .filter_map(|l| l.split_once(' '))
+        .filter_map(|line| line.split_once(' '))
         .collect();
-    let now = records();
-    assert_eq!(now.len(), golden.len());
-    for ((name, bytes), (was, hexed)) in now.iter().zip(golden) {
-        assert_eq!((*name, hex(bytes).as_str()), (was, hexed));
+    let records = records();
+    assert_eq!(records.len(), golden.len());
+    for ((name, bytes), expected) in records.iter().zip(golden) {
+        assert_eq!((*name, hex(bytes).as_str()), expected);
     }
     let keys = [
         job_key("run-1"),
-        final_key("run-1"),
+        final_record_key("run-1"),
         page_key(7),
         rental_key("t1-2"),
     ];
-    for (key, (was, what)) in keys.iter().zip(KEYS) {
-        assert_eq!(key, was, "{what}");
+    for (key, (expected, record)) in keys.iter().zip(KEYS) {
+        assert_eq!(key, expected, "{record}");
     }
-    assert_eq!((LEADER, TERM, TYPES), ("lead", "term", "types"));
+    assert_eq!(
+        (LEADER_KEY, TERM_KEY, MACHINE_TYPES_KEY),
+        ("lead", "term", "types")
+    );
 }
 
 #[test]
-fn frames_have_the_bytes_of_the_version_in_production() {
+fn frames_have_the_bytes_of_the_build_in_production() {
     let golden: Vec<(&str, &str)> = include_str!("golden-frames.txt")
         .lines()
-        .filter_map(|l| l.split_once(' '))
+        .filter_map(|line| line.split_once(' '))
         .collect();
-    let now = frames();
-    assert_eq!(now.len(), golden.len());
-    for ((name, message), (was, hexed)) in now.iter().zip(golden) {
+    let frames = frames();
+    assert_eq!(frames.len(), golden.len());
+    for ((name, message), expected) in frames.iter().zip(golden) {
         let mut bytes = Vec::new();
         encode_frame(&mut bytes, message);
-        assert_eq!((*name, hex(&bytes).as_str()), (was, hexed));
-        // The old decoder takes the frame apart like this.
+        assert_eq!((*name, hex(&bytes).as_str()), expected);
+        // The old decoder reads the frame in these steps.
         assert_eq!(bytes[4], PEER_VERSION);
         assert!(bytes.len() < MAX_FRAME_BYTES);
-        let read: old::PeerMessage = postcard::from_bytes(&bytes[5..]).expect(name);
-        let again = postcard::to_stdvec(&read).expect(name);
-        assert_eq!(again, bytes[5..], "{name}");
-        let back = decode_frame(&mut bytes).expect(name);
-        assert_eq!(back.as_ref(), Some(message));
+        let old_message: old::PeerMessage = postcard::from_bytes(&bytes[5..]).expect(name);
+        let reencoded = postcard::to_stdvec(&old_message).expect(name);
+        assert_eq!(reencoded, bytes[5..], "{name}");
+        let decoded = decode_frame(&mut bytes).expect(name);
+        assert_eq!(decoded.as_ref(), Some(message));
     }
     assert_eq!(PEER_VERSION, 2);
 }
 
 #[test]
-fn each_version_reads_the_records_that_the_other_writes() {
+fn each_build_reads_the_records_that_the_other_writes() {
     for (name, bytes) in records() {
-        let same = |again: Vec<u8>| assert_eq!(hex(&again), hex(&bytes), "{name}");
+        let assert_same = |reencoded: Vec<u8>| assert_eq!(hex(&reencoded), hex(&bytes), "{name}");
         match name {
-            "job" => same(wire::encode(
+            "job" => assert_same(wire::encode(
                 &wire::decode::<old::JobRecord>(&bytes).expect(name),
             )),
-            "page" => same(wire::encode(
+            "page" => assert_same(wire::encode(
                 &wire::decode::<old::PageRecord>(&bytes).expect(name),
             )),
-            "rental" => same(wire::encode(
+            "rental" => assert_same(wire::encode(
                 &wire::decode::<old::RentalRecord>(&bytes).expect(name),
             )),
-            "leader" => same(wire::encode(
+            "leader" => assert_same(wire::encode(
                 &wire::decode::<old::LeaderRecord>(&bytes).expect(name),
             )),
-            "term" => same(wire::encode(
+            "term" => assert_same(wire::encode(
                 &wire::decode::<old::TermRecord>(&bytes).expect(name),
             )),
-            _ => same(wire::encode(&wire::decode::<Final>(&bytes).expect(name))),
+            _ => assert_same(wire::encode(
+                &wire::decode::<JobOutcome>(&bytes).expect(name),
+            )),
         }
     }
 }
 
-fn plain() -> Submission {
+fn base_submission() -> Submission {
     Submission {
         id: "run-000412".into(),
         class: "train".into(),
@@ -345,15 +351,15 @@
         mem_gb: 64.0,
         image: "img-07".into(),
         image_gb: 6.2,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: true,
         spread: false,
-        spot: true,
-        guess_s: 240.0,
-        checkpoint_s: 30.0,
-        save_s: 4.0,
+        spot_allowed: true,
+        estimated_run_s: 240.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_write_s: 4.0,
         due_s: None,
-        needs: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
