--- a/crates/control/src/effects/actor_effects.rs
+++ b/crates/control/src/effects/actor_effects.rs
@@ -7,7 +7,7 @@
 use crate::requests::{CloudOp, CloudTag, Priority, StateOp, StateTag};
 use constants::RETRY_AFTER_S;
 use wire::peers::PeerMessage;
-use wire::users::Refusal;
+use wire::users::ErrorResponse;
 
 /// HTTP status code: the client has sent too many requests.
 const TOO_MANY_REQUESTS: u16 = 429;
@@ -132,7 +132,7 @@
 
     /// Refuses a request. If the status indicates that it may succeed later, the answer states when to retry.
     pub fn refuse(&mut self, id: RequestId, status: u16, reason: &str) {
-        let body = wire::encode(&Refusal {
+        let body = wire::encode(&ErrorResponse {
             error: reason.to_string(),
         });
         self.respond_with_retry_after(id, status, body);
--- a/crates/control/src/election/following.rs
+++ b/crates/control/src/election/following.rs
@@ -8,7 +8,7 @@
     ELECTION_JITTER_MS, HANDOVER_POLL_DURATION_MS, HANDOVER_POLL_INTERVAL_MS,
     LEADER_POLL_INTERVAL_MS, STATE_RETRY_MS, VACANT_LEADER_POLL_INTERVAL_MS,
 };
-use wire::records::{LeaderRecord, LEADER};
+use wire::records::{LeaderRecord, LEADER_KEY};
 use wire::state::Item;
 
 /// Minimum milliseconds between revoking the lease of an unreachable leader and polling the leader
@@ -22,7 +22,7 @@
         self.attempt += 1;
         self.next_request_at = now + self.poll_interval_ms(now);
         let step = ElectionStep::Poll(self.attempt);
-        self.request(StateOp::Get(LEADER.into()), step, effects);
+        self.request(StateOp::Get(LEADER_KEY.into()), step, effects);
     }
 
     fn poll_interval_ms(&self, now: u64) -> u64 {
--- a/crates/control/src/gateway/compares.rs
+++ b/crates/control/src/gateway/compares.rs
@@ -1,7 +1,7 @@
 //! Compares: the conditions of transactions on the records of jobs.
 
 use crate::requests::StateOp;
-use wire::records::{final_key, job_key};
+use wire::records::{final_record_key, job_key};
 use wire::state::{Compare, Txn};
 
 /// Number of compares that require a job's absence: one for each of its two records.
@@ -9,7 +9,10 @@
 
 /// Requires that no job, open or ended, has this ID.
 pub(super) fn absence_compares(id: &str) -> [Compare; COMPARES_PER_ABSENT_JOB] {
-    [Compare::new(job_key(id), 0), Compare::new(final_key(id), 0)]
+    [
+        Compare::new(job_key(id), 0),
+        Compare::new(final_record_key(id), 0),
+    ]
 }
 
 /// Requires that these jobs are open and that their records have these versions.
--- a/crates/control/src/gateway/events.rs
+++ b/crates/control/src/gateway/events.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use crate::effects::NodeEvent;
 use wire::peers::JobUpdate;
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 impl Gateway {
     /// Handles a node event that concerns jobs, machine types or the upgrade.
@@ -18,7 +18,7 @@
     }
 
     /// Caches the outcome of a job.
-    pub fn remember_outcome(&mut self, id: String, outcome: Final) {
+    pub fn remember_outcome(&mut self, id: String, outcome: JobOutcome) {
         self.cache.remember_outcome(id, outcome);
     }
 
--- a/crates/control/src/gateway/intake.rs
+++ b/crates/control/src/gateway/intake.rs
@@ -117,7 +117,7 @@
     }
 
     fn check_submission(&self, mut spec: Submission) -> UserRequest {
-        spec.dedup_needs();
+        spec.dedup_dependencies();
         let job_id = spec.id.clone();
         let checked = self.admission.check(&spec);
         let operation = match checked.and_then(|()| self.records.check_size(&spec)) {
@@ -169,7 +169,7 @@
         match (&pending.stage, &pending.operation) {
             (Stage::Validating, _) => self.validation.push_back(pending_id),
             (Stage::CheckingUnknownId, _) => self.unknown_ids.push_back(pending_id, is_change),
-            (Stage::Creating, Operation::Submit(spec)) if !spec.needs.is_empty() => {
+            (Stage::Creating, Operation::Submit(spec)) if !spec.dependencies.is_empty() => {
                 self.continue_submission(pending_id, effects);
             }
             _ => self.send(pending_id, effects),
--- a/crates/control/src/gateway/job_cache.rs
+++ b/crates/control/src/gateway/job_cache.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use wire::peers::JobUpdate;
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 /// Numbers of a job's done and running tasks, for display.
 #[derive(Debug, Clone, Copy, Default)]
@@ -74,7 +74,7 @@
 
 /// Outcomes, record versions and task counts of jobs that this node has seen recently.
 pub(super) struct JobCache {
-    outcomes: RecentMap<Final>,
+    outcomes: RecentMap<JobOutcome>,
     /// Jobs whose cancellation is recorded, as observed by this node or a peer. A cancellation is final, so it may be
     /// answered immediately. It must be answered even if a read returns an older state.
     cancelled: RecentMap<()>,
@@ -94,7 +94,7 @@
     }
 
     /// Caches the outcome of a job and drops its other entries.
-    pub(super) fn remember_outcome(&mut self, id: String, outcome: Final) {
+    pub(super) fn remember_outcome(&mut self, id: String, outcome: JobOutcome) {
         self.counts.remove(&id);
         self.versions.remove(&id);
         self.outcomes.insert(id, outcome);
@@ -113,8 +113,8 @@
     }
 
     /// The outcome of a job if it is certain, even if the job has not ended yet.
-    pub(super) fn known_outcome(&self, id: &str) -> Option<Final> {
-        let cancelled = || self.cancelled.get(id).map(|()| Final::Aborted);
+    pub(super) fn known_outcome(&self, id: &str) -> Option<JobOutcome> {
+        let cancelled = || self.cancelled.get(id).map(|()| JobOutcome::Aborted);
         self.outcomes.get(id).copied().or_else(cancelled)
     }
 
--- a/crates/control/src/gateway/job_records.rs
+++ b/crates/control/src/gateway/job_records.rs
@@ -50,7 +50,7 @@
     /// Whether a submission may be written in a format that old processes can't read. It may once no old process can
     /// return, and a submission with dependencies is itself evidence of that.
     fn may_use_new_format(&self, spec: &Submission) -> bool {
-        self.upgraded || !spec.needs.is_empty()
+        self.upgraded || !spec.dependencies.is_empty()
     }
 
     fn limits_for(&self, spec: &Submission) -> EffectiveLimits {
@@ -69,7 +69,7 @@
     /// Whether a submission, stored as a single record, exceeds the strictest value size limit.
     pub(super) fn exceeds_strictest_limits(&self, spec: &Submission) -> bool {
         let record = JobRecord::new(spec.clone(), MAX_ACCEPTED_AT_MS);
-        wire::json_bytes(&record) > self.strictest.value_bytes
+        wire::json_size(&record) > self.strictest.value_bytes
     }
 
     /// The writes that store a submission accepted at `accepted_at`, by the wall clock. Machine types that do not fit
@@ -82,7 +82,7 @@
         let limits = self.limits_for(spec);
         let mut record = JobRecord::new(spec.clone(), accepted_at);
         let key = job_key(&spec.id);
-        let bytes = wire::json_bytes(&record) + CANCELLATION_MARK_BYTES;
+        let bytes = wire::json_size(&record) + CANCELLATION_MARK_BYTES;
         if bytes <= limits.value_bytes {
             return Ok(vec![Write::put(key, &record)]);
         }
@@ -93,7 +93,7 @@
         };
         let max_overflow_records =
             EXTENSION_RECORDS_MAX.min(limits.txn_ops.saturating_sub(NON_OVERFLOW_WRITES));
-        let main_bytes = wire::json_bytes(&record) + CANCELLATION_MARK_BYTES;
+        let main_bytes = wire::json_size(&record) + CANCELLATION_MARK_BYTES;
         if overflow.len() > max_overflow_records || main_bytes > limits.value_bytes {
             return Err(Rejection::TooLong {
                 bytes,
@@ -115,9 +115,9 @@
             aborted: true,
             ..record
         };
-        if wire::json_bytes(&record) > self.strictest.value_bytes {
-            record.spec.types = None;
-            record.spec.needs.clear();
+        if wire::json_size(&record) > self.strictest.value_bytes {
+            record.spec.machine_types = None;
+            record.spec.dependencies.clear();
         }
         record
     }
@@ -125,19 +125,21 @@
 
 /// Moves a record's machine types into overflow records of at most `value_bytes` each.
 fn split_off_machine_types(record: &mut JobRecord, value_bytes: usize) -> Vec<JobOverflowRecord> {
-    let types = record.spec.types.take().unwrap_or_default();
+    let types = record.spec.machine_types.take().unwrap_or_default();
     // An empty list in the main record still means that only some types are allowed.
-    record.spec.types = (!types.is_empty()).then(Vec::new);
+    record.spec.machine_types = (!types.is_empty()).then(Vec::new);
     let mut overflow: Vec<JobOverflowRecord> = Vec::new();
     for name in types {
-        let name_bytes = wire::json_bytes(&name) + LIST_SEPARATOR_BYTES;
+        let name_bytes = wire::json_size(&name) + LIST_SEPARATOR_BYTES;
         let fits =
-            |last: &&mut JobOverflowRecord| wire::json_bytes(*last) + name_bytes <= value_bytes;
+            |last: &&mut JobOverflowRecord| wire::json_size(*last) + name_bytes <= value_bytes;
         match overflow.last_mut().filter(fits) {
-            Some(last) => last.types.push(name),
-            None => overflow.push(JobOverflowRecord { types: vec![name] }),
+            Some(last) => last.machine_types.push(name),
+            None => overflow.push(JobOverflowRecord {
+                machine_types: vec![name],
+            }),
         }
     }
-    record.more = overflow.len() as u32;
+    record.overflow_record_count = overflow.len() as u32;
     overflow
 }
--- a/crates/control/src/gateway/read_validation.rs
+++ b/crates/control/src/gateway/read_validation.rs
@@ -14,7 +14,7 @@
 use crate::requests::{Priority, StateReply, StateTag};
 use constants::{STATE_RETRY_MS, VALIDATION_BATCH_DELAY_MS, VALIDATION_INTERVAL_MS};
 use std::collections::VecDeque;
-use wire::records::JOBS;
+use wire::records::JOB_PREFIX;
 
 /// Requests that wait for a read validation, and the batch in flight.
 #[derive(Default)]
@@ -207,7 +207,10 @@
     /// Handles a batch with outdated versions, which has validated none of its requests. All of them wait for the next
     /// batch, which is sent immediately.
     fn on_outdated(&mut self, batch: Batch, failed_keys: &[String], now: u64) {
-        for id in failed_keys.iter().filter_map(|key| key.strip_prefix(JOBS)) {
+        for id in failed_keys
+            .iter()
+            .filter_map(|key| key.strip_prefix(JOB_PREFIX))
+        {
             let Some(compared) = batch.versions.get(id) else {
                 continue;
             };
--- a/crates/control/src/gateway/replies.rs
+++ b/crates/control/src/gateway/replies.rs
@@ -5,7 +5,7 @@
 use super::Gateway;
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::StateReply;
-use wire::records::{final_key, job_key, Final, JobRecord};
+use wire::records::{final_record_key, job_key, JobOutcome, JobRecord};
 
 impl Gateway {
     /// Handles the reply to a request to the state service that was sent for a single pending request.
@@ -106,7 +106,7 @@
                 self.advance(pending_id, Stage::ReadingFinal, effects);
             }
             (Stage::ReadingFinal, StateReply::Item(item)) => {
-                match item.value.deserialized::<Final>() {
+                match item.value.deserialized::<JobOutcome>() {
                     Ok(outcome) => self.on_final_record(pending_id, outcome, effects),
                     Err(_) => self.refuse(pending_id, &Rejection::UnreadableRecord, effects),
                 }
@@ -119,6 +119,6 @@
 
 /// Whether one of the keys belongs to the job's own records.
 fn concerns_job(id: &str, keys: &[String]) -> bool {
-    let own = [job_key(id), final_key(id)];
+    let own = [job_key(id), final_record_key(id)];
     keys.iter().any(|key| own.contains(key))
 }
--- a/crates/control/src/gateway/status.rs
+++ b/crates/control/src/gateway/status.rs
@@ -5,7 +5,7 @@
 use super::rejection::Rejection;
 use super::Gateway;
 use crate::effects::{Effects, NodeEvent, RequestId};
-use wire::records::{Final, JobRecord};
+use wire::records::{JobOutcome, JobRecord};
 use wire::users::{JobStatus, Phase};
 
 const OK: u16 = 200;
@@ -27,7 +27,7 @@
         if matches!(pending.operation, Operation::Cancel) && !cancelled {
             return self.send_cancellation(pending_id, record, version, effects);
         }
-        let observed = JobVersion::new(version, cancelled, &record.spec.needs);
+        let observed = JobVersion::new(version, cancelled, &record.spec.dependencies);
         self.cache.remember_version(&pending.job_id, observed);
         let known = self.cache.known_version(&pending.job_id);
         let has_dependencies = known.is_some_and(|known| !known.is_released());
@@ -52,7 +52,7 @@
     pub(super) fn on_final_record(
         &mut self,
         pending_id: u64,
-        outcome: Final,
+        outcome: JobOutcome,
         effects: &mut Effects,
     ) {
         if let Some(pending) = self.pending.remove(pending_id) {
@@ -118,12 +118,12 @@
         &self,
         request: RequestId,
         id: &str,
-        outcome: Final,
+        outcome: JobOutcome,
         effects: &mut Effects,
     ) {
         let phase = match outcome {
-            Final::Done => Phase::Done,
-            Final::Aborted => Phase::Aborted,
+            JobOutcome::Done => Phase::Done,
+            JobOutcome::Aborted => Phase::Aborted,
         };
         self.answer_phase(request, id, phase, effects);
     }
--- a/crates/control/src/gateway/submit.rs
+++ b/crates/control/src/gateway/submit.rs
@@ -6,7 +6,7 @@
 use super::pending::{Operation, PendingRequest, RecordVersions, Stage};
 use super::Gateway;
 use crate::effects::{Effects, NodeEvent};
-use wire::records::{Final, JOBS};
+use wire::records::{JobOutcome, JOB_PREFIX};
 use wire::users::Phase;
 
 impl Gateway {
@@ -20,12 +20,12 @@
         else {
             return;
         };
-        if let Some(id) = spec.needs.iter().find(|id| !self.cache.is_known(id)) {
+        if let Some(id) = spec.dependencies.iter().find(|id| !self.cache.is_known(id)) {
             return self.read_dependency(pending_id, id.clone(), effects);
         }
         let (dependency_cancelled, unvalidated) = match self
             .cache
-            .dependency_state(spec.needs.iter())
+            .dependency_state(spec.dependencies.iter())
         {
             DependencyState::Unknown(id) => return self.read_dependency(pending_id, id, effects),
             DependencyState::Cancelled => (true, RecordVersions::new()),
@@ -76,7 +76,10 @@
         failed_keys: &[String],
         effects: &mut Effects,
     ) {
-        for id in failed_keys.iter().filter_map(|key| key.strip_prefix(JOBS)) {
+        for id in failed_keys
+            .iter()
+            .filter_map(|key| key.strip_prefix(JOB_PREFIX))
+        {
             self.cache.forget_version(id);
         }
         self.continue_submission(pending_id, effects);
@@ -89,7 +92,7 @@
         };
         let took_ms = effects.now.mono.saturating_sub(pending.received_at());
         let needs = match pending.operation {
-            Operation::Submit(spec) => spec.needs,
+            Operation::Submit(spec) => spec.dependencies,
             _ => Vec::new(),
         };
         log::info!(
@@ -112,8 +115,8 @@
     /// have answered a repeat of the submission, and the job may have been cancelled.
     fn created_phase(&self, id: &str, dependency_cancelled: bool) -> Phase {
         match self.cache.known_outcome(id) {
-            Some(Final::Done) => Phase::Done,
-            Some(Final::Aborted) => Phase::Aborted,
+            Some(JobOutcome::Done) => Phase::Done,
+            Some(JobOutcome::Aborted) => Phase::Aborted,
             None if dependency_cancelled => Phase::Aborted,
             None => Phase::Queued,
         }
--- a/crates/control/src/gateway/unknown_ids.rs
+++ b/crates/control/src/gateway/unknown_ids.rs
@@ -15,7 +15,7 @@
     VALIDATION_BATCH_DELAY_MS,
 };
 use std::collections::{BTreeSet, VecDeque};
-use wire::records::{final_key, job_key};
+use wire::records::{final_record_key, job_key};
 
 /// Requests about unknown IDs, and the check in flight for some of them.
 #[derive(Default)]
@@ -189,7 +189,9 @@
             StateReply::Conflict { failed } if failed.contains(&job_key(&pending.job_id)) => {
                 self.advance(pending_id, Stage::ReadingOpen, effects);
             }
-            StateReply::Conflict { failed } if failed.contains(&final_key(&pending.job_id)) => {
+            StateReply::Conflict { failed }
+                if failed.contains(&final_record_key(&pending.job_id)) =>
+            {
                 self.advance(pending_id, Stage::ReadingFinal, effects);
             }
             StateReply::Conflict { .. } => {
--- a/crates/control/src/leader/consolidation.rs
+++ b/crates/control/src/leader/consolidation.rs
@@ -144,7 +144,7 @@
         let is_movable = |task: &&RunningTask| {
             let job = jobs.get(&snapshot.job_ids[task.job]);
             let saves_checkpoints =
-                job.is_some_and(|job| !job.is_gang() && job.spec.checkpoint_s > 0.0);
+                job.is_some_and(|job| !job.is_gang() && job.spec.checkpoint_interval_s > 0.0);
             task.preemptible && saves_checkpoints
         };
         let all_movable = |machine: usize| self.tasks_by_machine[machine].iter().all(is_movable);
--- a/crates/control/src/leader/dependencies/lookups.rs
+++ b/crates/control/src/leader/dependencies/lookups.rs
@@ -6,7 +6,7 @@
 use crate::requests::{Priority, StateOp, StatePurpose, StateReply};
 use constants::{FINAL_RECORD_LOOKUPS_MAX, FINAL_RECORD_LOOKUP_RETRY_MS};
 use std::collections::{HashMap, HashSet, VecDeque};
-use wire::records::{final_key, job_overflow_key, Final, JobOverflowRecord, JobRecord};
+use wire::records::{final_record_key, job_overflow_key, JobOutcome, JobOverflowRecord, JobRecord};
 
 /// A job whose own record has been read, but not all of its overflow records.
 struct PartialJob {
@@ -65,7 +65,7 @@
                 continue;
             }
             if self.dependencies.lookups.in_flight.insert(id.clone()) {
-                let op = StateOp::Get(final_key(&id));
+                let op = StateOp::Get(final_record_key(&id));
                 let request = StatePurpose::FinalRecord(id);
                 self.send_state_request(Priority::LeaderRecords, op, request, effects);
             }
@@ -81,7 +81,7 @@
     ) {
         self.dependencies.lookups.in_flight.remove(id);
         let end = match reply {
-            StateReply::Item(item) => item.value.deserialized::<Final>().ok(),
+            StateReply::Item(item) => item.value.deserialized::<JobOutcome>().ok(),
             _ => None,
         };
         match end {
@@ -136,15 +136,15 @@
         };
         let next = match overflow {
             Some(overflow) => {
-                let types = record.spec.types.get_or_insert_with(Vec::new);
-                types.extend(overflow.types);
+                let types = record.spec.machine_types.get_or_insert_with(Vec::new);
+                types.extend(overflow.machine_types);
                 number + 1
             }
             // The request failed and is repeated. Overflow records are created with the job's own record and never
             // change.
             None => number,
         };
-        if next <= record.more {
+        if next <= record.overflow_record_count {
             return self.request_overflow_record(id, next, effects);
         }
         if let Some(PartialJob { record, version }) = partial_jobs.remove(&id) {
--- a/crates/control/src/leader/fleet/renting.rs
+++ b/crates/control/src/leader/fleet/renting.rs
@@ -11,7 +11,7 @@
 };
 use sched::{plan_fleet, FleetSnapshot, Offer, RentRequest};
 use std::collections::VecDeque;
-use wire::cloud::{MachineType, Rent};
+use wire::cloud::{MachineType, RentalRequest};
 use wire::records::RentalRecord;
 
 /// Milliseconds, per second of the list's maximum lag, after which rented machines are certainly listed: two and a half
@@ -43,7 +43,7 @@
 }
 
 fn rental_offer(record: &RentalRecord) -> OfferKey {
-    OfferKey::new(&record.kind, &record.zone, record.spot)
+    OfferKey::new(&record.machine_type, &record.zone, record.spot)
 }
 
 impl Leader {
@@ -62,9 +62,9 @@
             return;
         }
         rental.request_in_flight = true;
-        let rent = Rent {
-            request: name.to_string(),
-            kind: record.kind,
+        let rent = RentalRequest {
+            name: name.to_string(),
+            machine_type: record.machine_type,
             zone: record.zone,
             spot: record.spot,
             count: record.count,
@@ -144,8 +144,8 @@
                         spot,
                         total: type_resources(machine_type),
                         price_per_hour: match spot {
-                            true => machine_type.spot_price,
-                            false => machine_type.price,
+                            true => machine_type.spot_price_per_hour,
+                            false => machine_type.price_per_hour,
                         },
                         available: backoff.is_none_or(|backoff| now.mono >= backoff.retry_at),
                     });
@@ -224,7 +224,7 @@
         log::info!("event=rent request={name} kind={kind} zone={zone} spot={spot} count={count}");
         let mut record = RecordCell::new(None, 0);
         record.desired = Some(RentalRecord {
-            kind,
+            machine_type: kind,
             zone,
             spot,
             count,
--- a/crates/control/src/leader/job_watch.rs
+++ b/crates/control/src/leader/job_watch.rs
@@ -7,7 +7,7 @@
 use crate::requests::{Priority, Reread, StateOp, StatePurpose, StateReply};
 use ciborium::Value;
 use constants::{STATE_RETRY_MS, WATCH_FAILURES_MAX, WATCH_INTERVAL_MIN_MS};
-use wire::records::{JobRecord, JOBS};
+use wire::records::{JobRecord, JOB_PREFIX};
 use wire::state::{Change, Changes, Page};
 
 /// State of the watch. Times are of the steady clock, in milliseconds.
@@ -44,7 +44,7 @@
         }
         self.job_watch.in_flight = true;
         let op = StateOp::Watch {
-            prefix: JOBS,
+            prefix: JOB_PREFIX,
             from: self.job_watch.revision,
         };
         // With the priority of the leader's own writes, the watch, and with it cancellations, could be delayed by
@@ -69,7 +69,7 @@
 
     fn on_changes(&mut self, sent_at: u64, changes: Changes, effects: &mut Effects) {
         self.job_watch.failures = 0;
-        for change in changes.events {
+        for change in changes.changes {
             self.on_change(change, effects);
         }
         self.job_watch.advance(changes.revision, sent_at);
@@ -103,7 +103,10 @@
     }
 
     fn request_reread_page(&self, reread: Reread, from: String, effects: &mut Effects) {
-        let op = StateOp::List { prefix: JOBS, from };
+        let op = StateOp::List {
+            prefix: JOB_PREFIX,
+            from,
+        };
         let request = StatePurpose::Resync(reread);
         self.send_state_request(Priority::LeaderRecords, op, request, effects);
     }
@@ -146,18 +149,18 @@
         for item in page.items {
             self.on_job_record(&item.key, &item.value, item.version, effects);
         }
-        last_key.filter(|_| page.more)
+        last_key.filter(|_| page.has_more)
     }
 
     fn on_change(&mut self, change: Change, effects: &mut Effects) {
         // A change without a value is a deletion. Only this leader archives jobs, so it already knows of the deletion.
-        if let (Some(key), Some(value)) = (change.put, change.value) {
+        if let (Some(key), Some(value)) = (change.put_key, change.value) {
             self.on_job_record(&key, &value, change.version, effects);
         }
     }
 
     fn on_job_record(&mut self, key: &str, value: &Value, version: u64, effects: &mut Effects) {
-        let Some(id) = key.strip_prefix(JOBS) else {
+        let Some(id) = key.strip_prefix(JOB_PREFIX) else {
             return;
         };
         let Ok(record) = value.deserialized::<JobRecord>() else {
--- a/crates/control/src/leader/mod.rs
+++ b/crates/control/src/leader/mod.rs
@@ -48,7 +48,7 @@
 use start_latencies::StartLatencies;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use wire::cloud::MachineType;
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 /// Direct calls to workers per second. Orders beyond this rate are sent in the answers to the workers' heartbeats.
 const DIRECT_CALLS_PER_S: f64 = 20.0;
@@ -83,7 +83,7 @@
     /// Dependencies among jobs.
     dependencies: dependencies::Dependencies,
     /// Outcomes of the jobs archived in this term.
-    archived_jobs: RecentMap<Final>,
+    archived_jobs: RecentMap<JobOutcome>,
     /// Jobs that a peer or this node has reported as cancelled and that the leader does not know, or not yet.
     cancellation_notices: RecentMap<()>,
     /// Last job in the latest message to the peers, if the next message has to continue after it.
--- a/crates/control/src/leader/model/job.rs
+++ b/crates/control/src/leader/model/job.rs
@@ -9,7 +9,7 @@
 use super::Chunk;
 use sched::{RangeSet, Resources};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::records::{Final, JobRecord};
+use wire::records::{JobOutcome, JobRecord};
 use wire::users::{Priority, Shape, Submission};
 
 /// Requirements that a job inherits from the jobs that depend on it.
@@ -83,14 +83,14 @@
     pub fn new(record: JobRecord, version: u64) -> Self {
         Job {
             spec: record.spec,
-            submitted_at: record.at,
+            submitted_at: record.accepted_at_ms,
             record_version: version,
             aborted: record.aborted,
             recorded_abort: record.aborted,
             tasks_per_chunk: constants::WIDE_CHUNK_TASKS,
             chunks: BTreeMap::new(),
             unmet_dependencies: BTreeSet::new(),
-            ready_at: record.at,
+            ready_at: record.accepted_at_ms,
             downstream_demand: None,
             done_or_assigned: RangeSet::default(),
             done_count: 0,
@@ -106,7 +106,7 @@
             backoff_until: 0,
             first_run_at: None,
             reserved_machines: Vec::new(),
-            further_record_count: record.more,
+            further_record_count: record.overflow_record_count,
         }
     }
 
@@ -152,13 +152,13 @@
     }
 
     /// The outcome of a job that is over and may be archived.
-    pub fn final_due(&self) -> Option<Final> {
+    pub fn final_due(&self) -> Option<JobOutcome> {
         // A user whose cancellation was confirmed must never see the job as done, even if every task completes
         // meanwhile.
         if self.aborted {
             let has_no_tasks_left = self.assigned_count == 0 && self.orphans.is_empty();
-            return has_no_tasks_left.then_some(Final::Aborted);
+            return has_no_tasks_left.then_some(JobOutcome::Aborted);
         }
-        self.all_done().then_some(Final::Done)
+        self.all_done().then_some(JobOutcome::Done)
     }
 }
--- a/crates/control/src/leader/pages/copies.rs
+++ b/crates/control/src/leader/pages/copies.rs
@@ -17,13 +17,13 @@
 
 /// The copies that a page's record contains.
 pub(in crate::leader) fn copies_in(record: &PageRecord) -> Vec<ChunkCopy> {
-    let wide = record.parts.iter().map(|entry| ChunkCopy {
-        id: ChunkId::new(&entry.job, entry.part),
+    let wide = record.entries.iter().map(|entry| ChunkCopy {
+        id: ChunkId::new(&entry.job, entry.chunk_number),
         seq: entry.seq,
         is_wide: true,
     });
-    let dense = record.small.iter().map(|entry| ChunkCopy {
-        id: ChunkId::new(&entry.job, entry.part),
+    let dense = record.dense_entries.iter().map(|entry| ChunkCopy {
+        id: ChunkId::new(&entry.job, entry.chunk_number),
         seq: entry.seq,
         is_wide: false,
     });
@@ -57,14 +57,14 @@
 
     /// Adds the copies of a page, keeping the newest copy of each chunk.
     pub fn add_page(&mut self, page: u32, record: PageRecord) {
-        for entry in record.parts {
-            let id = ChunkId::new(&entry.job, entry.part);
+        for entry in record.entries {
+            let id = ChunkId::new(&entry.job, entry.chunk_number);
             let (seq, chunk) = (entry.seq, entry.chunk);
             insert_if_newest(&mut self.wide, id, LoadedCopy { page, seq, chunk });
         }
-        for entry in record.small {
-            let id = ChunkId::new(&entry.job, entry.part);
-            let Some(chunk) = entry.chunk.read() else {
+        for entry in record.dense_entries {
+            let id = ChunkId::new(&entry.job, entry.chunk_number);
+            let Some(chunk) = entry.chunk.decode() else {
                 log::error!("event=part_unreadable job={} part={}", id.job, id.number);
                 continue;
             };
--- a/crates/control/src/leader/planning/estimates.rs
+++ b/crates/control/src/leader/planning/estimates.rs
@@ -46,7 +46,7 @@
             };
         }
         TaskEstimate {
-            run_time_s: job.spec.guess_s,
+            run_time_s: job.spec.estimated_run_s,
             sampling: pilots > 0,
         }
     }
--- a/crates/control/src/leader/planning/job_snapshots.rs
+++ b/crates/control/src/leader/planning/job_snapshots.rs
@@ -167,7 +167,7 @@
     fn job_snapshot(&mut self, entry: &JobEntry, usage: JobUsage) -> JobSnapshot {
         let (job, spec) = (entry.job, &entry.job.spec);
         let latest_start = self.latest_start(entry);
-        let kinds = spec.types.as_ref();
+        let kinds = spec.machine_types.as_ref();
         let (pilots_due, queue) = (
             self.pilots_due(entry, &usage),
             self.queue_index(entry, &usage),
@@ -186,8 +186,8 @@
             one_zone: spec.one_zone,
             max_per_zone: spec.spread.then(|| job.task_count().div_ceil(2)),
             tasks_by_zone: usage.by_zone,
-            spot_allowed: spec.spot,
-            uncheckpointed: spec.checkpoint_s <= 0.0 && spec.gpus <= 0.0,
+            spot_allowed: spec.spot_allowed,
+            uncheckpointed: spec.checkpoint_interval_s <= 0.0 && spec.gpus <= 0.0,
             image: self.images.intern(&spec.image),
             pilots_due,
             waiting_tasks: self.waiting_tasks(job),
@@ -296,7 +296,7 @@
         && assignment.stage == AssignmentStage::Reported
         && (!job.is_gang() || job.task_count() == 1)
         && (assignment.running_since.is_none()
-            || remaining_s > job.spec.save_s + MIN_PREEMPTION_GAIN_S)
+            || remaining_s > job.spec.checkpoint_write_s + MIN_PREEMPTION_GAIN_S)
 }
 
 /// Cost in seconds of preempting a task: the time to save a checkpoint, or all work so far if it takes no checkpoints.
@@ -305,10 +305,10 @@
         true => GANG_PREEMPTION_COST_S,
         false => 0.0,
     };
-    let takes_checkpoints = job.spec.checkpoint_s > 0.0;
+    let takes_checkpoints = job.spec.checkpoint_interval_s > 0.0;
     gang_cost_s
         + if takes_checkpoints {
-            job.spec.save_s
+            job.spec.checkpoint_write_s
         } else {
             elapsed_s
         }
--- a/crates/control/src/leader/store/builder.rs
+++ b/crates/control/src/leader/store/builder.rs
@@ -7,7 +7,7 @@
 };
 use crate::settings::EffectiveLimits;
 use constants::TXN_MAX_BYTES;
-use wire::records::{page_key, LEADER};
+use wire::records::{page_key, LEADER_KEY};
 use wire::state::{Compare, Txn, Write};
 
 /// Collects the compares and writes of a transaction.
@@ -25,7 +25,7 @@
 impl TransactionBuilder {
     /// An empty transaction, which fails unless the leader's record has this version.
     pub fn new(leader_version: u64, limits: &EffectiveLimits) -> Self {
-        let fence = Compare::new(LEADER, leader_version);
+        let fence = Compare::new(LEADER_KEY, leader_version);
         TransactionBuilder {
             max_writes: limits.txn_ops,
             max_compares: max_compares(limits),
--- a/crates/control/src/leader/store/saved.rs
+++ b/crates/control/src/leader/store/saved.rs
@@ -6,7 +6,7 @@
 use crate::leader::Leader;
 use crate::requests::RecordId;
 use wire::cloud::MachineType;
-use wire::records::{Final, RentalRecord};
+use wire::records::{JobOutcome, RentalRecord};
 
 /// Milliseconds per second.
 const MS_PER_SECOND: f64 = 1000.0;
@@ -65,7 +65,7 @@
     }
 
     /// Removes an archived job from the open jobs and everything that refers to it as open.
-    fn on_archived(&mut self, id: &str, outcome: Final, effects: &mut Effects) {
+    fn on_archived(&mut self, id: &str, outcome: JobOutcome, effects: &mut Effects) {
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
@@ -77,7 +77,7 @@
         );
         self.remove_from_machines(id, &job);
         self.remove_from_pages(id, &job);
-        if outcome == Final::Aborted {
+        if outcome == JobOutcome::Aborted {
             self.clear_job_failures(id, &job);
         }
         self.round_due = true;
@@ -102,7 +102,7 @@
     }
 
     /// How a job ended, if it is known to be archived. The watch may still report a change of it.
-    pub(in crate::leader) fn archived_outcome(&self, id: &str) -> Option<Final> {
+    pub(in crate::leader) fn archived_outcome(&self, id: &str) -> Option<JobOutcome> {
         self.archived_jobs.get(id).copied()
     }
 }
--- a/crates/control/src/machine_types.rs
+++ b/crates/control/src/machine_types.rs
@@ -6,7 +6,7 @@
 use crate::effects::{Effects, NodeEvent};
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use constants::LEADER_POLL_INTERVAL_MS;
-use wire::records::TYPES;
+use wire::records::MACHINE_TYPES_KEY;
 
 /// Reads the machine types record repeatedly until it is found.
 pub(crate) struct MachineTypesReader {
@@ -31,7 +31,7 @@
             return;
         }
         self.read_in_flight = true;
-        let read = StateOp::Get(TYPES.into());
+        let read = StateOp::Get(MACHINE_TYPES_KEY.into());
         effects.request_state(Priority::Leadership, read, StateTag::Types);
     }
 
--- a/crates/control/src/node/peer_messages.rs
+++ b/crates/control/src/node/peer_messages.rs
@@ -5,7 +5,7 @@
 use crate::forwarding::HttpRequest;
 use crate::peers::PeerHeartbeat;
 use wire::peers::{JobUpdate, PeerMessage};
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 impl Node {
     pub(super) fn on_peer(&mut self, from: &str, message: PeerMessage, effects: &mut Effects) {
@@ -95,7 +95,11 @@
     /// is done or was cancelled.
     fn on_ended_jobs(&mut self, jobs: Vec<(String, bool)>) {
         for (id, is_done) in jobs {
-            let end = if is_done { Final::Done } else { Final::Aborted };
+            let end = if is_done {
+                JobOutcome::Done
+            } else {
+                JobOutcome::Aborted
+            };
             self.gateway.remember_outcome(id, end);
         }
     }
--- a/crates/control/src/partitions/leading/permits.rs
+++ b/crates/control/src/partitions/leading/permits.rs
@@ -5,7 +5,7 @@
 use crate::leader::{AnsweredHeartbeat, Leader};
 use crate::partitions::send;
 use constants::{PERMITS_PER_FRAME_MAX, PERMIT_BATCH_DELAY_MS};
-use wire::partitions::PartitionBody;
+use wire::partitions::PartitionMessageBody;
 
 impl PartitionLeader {
     /// Handles the leader's answer to a heartbeat that a peer forwarded. The answer contained no
@@ -36,7 +36,7 @@
         for ((owner, boot), permits) in std::mem::take(&mut self.permits) {
             for permits in permits.chunks(PERMITS_PER_FRAME_MAX) {
                 let permits = permits.to_vec();
-                let body = PartitionBody::Permits { boot, permits };
+                let body = PartitionMessageBody::Permits { boot, permits };
                 send(&owner, self.term, body, effects);
             }
         }
@@ -50,7 +50,7 @@
             self.send_permits(effects);
             for permits in recalled.chunks(PERMITS_PER_FRAME_MAX) {
                 let permits = permits.to_vec();
-                let body = PartitionBody::Recall { boot, permits };
+                let body = PartitionMessageBody::Recall { boot, permits };
                 send(&owner, self.term, body, effects);
             }
         }
--- a/crates/control/src/partitions/leading/table.rs
+++ b/crates/control/src/partitions/leading/table.rs
@@ -5,7 +5,7 @@
 use crate::requests::{Priority, StateOp, StateReply, StateTag};
 use constants::OWNERSHIP_TABLE_RETRY_MS;
 use wire::partitions::PartitionId;
-use wire::records::{PartitionsRecord, PARTITIONS};
+use wire::records::{OwnershipTableRecord, OWNERSHIP_TABLE_PREFIX};
 use wire::state::Page;
 
 impl PartitionLeader {
@@ -18,7 +18,7 @@
     }
 
     fn request_page(&mut self, from: String, effects: &mut Effects) {
-        let prefix = PARTITIONS;
+        let prefix = OWNERSHIP_TABLE_PREFIX;
         self.send_request(RequestKind::Read, StateOp::List { prefix, from }, effects);
     }
 
@@ -74,7 +74,7 @@
     /// of less than a kilobyte.
     fn on_table(&mut self, page: Page) {
         for item in page.items {
-            let record = item.value.deserialized::<PartitionsRecord>();
+            let record = item.value.deserialized::<OwnershipTableRecord>();
             let read = record.map_err(|why| why.to_string()).and_then(|record| {
                 let loaded = self.mover.load_record(&item.key, record, item.version);
                 loaded.map_err(|why| why.to_string())
--- a/crates/control/src/partitions/mod.rs
+++ b/crates/control/src/partitions/mod.rs
@@ -20,7 +20,7 @@
 use constants::PARTITIONS_LOG_INTERVAL_MS;
 use leading::PartitionLeader;
 use load::LoadMeter;
-use wire::partitions::{PartitionBody, PartitionId, PartitionMessage};
+use wire::partitions::{PartitionId, PartitionMessage, PartitionMessageBody};
 use wire::peers::PeerMessage;
 use wire::workers::WorkerHeartbeat;
 
@@ -232,7 +232,7 @@
         else {
             return;
         };
-        let body = PartitionBody::Request(request);
+        let body = PartitionMessageBody::Request(request);
         send(leader, view.term, body, effects);
     }
 
@@ -248,7 +248,7 @@
         let now = effects.now.mono;
         let PartitionMessage { term, body } = message;
         match body {
-            PartitionBody::Request(request) => {
+            PartitionMessageBody::Request(request) => {
                 let (Some(partition_leader), Some(leader)) = (&mut self.partition_leader, leader)
                 else {
                     log::debug!("event=grant_request_refused from={from} why=\"this node is not the leader\"");
@@ -256,7 +256,7 @@
                 };
                 partition_leader.on_request(from, term, &request, view, leader, effects);
             }
-            PartitionBody::Grant(grant) => {
+            PartitionMessageBody::Grant(grant) => {
                 let number = grant.number;
                 if self.owner.on_grant(term, grant, now) {
                     let label = from.to_string();
@@ -268,10 +268,10 @@
                     );
                 }
             }
-            PartitionBody::Permits { boot, permits } => {
+            PartitionMessageBody::Permits { boot, permits } => {
                 self.owner.on_permits(term, boot, permits, now);
             }
-            PartitionBody::Recall { boot, permits } => {
+            PartitionMessageBody::Recall { boot, permits } => {
                 self.owner.on_recall(term, boot, &permits);
             }
         }
@@ -294,7 +294,7 @@
 }
 
 /// Sends a message about partitions to a peer.
-fn send(to: &str, term: u64, body: PartitionBody, effects: &mut Effects) {
+fn send(to: &str, term: u64, body: PartitionMessageBody, effects: &mut Effects) {
     let message = PeerMessage::Partitions(PartitionMessage { term, body });
     effects.send_to_peer(to.to_string(), message);
 }
--- a/crates/control/src/peer_heartbeats.rs
+++ b/crates/control/src/peer_heartbeats.rs
@@ -15,7 +15,7 @@
     JOB_UPDATES_PER_MESSAGE_MAX, OPEN_JOB_COUNTS_INTERVAL_MS, PEER_HEARTBEAT_INTERVAL_MS,
 };
 use wire::peers::PeerMessage;
-use wire::records::Final;
+use wire::records::JobOutcome;
 
 /// Returns the start of the range of numbers that this process sends to peers and peers send back.
 /// The range depends on the process, so an echo of, or an answer to, an earlier process of this
@@ -27,7 +27,7 @@
 /// A job that has ended.
 struct EndedJob {
     id: String,
-    end: Final,
+    end: JobOutcome,
 }
 
 /// Sends heartbeats and notices to the peers.
@@ -79,7 +79,7 @@
     }
 
     /// Records that a job has ended. Peers are notified together with the next heartbeat.
-    pub fn on_job_ended(&mut self, job: String, end: Final) {
+    pub fn on_job_ended(&mut self, job: String, end: JobOutcome) {
         self.ended_jobs.push(EndedJob { id: job, end });
     }
 
@@ -167,7 +167,7 @@
         let ended = std::mem::take(&mut self.ended_jobs);
         // A message that exceeds the size of a frame would not be sent at all.
         for jobs in ended.chunks(JOB_UPDATES_PER_MESSAGE_MAX) {
-            let is_done = |job: &EndedJob| job.end == Final::Done;
+            let is_done = |job: &EndedJob| job.end == JobOutcome::Done;
             let jobs = jobs.iter().map(|job| (job.id.clone(), is_done(job)));
             effects.send_to_all_peers(PeerMessage::Over {
                 jobs: jobs.collect(),
--- a/crates/control/src/requests.rs
+++ b/crates/control/src/requests.rs
@@ -1,7 +1,7 @@
 //! Requests to the state service and the cloud, their outcomes, and tags that identify the sender: plain data types
 //! shared by all actors.
 
-use wire::cloud::{MachineList, MachineType, Rent};
+use wire::cloud::{MachineList, MachineType, RentalRequest};
 use wire::state::{Changes, Item, Page, Txn};
 
 /// Order in which requests are sent when the request budget is short. Each priority except the first has a separate
@@ -114,7 +114,7 @@
     /// Returns machines, by name.
     Return(Vec<String>),
     /// Rents machines.
-    Rent(Rent),
+    Rent(RentalRequest),
     /// Reads a page of the machine list.
     List {
         /// Name after which the page begins; empty for the first page.
--- a/crates/partitions/src/table.rs
+++ b/crates/partitions/src/table.rs
@@ -3,7 +3,7 @@
 use crate::hash::{PARTITION_COUNT, PARTITION_HASH_NAME};
 use std::collections::BTreeMap;
 use wire::partitions::PartitionId;
-use wire::records::{partitions_key, PartitionRow, PartitionsRecord, UnknownFields};
+use wire::records::{ownership_table_key, OwnershipTableRecord, PartitionRow, UnknownFields};
 
 /// Partitions per record. With labels of 40 characters, a record takes less than 1 KiB, the smallest value size limit
 /// known.
@@ -77,20 +77,22 @@
     pub fn load_record(
         &mut self,
         key: &str,
-        record: PartitionsRecord,
+        record: OwnershipTableRecord,
         version: u64,
     ) -> Result<(), TableError> {
-        if record.count != PARTITION_COUNT {
+        if record.partition_count != PARTITION_COUNT {
             return Err(TableError::Count {
-                count: record.count,
+                count: record.partition_count,
             });
         }
-        if record.hash != PARTITION_HASH_NAME {
-            return Err(TableError::Hash { hash: record.hash });
+        if record.hash_name != PARTITION_HASH_NAME {
+            return Err(TableError::Hash {
+                hash: record.hash_name,
+            });
         }
-        let number = record.first / PARTITIONS_PER_RECORD;
-        let is_whole = record.first.is_multiple_of(PARTITIONS_PER_RECORD)
-            && key == partitions_key(number)
+        let number = record.first_partition / PARTITIONS_PER_RECORD;
+        let is_whole = record.first_partition.is_multiple_of(PARTITIONS_PER_RECORD)
+            && key == ownership_table_key(number)
             && record.rows.len() == usize::from(PARTITIONS_PER_RECORD)
             && number < RECORD_COUNT;
         let owner_of = |row: &PartitionRow| record.owners.get(usize::from(row.owner));
@@ -99,7 +101,7 @@
             let key = key.to_string();
             return Err(TableError::Rows { key });
         };
-        let first = usize::from(record.first);
+        let first = usize::from(record.first_partition);
         for (offset, (row, owner)) in record.rows.iter().zip(owners).enumerate() {
             let known = &mut self.rows[first + offset];
             // Epochs never decrease. A read may be older than this table if one of its writes was executed meanwhile.
@@ -167,7 +169,7 @@
     }
 
     /// A record of the table, with its key and its version in the state service.
-    pub(crate) fn record(&self, number: u16) -> (String, PartitionsRecord, u64) {
+    pub(crate) fn record(&self, number: u16) -> (String, OwnershipTableRecord, u64) {
         let first = number * PARTITIONS_PER_RECORD;
         let rows = &self.rows[usize::from(first)..usize::from(first + PARTITIONS_PER_RECORD)];
         let mut owners: Vec<String> = rows.iter().map(|row| row.owner.clone()).collect();
@@ -181,15 +183,15 @@
         });
         let rows = rows.collect();
         let stored = self.records.get(&number).cloned().unwrap_or_default();
-        let record = PartitionsRecord {
-            count: PARTITION_COUNT,
-            hash: PARTITION_HASH_NAME.to_string(),
-            first,
+        let record = OwnershipTableRecord {
+            partition_count: PARTITION_COUNT,
+            hash_name: PARTITION_HASH_NAME.to_string(),
+            first_partition: first,
             owners,
             rows,
             unknown: stored.unknown,
         };
-        (partitions_key(number), record, stored.version)
+        (ownership_table_key(number), record, stored.version)
     }
 
     /// Notes the version under which a record of this table was written.
