--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -10,8 +10,8 @@
 
 use crate::gates::Gates;
 use crate::levels::{Level, LevelRange, GENERATION_1};
-use crate::machine::Output;
 use crate::request::{Event, Reply, Request};
+use crate::state_machine::Output;
 use constants::GENERATION_POLL_MS;
 use std::collections::BTreeMap;
 use wire::records::{node_key, GenerationRecord, UnknownFields, GENERATIONS, MARK};
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -14,21 +14,21 @@
 
 mod gates;
 mod generation;
+mod heartbeats;
 mod identity;
-mod machine;
-mod observation;
 pub mod plan;
 mod request;
 mod snapshot;
+mod state_machine;
 mod status;
-mod supervision;
+mod upgrade_monitor;
 
 pub use gates::Gates;
 pub use generation::GenerationMachine;
+pub use heartbeats::Liveness;
 pub use identity::{Identity, Policy};
 pub use levels::{Feature, LevelRange};
-pub use machine::{Output, RolloutMachine};
-pub use observation::Liveness;
 pub use request::{Event, Reply, Request};
 pub use snapshot::{Snapshot, Stored};
+pub use state_machine::{Output, RolloutMachine};
 pub use status::{ControllerStatus, RolloutStatus};
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -12,7 +12,7 @@
 pub use transactions::{proven, transaction};
 pub(crate) use transitions::RESUMED;
 
-use crate::observation::Liveness;
+use crate::heartbeats::Liveness;
 use crate::snapshot::Snapshot;
 use wire::records::{LevelRecord, PauseReason};
 
--- a/crates/rollout/src/plan/transitions.rs
+++ b/crates/rollout/src/plan/transitions.rs
@@ -1,7 +1,7 @@
 //! Which transition of an upgrade is due.
 
+use crate::heartbeats::Liveness;
 use crate::levels::Level;
-use crate::observation::Liveness;
 use crate::plan::{Controller, Transition, View};
 use crate::snapshot::Stored;
 use wire::records::{LevelRecord, PauseReason, Phase};
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/state_machine.rs
@@ -1,21 +1,21 @@
 //! The state machine of one controller in staged upgrades.
 //!
-//! It repeats one cycle: read the records of the upgrade (`reading`), learn from them (`learning`), and write at most
-//! one transaction (`transitions`). At most one request to the state service is in flight at a time.
+//! It repeats one cycle: read the records of the upgrade (`reading`), learn from them (`applying`), and write at most
+//! one transaction (`writing`). At most one request to the state service is in flight at a time.
 
-mod learning;
+mod applying;
 mod reading;
 mod status;
-mod transitions;
+mod writing;
 
 use crate::gates::Gates;
+use crate::heartbeats::Liveness;
 use crate::identity::{Identity, Policy};
 use crate::levels::{Feature, Level};
-use crate::observation::Liveness;
 use crate::plan::{self, Transition};
 use crate::request::{Event, Reply, Request};
 use crate::snapshot::Snapshot;
-use crate::supervision::Supervision;
+use crate::upgrade_monitor::Supervision;
 use constants::{ELECTION_DEFER_MS, GENERATION_POLL_MS};
 use reading::stored;
 use wire::records::{Phase, LEADER, TERM};
@@ -220,7 +220,7 @@
                 self.idle_with(now, vec![Event::Announced { range }])
             }
             (Step::Transition(from, transition), Reply::Committed) => {
-                self.idle_with(now, transitions::events_of(from, &transition))
+                self.idle_with(now, writing::events_of(from, &transition))
             }
             (Step::Prove, Reply::Committed) => self.idle(now),
             // After a conflict or an unknown outcome the next reading shows what is stored.
--- a/crates/rollout/src/machine/status.rs
+++ b/crates/rollout/src/state_machine/status.rs
@@ -1,7 +1,7 @@
 //! The state of the upgrade, for operators.
 
 use super::RolloutMachine;
-use crate::observation::Liveness;
+use crate::heartbeats::Liveness;
 use crate::plan::Controller;
 use crate::snapshot::Snapshot;
 use crate::status::{ControllerStatus, RolloutStatus};
--- a/crates/rollout/src/machine/transitions.rs
+++ b/crates/rollout/src/state_machine/writing.rs
@@ -1,8 +1,8 @@
 //! What this controller writes: its announcement, the mark of a proven level, and the transitions of the upgrade.
 
 use super::{Output, RolloutMachine, Step};
+use crate::heartbeats::Liveness;
 use crate::levels::GENERATION_1;
-use crate::observation::Liveness;
 use crate::plan::{self, Controller, Transition, View};
 use crate::request::{Event, Request};
 use crate::snapshot::Snapshot;
--- a/crates/rollout/src/supervision.rs
+++ b/crates/rollout/src/upgrade_monitor.rs
@@ -1,8 +1,8 @@
 //! Supervision of an upgrade: which controllers are alive, for how long a level has been active without trouble, and
 //! which reasons there are to pause.
 
+use crate::heartbeats::{Liveness, Observations};
 use crate::identity::{Identity, Policy};
-use crate::observation::{Liveness, Observations};
 use crate::plan::Controller;
 use crate::request::Event;
 use crate::snapshot::Snapshot;
