--- a/crates/control/src/node/dispatch.rs
+++ b/crates/control/src/node/dispatch.rs
@@ -70,10 +70,10 @@
     /// The rules of elections for this process at this moment.
     fn election_rules(&self, now: u64) -> ElectionRules {
         ElectionRules {
-            may_stand: self.rollout.may_stand() && self.planned_stop.is_none(),
-            level: self.rollout.leader_level(),
+            may_stand: self.rollout.may_stand_for_election() && self.planned_stop.is_none(),
+            level: self.rollout.leader_record_level(),
             conditions: self.rollout.election_conditions(),
-            defer_ms: self.rollout.defers_election_ms(now),
+            defer_ms: self.rollout.election_delay_ms(now),
         }
     }
 
--- a/crates/control/src/node/events.rs
+++ b/crates/control/src/node/events.rs
@@ -13,7 +13,9 @@
             NodeEvent::SteppedDown { reason } => self.on_stepped_down(reason, effects),
             NodeEvent::JobCancelled { job } => self.on_cancellation(job, effects),
             NodeEvent::JobEnded { job, outcome } => self.heartbeat.on_job_ended(job, outcome),
-            NodeEvent::UpgradeEvidence { observation } => self.rollout.proven(observation, effects),
+            NodeEvent::UpgradeEvidence { observation } => {
+                self.rollout.on_upgrade_evidence(observation, effects)
+            }
             NodeEvent::LevelChanged => self.rollout.reread(effects.now.mono),
             NodeEvent::Upgraded => self.on_upgraded(effects),
             NodeEvent::MachineTypesRead(_) => {}
@@ -30,7 +32,7 @@
             self.stopwatch,
             term,
             version,
-            self.rollout.has_small_values(),
+            self.rollout.small_values_enabled(),
             effects.now,
         );
         for job in self.gateway.known_cancelled() {
--- a/crates/control/src/partitions/leading.rs
+++ b/crates/control/src/partitions/leading.rs
@@ -131,7 +131,7 @@
     ) {
         let now = effects.now.mono;
         self.own_load = own_load;
-        if view.rollout.has_partitions() && leader.is_ready() {
+        if view.rollout.partitions_enabled() && leader.is_ready() {
             leader.begin_delegation();
         }
         self.send_recalls(leader, effects);
@@ -144,7 +144,7 @@
             self.next_review = now + PERMITS_REVIEW_MS;
             leader.review_delegation(now);
         }
-        if !view.rollout.has_partitions() || self.is_unusable {
+        if !view.rollout.partitions_enabled() || self.is_unusable {
             return;
         }
         self.read_table(effects);
--- a/crates/control/src/partitions/leading/grants.rs
+++ b/crates/control/src/partitions/leading/grants.rs
@@ -27,7 +27,7 @@
             return;
         }
         self.note_owner(from, request, now);
-        if !view.rollout.has_partitions() || self.is_unusable || view.grant_ms == 0 {
+        if !view.rollout.partitions_enabled() || self.is_unusable || view.grant_ms == 0 {
             return;
         }
         let entitled = self.handover.entitled(from);
--- a/crates/control/src/partitions/mod.rs
+++ b/crates/control/src/partitions/mod.rs
@@ -212,9 +212,9 @@
         };
         let leader = view.leader.or(self.granting_leader(view.term));
         let leader = leader.filter(|leader| *leader != self.label);
-        let has_partitions = |leader: &&str| view.rollout.peer_has_partitions(leader, now);
+        let has_partitions = |leader: &&str| view.rollout.peer_supports_partitions(leader, now);
         let Some(leader) = leader
-            .filter(|_| view.rollout.has_partitions())
+            .filter(|_| view.rollout.partitions_enabled())
             .filter(has_partitions)
         else {
             return;
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,5 +1,5 @@
 //! Upgrades of the controllers. This actor drives the state machines of the `rollout` crate with the state service's
-//! replies, peers' heartbeats and what users' requests prove, and tells the node which features are open.
+//! replies, heartbeats of peers and evidence from users' requests, and tells the node which features are enabled.
 
 mod features;
 mod logging;
@@ -9,132 +9,144 @@
 use crate::settings::{Finalization, RolloutSettings, Settings};
 use constants::ROLLOUT_LOG_MS;
 use rollout::{
-    Gates, GenerationMachine, Identity, LevelRange, Output, Policy, Reply, Request, RolloutMachine,
-    RolloutStatus,
+    FeatureGates, GenerationStateMachine, Identity, LevelRange, Output, Policy, Reply, Request,
+    RolloutStateMachine, RolloutStatus,
 };
 
-/// Version of this build, as it is announced.
-const BUILD: &str = env!("CARGO_PKG_VERSION");
+/// Version of this build, which controllers announce.
+const BUILD_VERSION: &str = env!("CARGO_PKG_VERSION");
 
 /// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// The kind of upgrades that the operators' settings ask for.
-enum Machine {
-    /// Staged upgrades are not switched on: generations, as before them.
-    Generation(GenerationMachine),
-    /// Staged upgrades.
-    Levels(Box<RolloutMachine>),
+/// The state machine for the kind of upgrades that the operators' settings select.
+enum UpgradeStateMachine {
+    /// Staged upgrades are not switched on: generations are used.
+    Generations(GenerationStateMachine),
+    /// Staged upgrades are switched on.
+    Staged(Box<RolloutStateMachine>),
 }
 
 /// The actor for upgrades.
 pub(crate) struct Rollout {
-    machine: Machine,
-    /// Number of the request whose reply is awaited; replies to earlier ones are dropped.
-    request: u64,
+    state_machine: UpgradeStateMachine,
+    /// Number of the last request to the state service. Replies to earlier requests are dropped.
+    request_number: u64,
     /// Whether the node has been told that small values may be written.
-    small_values_announced: bool,
-    next_status_log: u64,
+    small_values_notified: bool,
+    next_status_log_at: u64,
 }
 
 impl Rollout {
-    /// The actor of a process that has just started. `staged` are the settings of staged upgrades, if those
-    /// are switched on; `boot` is the number of the process.
-    pub fn new(settings: &Settings, staged: Option<&RolloutSettings>, boot: u64, now: u64) -> Self {
+    /// The actor of a process that has just started. `rollout_settings` are the settings of staged upgrades, if those
+    /// are switched on; `boot` is the random number that identifies the process.
+    pub fn new(
+        settings: &Settings,
+        rollout_settings: Option<&RolloutSettings>,
+        boot: u64,
+        now: u64,
+    ) -> Self {
         let siblings = settings.siblings.iter().map(|s| s.label.clone());
-        let machine = match staged {
-            None => Machine::Generation(GenerationMachine::new(&settings.label, siblings)),
-            Some(staged) => {
+        let state_machine = match rollout_settings {
+            None => {
+                let machine = GenerationStateMachine::new(&settings.label, siblings);
+                UpgradeStateMachine::Generations(machine)
+            }
+            Some(rollout_settings) => {
                 let identity = Identity {
                     label: settings.label.clone(),
-                    build: BUILD.to_string(),
+                    build: BUILD_VERSION.to_string(),
                     boot,
                     // The settings were validated when they were read.
-                    range: staged.range().unwrap_or(LevelRange::BUILD),
+                    range: rollout_settings.range().unwrap_or(LevelRange::SUPPORTED),
                 };
-                let machine = RolloutMachine::new(identity, siblings, policy(staged));
-                Machine::Levels(Box::new(machine))
+                let policy = policy_from_settings(rollout_settings);
+                let machine = RolloutStateMachine::new(identity, siblings, policy);
+                UpgradeStateMachine::Staged(Box::new(machine))
             }
         };
         Rollout {
-            machine,
-            request: 0,
-            small_values_announced: false,
-            next_status_log: now + ROLLOUT_LOG_MS,
+            state_machine,
+            request_number: 0,
+            small_values_notified: false,
+            next_status_log_at: now + ROLLOUT_LOG_MS,
         }
     }
 
-    /// The machine of staged upgrades, if those are switched on.
-    fn levels(&self) -> Option<&RolloutMachine> {
-        match &self.machine {
-            Machine::Generation(_) => None,
-            Machine::Levels(machine) => Some(machine),
+    /// The state machine of staged upgrades, if those are switched on.
+    fn staged(&self) -> Option<&RolloutStateMachine> {
+        match &self.state_machine {
+            UpgradeStateMachine::Generations(_) => None,
+            UpgradeStateMachine::Staged(machine) => Some(machine),
         }
     }
 
-    fn gates(&self) -> Gates {
-        match &self.machine {
-            Machine::Generation(machine) => machine.gates(),
-            Machine::Levels(machine) => machine.gates(),
+    fn gates(&self) -> FeatureGates {
+        match &self.state_machine {
+            UpgradeStateMachine::Generations(machine) => machine.gates(),
+            UpgradeStateMachine::Staged(machine) => machine.gates(),
         }
     }
 
-    /// When [`Rollout::tick`] wants to be called.
+    /// When [`Rollout::tick`] is to be called next.
     pub fn next_wake(&self) -> u64 {
-        match &self.machine {
-            Machine::Generation(machine) => machine.next_wake(),
-            Machine::Levels(machine) => machine.next_wake().min(self.next_status_log),
+        match &self.state_machine {
+            UpgradeStateMachine::Generations(machine) => machine.next_wake(),
+            UpgradeStateMachine::Staged(machine) => {
+                machine.next_wake().min(self.next_status_log_at)
+            }
         }
     }
 
     /// The state of the upgrade, if staged upgrades are switched on and it has been read.
     pub fn status(&self, now: u64) -> Option<RolloutStatus> {
-        self.levels()?.status(now)
+        self.staged()?.status(now)
     }
 
-    /// A peer has sent a heartbeat. `boot` is the number of its process.
+    /// Notes a heartbeat of a peer. `boot` is the random number that identifies its process.
     pub fn on_heartbeat(&mut self, label: &str, boot: u64, now: u64) {
-        if let Machine::Levels(machine) = &mut self.machine {
+        if let UpgradeStateMachine::Staged(machine) = &mut self.state_machine {
             machine.on_heartbeat(label, boot, now);
         }
     }
 
-    /// Reads the level again, since the process was stalled or a write found the level changed. A reply
+    /// Schedules a new read of the level, because the process was stalled or a write found the level changed. A reply
     /// that is still awaited is dropped.
     pub fn reread(&mut self, now: u64) {
-        if let Machine::Levels(machine) = &mut self.machine {
+        if let UpgradeStateMachine::Staged(machine) = &mut self.state_machine {
             machine.reread(now);
-            self.request += 1;
+            self.request_number += 1;
         }
     }
 
-    /// Something was observed that occurs only when every controller runs generation 1.
-    pub fn proven(&mut self, reason: &'static str, effects: &mut Effects) {
-        if self.has_small_values() {
+    /// Notes an observation that is possible only when every controller runs generation 1.
+    pub fn on_upgrade_evidence(&mut self, evidence: &'static str, effects: &mut Effects) {
+        if self.small_values_enabled() {
             return;
         }
-        log::info!("event=upgrade_confirmed why={reason:?}");
-        match &mut self.machine {
-            Machine::Generation(machine) => machine.proven(reason, effects.now.mono),
-            Machine::Levels(machine) => machine.proven(reason, effects.now.mono),
+        log::info!("event=upgrade_confirmed why={evidence:?}");
+        let now = effects.now.mono;
+        match &mut self.state_machine {
+            UpgradeStateMachine::Generations(machine) => machine.on_upgrade_evidence(evidence, now),
+            UpgradeStateMachine::Staged(machine) => machine.on_upgrade_evidence(evidence, now),
         }
-        self.announce_small_values(effects);
+        self.notify_small_values(effects);
     }
 
-    /// Does what is due by the clock. `leader` is the label of the present leader, if it is known.
+    /// Does the work that is due. `leader` is the label of the present leader, if it is known.
     pub fn tick(&mut self, leader: Option<&str>, effects: &mut Effects) {
         let now = effects.now.mono;
-        let output = match &mut self.machine {
-            Machine::Generation(machine) => machine.tick(now),
-            Machine::Levels(machine) => machine.tick(now, leader),
+        let output = match &mut self.state_machine {
+            UpgradeStateMachine::Generations(machine) => machine.tick(now),
+            UpgradeStateMachine::Staged(machine) => machine.tick(now, leader),
         };
-        self.carry_out(output, effects);
+        self.handle_output(output, effects);
         self.log_status_if_due(now);
     }
 
-    /// The state service has replied to the request of this number.
-    pub fn on_reply(&mut self, request: u64, reply: StateReply, effects: &mut Effects) {
-        if request != self.request {
+    /// Handles the state service's reply to the request with this number.
+    pub fn on_reply(&mut self, request_number: u64, reply: StateReply, effects: &mut Effects) {
+        if request_number != self.request_number {
             return;
         }
         let now = effects.now;
@@ -145,46 +157,52 @@
             StateReply::Committed { .. } => Reply::Committed,
             _ => Reply::Failed,
         };
-        let output = match &mut self.machine {
-            Machine::Generation(machine) => machine.on_reply(reply, now.mono),
-            Machine::Levels(machine) => machine.on_reply(reply, now.mono, now.unix),
+        let output = match &mut self.state_machine {
+            UpgradeStateMachine::Generations(machine) => machine.on_reply(reply, now.mono),
+            UpgradeStateMachine::Staged(machine) => machine.on_reply(reply, now.mono, now.unix),
         };
-        self.carry_out(output, effects);
+        self.handle_output(output, effects);
     }
 
     /// Logs the events of a state machine, and sends its request.
-    fn carry_out(&mut self, output: Output, effects: &mut Effects) {
+    fn handle_output(&mut self, output: Output, effects: &mut Effects) {
         for event in output.events {
             logging::log_event(&event);
         }
-        self.announce_small_values(effects);
+        self.notify_small_values(effects);
         let Some(request) = output.request else {
             return;
         };
         let op = match request {
-            Request::List { prefix, from } => StateOp::List { prefix, from },
+            Request::List {
+                prefix,
+                start_after,
+            } => StateOp::List {
+                prefix,
+                from: start_after,
+            },
             Request::Get(key) => StateOp::Get(key.to_string()),
             Request::Commit(txn) => StateOp::Txn(txn),
         };
-        self.request += 1;
-        let tag = StateTag::Rollout(self.request);
+        self.request_number += 1;
+        let tag = StateTag::Rollout(self.request_number);
         effects.request_state(Priority::Leadership, op, tag);
     }
 
     /// Tells the node, once, that small values may be written.
-    fn announce_small_values(&mut self, effects: &mut Effects) {
-        if !self.small_values_announced && self.has_small_values() {
-            self.small_values_announced = true;
+    fn notify_small_values(&mut self, effects: &mut Effects) {
+        if !self.small_values_notified && self.small_values_enabled() {
+            self.small_values_notified = true;
             effects.emit(NodeEvent::Upgraded);
         }
     }
 
-    /// Logs from time to time what an upgrade that is under way waits for.
+    /// Periodically logs what an upgrade that is under way waits for.
     fn log_status_if_due(&mut self, now: u64) {
-        if now < self.next_status_log {
+        if now < self.next_status_log_at {
             return;
         }
-        self.next_status_log = now + ROLLOUT_LOG_MS;
+        self.next_status_log_at = now + ROLLOUT_LOG_MS;
         let Some(status) = self.status(now) else {
             return;
         };
@@ -195,12 +213,12 @@
     }
 }
 
-/// The policy of the state machine by the operators' settings.
-fn policy(staged: &RolloutSettings) -> Policy {
+/// The policy of the state machine, from the operators' settings.
+fn policy_from_settings(rollout_settings: &RolloutSettings) -> Policy {
     let to_ms = |seconds: f64| (seconds * MS_PER_SECOND) as u64;
     Policy {
-        finalizes: staged.finalize == Finalization::Automatic,
-        soak_ms: to_ms(staged.soak_s),
-        stall_ms: to_ms(staged.stall_s),
+        finalizes_automatically: rollout_settings.finalize == Finalization::Automatic,
+        soak_ms: to_ms(rollout_settings.soak_s),
+        stall_ms: to_ms(rollout_settings.stall_s),
     }
 }
--- a/crates/control/src/rollout/logging.rs
+++ b/crates/control/src/rollout/logging.rs
@@ -1,6 +1,6 @@
 //! Log lines about upgrades.
 
-use super::BUILD;
+use super::BUILD_VERSION;
 use rollout::{ControllerStatus, Event, RolloutStatus};
 
 /// Logs the state of an upgrade that is under way.
@@ -19,7 +19,7 @@
     );
 }
 
-/// A controller with its announced levels, as it is logged.
+/// The log text of a controller: its label, announced levels and liveness.
 fn controller_text(controller: &ControllerStatus) -> String {
     let ControllerStatus {
         label, liveness, ..
@@ -30,53 +30,53 @@
     }
 }
 
-/// Logs what a state machine has observed or done.
+/// Logs an event of a state machine.
 pub(super) fn log_event(event: &Event) {
     match event {
         Event::Announced { range } => {
-            log::info!("event=levels_announced range={range} build={BUILD}");
+            log::info!("event=levels_announced range={range} build={BUILD_VERSION}");
         }
         Event::LevelRead {
             active,
             finalized,
             phase,
         } => log::info!("event=level_read active={active} finalized={finalized} phase={phase:?}"),
-        Event::Moved {
+        Event::TransitionCommitted {
             from,
             to,
             active,
-            why,
+            reason,
         } => {
-            log::info!("event=rollout_moved from={from:?} to={to:?} active={active} why={why:?}");
+            log::info!("event=rollout_moved from={from:?} to={to:?} active={active} why={reason:?}");
         }
         Event::Paused(reason) => log::error!("event=rollout_paused why=\"{reason}\""),
         Event::Resumed => log::info!("event=rollout_resumed"),
-        Event::Unannounced {
+        Event::UnannouncedController {
             label,
             finalized: 0,
         } => log::info!("event=member_unannounced node={label}"),
-        Event::Unannounced { label, finalized } => log::error!(
+        Event::UnannouncedController { label, finalized } => log::error!(
             "event=rollback_impossible node={label} finalized={finalized} \
-             why=\"it announces no levels, and what is final stays\""
+             why=\"the controller announces no levels, and a finalized level can't be rolled back\""
         ),
-        Event::UnknownMember { label } => {
-            log::error!("event=member_unknown node={label} why=\"it is not configured here\"");
+        Event::UnconfiguredController { label } => {
+            log::error!("event=member_unknown node={label} why=\"the controller is not configured here\"");
         }
-        Event::Refused {
+        Event::AdmissionRefused {
             range,
             active,
             finalized,
         } => log::error!(
             "event=build_refused range={range} active={active} finalized={finalized} \
-             why=\"this build can't run what the cluster runs; it serves and writes nothing\""
+             why=\"this build does not support the level of the cluster; it serves and writes nothing\""
         ),
-        Event::Unreadable { key } => {
-            log::error!("event=record_unreadable key={key} why=\"not as this build writes it\"");
+        Event::UnreadableRecord { key } => {
+            log::error!("event=record_unreadable key={key} why=\"this build can't decode the record\"");
         }
         Event::GenerationRecorded => log::info!("event=generation_announced generation=1"),
-        Event::MarkRaised { missing, evidence } => {
+        Event::RaisingMark { missing, evidence } => {
             log::info!("event=generation_raised generation=1 missing={missing} proof={evidence:?}");
         }
-        Event::MarkSeen { generation } => log::info!("event=upgraded generation={generation}"),
+        Event::MarkObserved { generation } => log::info!("event=upgraded generation={generation}"),
     }
 }
--- a/crates/control/src/settings/operator.rs
+++ b/crates/control/src/settings/operator.rs
@@ -121,8 +121,8 @@
 impl Default for RolloutSettings {
     fn default() -> Self {
         RolloutSettings {
-            oldest_level: rollout::LevelRange::BUILD.oldest(),
-            newest_level: rollout::LevelRange::BUILD.newest(),
+            oldest_level: rollout::LevelRange::SUPPORTED.oldest(),
+            newest_level: rollout::LevelRange::SUPPORTED.newest(),
             finalize: Finalization::default(),
             soak_s: constants::SOAK_S,
             stall_s: constants::STALL_S,
@@ -133,6 +133,6 @@
 impl RolloutSettings {
     /// The feature levels that this controller announces.
     pub fn range(&self) -> Result<rollout::LevelRange, rollout::levels::RangeError> {
-        rollout::LevelRange::held(self.oldest_level, self.newest_level)
+        rollout::LevelRange::restricted(self.oldest_level, self.newest_level)
     }
 }
--- a/crates/rollout/src/generation.rs
+++ b/crates/rollout/src/generation.rs
@@ -1,14 +1,15 @@
-//! The upgrade from the build without pipelines, where rollouts are not switched on.
+//! The upgrade from the build without pipelines, where staged upgrades are not switched on.
 //!
-//! Each process leaves its generation under its controller's label in the state service, once. A controller whose
-//! label is there never runs an older build again. So once every label is there, every controller can read the new
-//! formats. That moment is made durable as a mark that only grows, raised under the conditions that it depends on.
+//! Each process records its generation in the state service, once, under the label of its controller. A controller
+//! whose label is recorded never runs an older build again. So once all labels are recorded, every controller can read
+//! the new formats. This fact is made durable as the mark, a generation number that never decreases. The mark is raised
+//! on condition that the records on which it rests have not changed.
 //!
-//! Users' requests can prove the same: a request that only the new build accepts, or a refusal for a size that only
-//! the future limits explain, comes after the upgrade is over. A controller that is permanently down then blocks
-//! nothing.
+//! Requests of users can prove the same: a request that only the new build accepts, or a refusal for a size that only
+//! the future limits explain, comes after the end of the upgrade. Then a controller that is permanently down does not
+//! block the upgrade.
 
-use crate::gates::Gates;
+use crate::gates::FeatureGates;
 use crate::levels::{Level, LevelRange, GENERATION_1};
 use crate::request::{Event, Reply, Request};
 use crate::state_machine::Output;
@@ -17,93 +18,98 @@
 use wire::records::{node_key, GenerationRecord, UnknownFields, GENERATIONS, MARK};
 use wire::state::{Compare, Item, Txn, Write};
 
-/// Labels that are conditions of raising the mark. The smallest transaction limit allows sixteen conditions.
-const GUARDED_LABELS: usize = 14;
+/// Number of labels whose records are conditions of raising the mark. The smallest transaction limit allows sixteen
+/// conditions.
+const CONDITION_LABELS_MAX: usize = 14;
 
-/// A generation as it was read.
+/// A generation record as it was read; generation 0 and version 0 if there is none.
 #[derive(Default, Clone)]
-struct Read {
+struct StoredGeneration {
     generation: Level,
     version: u64,
     unknown: UnknownFields,
 }
 
-/// The state machine of one controller.
-pub struct GenerationMachine {
+/// The generation state machine of one controller.
+pub struct GenerationStateMachine {
     label: String,
     /// Labels of all controllers, this one included.
     labels: Vec<String>,
-    /// Why no old process can be left, if something other than the records proves it.
+    /// What proves that no old process can be left, if something other than the records does.
     evidence: Option<&'static str>,
-    raised: bool,
-    busy: bool,
-    next_at: u64,
+    is_mark_raised: bool,
+    awaits_reply: bool,
+    next_read_at: u64,
 }
 
-impl GenerationMachine {
-    /// A process that has just started.
+impl GenerationStateMachine {
+    /// The state of a process that has just started.
     pub fn new(label: &str, siblings: impl Iterator<Item = String>) -> Self {
-        GenerationMachine {
+        GenerationStateMachine {
             label: label.to_string(),
             labels: siblings.chain([label.to_string()]).collect(),
             evidence: None,
-            raised: false,
-            busy: false,
-            next_at: 0,
+            is_mark_raised: false,
+            awaits_reply: false,
+            next_read_at: 0,
         }
     }
 
-    /// When [`GenerationMachine::tick`] is to be called next.
+    /// When [`GenerationStateMachine::tick`] is to be called next.
     pub fn next_wake(&self) -> u64 {
-        match self.raised || self.busy {
+        match self.is_mark_raised || self.awaits_reply {
             true => u64::MAX,
-            false => self.next_at,
+            false => self.next_read_at,
         }
     }
 
     /// Which features may be used.
-    pub fn gates(&self) -> Gates {
-        let mut gates = Gates::closed(LevelRange::BUILD);
-        if self.raised || self.evidence.is_some() {
-            gates.prove_generation_1();
+    pub fn gates(&self) -> FeatureGates {
+        let mut gates = FeatureGates::closed(LevelRange::SUPPORTED);
+        if self.is_mark_raised || self.evidence.is_some() {
+            gates.set_generation_1_finalized();
         }
         gates
     }
 
-    /// Something happened that happens only after the upgrade.
-    pub fn proven(&mut self, why: &'static str, now: u64) {
-        if !self.raised && self.evidence.is_none() {
-            self.evidence = Some(why);
-            self.next_at = now;
+    /// Notes an observation that is possible only after the upgrade.
+    pub fn on_upgrade_evidence(&mut self, evidence: &'static str, now: u64) {
+        if !self.is_mark_raised && self.evidence.is_none() {
+            self.evidence = Some(evidence);
+            self.next_read_at = now;
         }
     }
 
-    /// Time passed.
+    /// Starts reading the generations if that is due.
     pub fn tick(&mut self, now: u64) -> Output {
-        if self.raised || self.busy || now < self.next_at {
+        if self.is_mark_raised || self.awaits_reply || now < self.next_read_at {
             return Output::default();
         }
-        let from = String::new();
+        let start_after = String::new();
         let prefix = GENERATIONS;
-        self.ask(Request::List { prefix, from }, Vec::new())
+        let list = Request::List {
+            prefix,
+            start_after,
+        };
+        self.send(list, Vec::new())
     }
 
-    fn ask(&mut self, request: Request, events: Vec<Event>) -> Output {
-        self.busy = true;
+    fn send(&mut self, request: Request, events: Vec<Event>) -> Output {
+        self.awaits_reply = true;
         Output {
             request: Some(request),
             events,
         }
     }
 
-    /// The reply to the last request.
+    /// Handles the reply to the last request.
     pub fn on_reply(&mut self, reply: Reply, now: u64) -> Output {
-        self.busy = false;
-        self.next_at = now + GENERATION_POLL_MS;
+        self.awaits_reply = false;
+        self.next_read_at = now + GENERATION_POLL_MS;
         match reply {
-            // After a conflict or an unknown outcome the next reading shows what is stored.
+            // After a conflict or an unknown outcome, the next read shows what is stored.
             Reply::Page(page) => return self.on_page(page.items),
-            Reply::Committed => self.next_at = now,
+            Reply::Committed => self.next_read_at = now,
             _ => {}
         }
         Output::default()
@@ -111,77 +117,84 @@
 
     fn on_page(&mut self, items: Vec<Item>) -> Output {
         let mut events = Vec::new();
-        let mut known: BTreeMap<String, Read> = BTreeMap::new();
+        let mut by_key: BTreeMap<String, StoredGeneration> = BTreeMap::new();
         for item in items {
             match item.value.deserialized::<GenerationRecord>() {
                 Ok(record) => {
-                    let read = Read {
+                    let stored = StoredGeneration {
                         generation: record.generation,
                         version: item.version,
                         unknown: record.unknown,
                     };
-                    known.insert(item.key, read);
+                    by_key.insert(item.key, stored);
                 }
-                Err(_) => events.push(Event::Unreadable { key: item.key }),
+                Err(_) => events.push(Event::UnreadableRecord { key: item.key }),
             }
         }
-        let mut output = self.act(&known);
+        let mut output = self.next_write(&by_key);
         events.append(&mut output.events);
         Output { events, ..output }
     }
 
-    fn act(&mut self, known: &BTreeMap<String, Read>) -> Output {
-        let read = |key: &str| known.get(key).cloned().unwrap_or_default();
-        let mark = read(MARK);
+    /// Writes the record that is due, if any: the generation of this controller, then the mark.
+    fn next_write(&mut self, by_key: &BTreeMap<String, StoredGeneration>) -> Output {
+        let stored = |key: &str| by_key.get(key).cloned().unwrap_or_default();
+        let mark = stored(MARK);
         if mark.generation >= GENERATION_1 {
-            self.raised = true;
+            self.is_mark_raised = true;
             return Output {
                 request: None,
-                events: vec![Event::MarkSeen {
+                events: vec![Event::MarkObserved {
                     generation: mark.generation,
                 }],
             };
         }
         let own_key = node_key(&self.label);
-        let own = read(&own_key);
+        let own = stored(&own_key);
         if own.generation < GENERATION_1 {
-            let request = raise(own_key, own, Vec::new());
-            return self.ask(request, vec![Event::GenerationRecorded]);
+            let request = write_generation_1(own_key, own, Vec::new());
+            return self.send(request, vec![Event::GenerationRecorded]);
         }
-        let nodes: Vec<(String, Read)> = self
+        let nodes: Vec<(String, StoredGeneration)> = self
             .labels
             .iter()
             .map(|label| node_key(label))
-            .map(|key| (key.clone(), read(&key)))
+            .map(|key| (key.clone(), stored(&key)))
             .collect();
-        let has_recorded = |(_, read): &&(String, Read)| read.generation >= GENERATION_1;
+        let has_recorded =
+            |(_, node): &&(String, StoredGeneration)| node.generation >= GENERATION_1;
         let missing = nodes.len() - nodes.iter().filter(has_recorded).count();
         if missing > 0 && self.evidence.is_none() {
             return Output::default();
         }
-        let compares = match self.evidence {
+        let conditions = match self.evidence {
             Some(_) => Vec::new(),
             None => {
-                let guarded = nodes.into_iter().take(GUARDED_LABELS);
-                guarded
-                    .map(|(key, read)| Compare::new(key, read.version))
+                let checked = nodes.into_iter().take(CONDITION_LABELS_MAX);
+                checked
+                    .map(|(key, node)| Compare::new(key, node.version))
                     .collect()
             }
         };
         let evidence = self.evidence.unwrap_or("every node has told");
-        let request = raise(MARK.to_string(), mark, compares);
-        self.ask(request, vec![Event::MarkRaised { missing, evidence }])
+        let request = write_generation_1(MARK.to_string(), mark, conditions);
+        self.send(request, vec![Event::RaisingMark { missing, evidence }])
     }
 }
 
-/// Writes generation 1 under a key, as it was read and under further conditions.
-fn raise(key: String, read: Read, mut further: Vec<Compare>) -> Request {
+/// A request that sets a record to generation 1, provided that the record is unchanged since it was read and that
+/// further conditions hold.
+fn write_generation_1(
+    key: String,
+    stored: StoredGeneration,
+    mut further_conditions: Vec<Compare>,
+) -> Request {
     let record = GenerationRecord {
         generation: GENERATION_1,
-        unknown: read.unknown,
+        unknown: stored.unknown,
     };
-    let mut compares = vec![Compare::new(key.clone(), read.version)];
-    compares.append(&mut further);
+    let mut compares = vec![Compare::new(key.clone(), stored.version)];
+    compares.append(&mut further_conditions);
     Request::Commit(Txn {
         compares,
         writes: vec![Write::put(key, &record)],
--- a/crates/rollout/src/identity.rs
+++ b/crates/rollout/src/identity.rs
@@ -9,18 +9,18 @@
     pub label: String,
     /// Name of the build.
     pub build: String,
-    /// Number drawn at the start of the process.
+    /// Random number that identifies the process, drawn when it starts.
     pub boot: u64,
-    /// Levels that it can run.
+    /// Levels that the process supports.
     pub range: LevelRange,
 }
 
 /// The operators' policy for upgrades.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// Whether a level is finalized once it has soaked. Otherwise it stays reversible.
-    pub finalizes: bool,
-    /// Milliseconds that it soaks.
+    /// Whether a level is finalized at the end of its soak period. Otherwise the upgrade stays reversible.
+    pub finalizes_automatically: bool,
+    /// Milliseconds of the soak period.
     pub soak_ms: u64,
     /// Milliseconds without progress after which an upgrade is paused.
     pub stall_ms: u64,
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,15 +1,15 @@
-//! What may be written of an upgrade, as pure functions of what was read and observed.
+//! Pure functions that compute what an upgrade may write from what was read and observed.
 //!
-//! Every transaction computed here has the version of the level record among its conditions, and each writes that
-//! record. So of two that were computed from the same reading one at most is executed, whoever computed them and
-//! however late they arrive; and an announcement that comes between a reading and a transition fails the transition.
+//! Every transition and announcement computed here writes the level record, on condition that its version is
+//! unchanged. So of two transactions computed from the same snapshot at most one is executed, whoever computed them and
+//! however late they arrive; and an announcement between a read and a transition makes the transition fail.
 
 mod admission;
 mod transactions;
 mod transitions;
 
-pub use admission::{admission_guard, announcement, is_admitted};
-pub use transactions::{proven, transaction};
+pub use admission::{admission_condition, announcement_transaction, is_admitted};
+pub use transactions::{finalize_by_evidence, transition_transaction};
 pub(crate) use transitions::RESUMED;
 
 use crate::heartbeats::Liveness;
@@ -19,32 +19,32 @@
 /// A configured controller, as it is observed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Controller {
-    /// Its label.
+    /// Label of the controller.
     pub label: String,
-    /// How its heartbeats compare with its announcement.
+    /// How the heartbeats of the controller compare with its announcement.
     pub liveness: Liveness,
 }
 
-/// What a transition is decided on.
+/// The input from which the next transition is computed.
 #[derive(Debug, Clone)]
-pub struct View<'a> {
-    /// What was read.
+pub struct PlanningInput<'a> {
+    /// The records that were read.
     pub snapshot: &'a Snapshot,
     /// All configured controllers, this one included.
     pub controllers: &'a [Controller],
-    /// A reason to pause, if there is one.
-    pub trouble: Option<PauseReason>,
-    /// Whether the level has been active without trouble for long enough to be finalized.
+    /// Why the upgrade must be paused, if it must.
+    pub pause_reason: Option<PauseReason>,
+    /// Whether the active level has completed its soak period and may be finalized.
     pub may_finalize: bool,
     /// Time of day in milliseconds.
-    pub unix: u64,
+    pub unix_ms: u64,
 }
 
 /// A step of an upgrade.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Transition {
-    /// The level record after it.
+    /// The level record after the step.
     pub level: LevelRecord,
-    /// Why, for the log.
-    pub why: &'static str,
+    /// Why the step is due, for the log.
+    pub reason: &'static str,
 }
--- a/crates/rollout/src/plan/admission.rs
+++ b/crates/rollout/src/plan/admission.rs
@@ -1,4 +1,4 @@
-//! Which builds may take part, and how a process announces itself.
+//! Which builds may take part in the cluster, and the announcement of a process.
 
 use crate::identity::Identity;
 use crate::levels::LevelRange;
@@ -6,23 +6,29 @@
 use wire::records::{member_key, LevelRecord, MemberRecord, PauseReason, Phase, LEVEL, MARK};
 use wire::state::{Compare, Txn, Write};
 
-/// Whether a build with this range may take part: it can run what is final, and what is active is not behind it.
+/// Whether a build with this range may take part: its newest level is not below the finalized level, and its oldest
+/// level is not above the active level.
 pub fn is_admitted(range: LevelRange, snapshot: &Snapshot) -> bool {
     range.newest() >= snapshot.finalized() && range.oldest() <= snapshot.active()
 }
 
-/// The condition that nothing has become final since a snapshot was read. Part of each election: a process that was
-/// admitted once, and then stood still, must not be elected because of that admission.
-pub fn admission_guard(snapshot: &Snapshot) -> Compare {
+/// The condition that nothing has been finalized since a snapshot was read. Each election has it: a process that was
+/// admitted and then stalled must not be elected by that earlier admission.
+pub fn admission_condition(snapshot: &Snapshot) -> Compare {
     Compare::new(MARK, snapshot.mark.version())
 }
 
-/// The announcement of a process, if it is not stored yet. The active level goes back with it to what it can run, in
-/// the same transaction, so that the level never exceeds what is announced.
+/// The transaction that announces a process, if its announcement is not stored yet. If the process does not support the
+/// active level, the same transaction lowers that level to its newest one, so that the active level never exceeds what
+/// is announced.
 ///
-/// A build that is not admitted announces nothing; nor does any where the level or the mark can't be read, since the
-/// final level would be a guess.
-pub fn announcement(identity: &Identity, snapshot: &Snapshot, unix: u64) -> Option<Txn> {
+/// A build that is not admitted announces nothing. Nor does any build that can't read the level or the mark, since it
+/// would have to guess the finalized level.
+pub fn announcement_transaction(
+    identity: &Identity,
+    snapshot: &Snapshot,
+    unix_ms: u64,
+) -> Option<Txn> {
     if !is_admitted(identity.range, snapshot)
         || snapshot.level.is_unreadable()
         || snapshot.mark.is_unreadable()
@@ -44,7 +50,7 @@
     if stored.and_then(Stored::record) == Some(&member) {
         return None;
     }
-    let level = announced_level(identity, snapshot, unix);
+    let level = level_after_announcement(identity, snapshot, unix_ms);
     Some(Txn {
         compares: vec![
             Compare::new(LEVEL, snapshot.level.version()),
@@ -55,10 +61,10 @@
     })
 }
 
-/// The level record as an announcement leaves it.
-fn announced_level(identity: &Identity, snapshot: &Snapshot, unix: u64) -> LevelRecord {
+/// The level record that an announcement writes.
+fn level_after_announcement(identity: &Identity, snapshot: &Snapshot, unix_ms: u64) -> LevelRecord {
     let stored = snapshot.level.record().cloned();
-    let mut level = stored.unwrap_or_else(|| LevelRecord::idle(snapshot.finalized(), unix));
+    let mut level = stored.unwrap_or_else(|| LevelRecord::idle(snapshot.finalized(), unix_ms));
     level.announcements += 1;
     level.active = snapshot.active();
     let newest = identity.range.newest();
@@ -66,7 +72,7 @@
         level.active = newest;
         level.phase = Phase::Mixed;
         level.number += 1;
-        level.since = unix;
+        level.since = unix_ms;
         level.pause = Some(PauseReason::Regressed {
             label: identity.label.clone(),
         });
--- a/crates/rollout/src/plan/transactions.rs
+++ b/crates/rollout/src/plan/transactions.rs
@@ -1,4 +1,4 @@
-//! The transactions by which transitions are written.
+//! The transactions that write transitions.
 
 use crate::levels::{Feature, Level};
 use crate::plan::Transition;
@@ -6,9 +6,10 @@
 use wire::records::{GenerationRecord, Phase, TermRecord, LEVEL, MARK, TERM};
 use wire::state::{Compare, Txn, Write};
 
-/// The transaction of a transition. Finalizing raises the mark, and writes the term in the layout that keeps builds
-/// without rollouts from leading, if the level has it; `None` if the term can't be read.
-pub fn transaction(snapshot: &Snapshot, transition: &Transition) -> Option<Txn> {
+/// The transaction that writes a transition. Finalization also raises the mark and, if the level has
+/// [`Feature::FencedTerm`], rewrites the term in the layout that keeps builds without staged upgrades from leading.
+/// `None` if finalization is due and the term can't be read.
+pub fn transition_transaction(snapshot: &Snapshot, transition: &Transition) -> Option<Txn> {
     let mut txn = Txn {
         compares: vec![
             Compare::new(LEVEL, snapshot.level.version()),
@@ -26,7 +27,7 @@
             MARK,
             &raised_mark(snapshot, transition.level.active),
         ));
-        if Feature::FencedTerm.is_in(transition.level.active) && !term.fenced {
+        if Feature::FencedTerm.is_supported_at(transition.level.active) && !term.fenced {
             let fenced = TermRecord {
                 fenced: true,
                 ..term.clone()
@@ -37,15 +38,16 @@
     Some(txn)
 }
 
-/// The transaction that makes a level final by proof, whoever has announced what.
-pub fn proven(snapshot: &Snapshot, level: Level) -> Txn {
+/// The transaction that finalizes a level because there is evidence that every controller runs it, regardless of the
+/// announcements.
+pub fn finalize_by_evidence(snapshot: &Snapshot, level: Level) -> Txn {
     Txn {
         compares: vec![Compare::new(MARK, snapshot.mark.version())],
         writes: vec![Write::put(MARK, &raised_mark(snapshot, level))],
     }
 }
 
-/// The mark as it is once a level is final, with the fields that this build does not know.
+/// The mark after a level is finalized. It keeps the fields that this build does not know.
 fn raised_mark(snapshot: &Snapshot, level: Level) -> GenerationRecord {
     let unknown = snapshot.mark.record().map(|mark| mark.unknown.clone());
     GenerationRecord {
--- a/crates/rollout/src/plan/transitions.rs
+++ b/crates/rollout/src/plan/transitions.rs
@@ -2,17 +2,17 @@
 
 use crate::heartbeats::Liveness;
 use crate::levels::Level;
-use crate::plan::{Controller, Transition, View};
+use crate::plan::{Controller, PlanningInput, Transition};
 use crate::snapshot::Stored;
 use wire::records::{LevelRecord, PauseReason, Phase};
 
-/// Why a paused upgrade is resumed, for the log.
+/// Reason of the transition that resumes a paused upgrade, for the log.
 pub(crate) const RESUMED: &str = "resumed";
 
-impl View<'_> {
-    /// Newest level that a controller is known to support. One that has announced nothing, or runs another process
-    /// than the one that did, may be any build that what is final admits.
-    fn supported(&self, controller: &Controller) -> Level {
+impl PlanningInput<'_> {
+    /// Newest level that a controller is known to support. A controller that has announced nothing, or runs another
+    /// process than the one that announced, may run any build that is admitted at the finalized level.
+    fn supported_level(&self, controller: &Controller) -> Level {
         let announced = self.snapshot.member(&controller.label);
         match (announced, controller.liveness) {
             (None, _) | (Some(_), Liveness::Unannounced) => self.snapshot.finalized(),
@@ -20,28 +20,28 @@
         }
     }
 
-    /// The lowest level that a controller supports, and its label.
-    fn least_supported(&self) -> (Level, &str) {
+    /// The newest level that every controller supports, and the label of a controller that supports no newer one.
+    fn common_level(&self) -> (Level, &str) {
         let supported = self.controllers.iter();
-        let supported = supported.map(|c| (self.supported(c), c.label.as_str()));
+        let supported = supported.map(|c| (self.supported_level(c), c.label.as_str()));
         supported.min().unwrap_or((self.snapshot.finalized(), ""))
     }
 
-    /// Newest level that a configured controller supports.
-    fn target(&self) -> Level {
-        let supported = self.controllers.iter().map(|c| self.supported(c));
+    /// The newest level that any configured controller supports.
+    fn target_level(&self) -> Level {
+        let supported = self.controllers.iter().map(|c| self.supported_level(c));
         supported.max().unwrap_or(self.snapshot.finalized())
     }
 
-    /// Whether every controller is heard, as the process that announced itself.
+    /// Whether every controller sends heartbeats from the process that announced itself.
     fn all_confirmed(&self) -> bool {
         let mut controllers = self.controllers.iter();
         controllers.all(|c| c.liveness == Liveness::Confirmed)
     }
 
-    /// Whether the process that leads has announced itself, or nobody leads. Read after the term, whose version is a
-    /// condition of finalizing: so no other process can have been elected since.
-    fn leader_is_announced(&self) -> bool {
+    /// Whether the process that leads has announced itself, or there is no leader. The leader is read after the term,
+    /// whose version is a condition of finalization, so no other process can have been elected since.
+    fn leader_has_announced(&self) -> bool {
         match &self.snapshot.leader {
             Stored::Missing => true,
             Stored::Unreadable { .. } => false,
@@ -57,14 +57,14 @@
         if let Some(pause) = &level.pause {
             return pause.to_string();
         }
-        let (least, label) = self.least_supported();
+        let (common, label) = self.common_level();
         let not_confirmed = self
             .controllers
             .iter()
             .find(|c| c.liveness != Liveness::Confirmed);
         match (level.phase, not_confirmed) {
             (Phase::Idle | Phase::Finalized, _) => "nothing".into(),
-            (Phase::Mixed, _) => format!("{label}, which supports level {least}"),
+            (Phase::Mixed, _) => format!("{label}, which supports level {common}"),
             (_, Some(controller)) => format!("a heartbeat of {}", controller.label),
             (Phase::Ready, None) => "the next look".into(),
             (Phase::Soaking, None) => "finalization".into(),
@@ -77,27 +77,27 @@
         if self.snapshot.mark.is_unreadable() {
             return None;
         }
-        self.catch_up(level)
-            .or_else(|| self.lower(level))
+        self.catch_up_with_mark(level)
+            .or_else(|| self.lower_active_level(level))
             .or_else(|| self.pause_or_resume(level))
             .or_else(|| self.advance(level))
     }
 
-    /// A transition that changes the phase alone.
-    fn transition(&self, from: &LevelRecord, phase: Phase, why: &'static str) -> Transition {
+    /// A transition that changes only the phase.
+    fn transition(&self, from: &LevelRecord, phase: Phase, reason: &'static str) -> Transition {
         Transition {
             level: LevelRecord {
                 phase,
                 number: from.number + 1,
-                since: self.unix,
+                since: self.unix_ms,
                 ..from.clone()
             },
-            why,
+            reason,
         }
     }
 
-    /// Phase where no newer level is the target.
-    fn resting_phase(&self, active: Level) -> Phase {
+    /// The phase while the target is not above the active level.
+    fn phase_at_target(&self, active: Level) -> Phase {
         let finalized = self.snapshot.finalized();
         match (active > finalized, finalized > 0) {
             (true, _) => Phase::Soaking,
@@ -106,27 +106,30 @@
         }
     }
 
-    /// The mark was raised by a build of generation 1.
-    fn catch_up(&self, level: &LevelRecord) -> Option<Transition> {
+    /// Raises the active level if the mark is above it, since a build of generation 1 has raised the mark.
+    fn catch_up_with_mark(&self, level: &LevelRecord) -> Option<Transition> {
         let finalized = self.snapshot.finalized();
         (level.active < finalized).then(|| {
-            let mut transition =
-                self.transition(level, self.resting_phase(finalized), "the mark was raised");
+            let mut transition = self.transition(
+                level,
+                self.phase_at_target(finalized),
+                "the finalized level is above the active level",
+            );
             transition.level.active = finalized;
             transition.level.target = level.target.max(finalized);
             transition
         })
     }
 
-    /// Some controller no longer supports what is active.
-    fn lower(&self, level: &LevelRecord) -> Option<Transition> {
-        let (least, label) = self.least_supported();
-        let active = least.max(self.snapshot.finalized());
+    /// Lowers the active level if some controller no longer supports it.
+    fn lower_active_level(&self, level: &LevelRecord) -> Option<Transition> {
+        let (common, label) = self.common_level();
+        let active = common.max(self.snapshot.finalized());
         (active < level.active).then(|| {
             let mut transition = self.transition(
                 level,
                 Phase::Mixed,
-                "a controller does not support the level",
+                "a controller does not support the active level",
             );
             transition.level.active = active;
             transition.level.pause = Some(PauseReason::Regressed {
@@ -136,12 +139,12 @@
         })
     }
 
-    /// Pauses the upgrade for a new reason, or resumes it once none is left.
+    /// Pauses the upgrade for a new reason, or resumes it if there is no reason anymore.
     fn pause_or_resume(&self, level: &LevelRecord) -> Option<Transition> {
-        match (&self.trouble, &level.pause) {
-            (Some(trouble), pause) if pause.as_ref() != Some(trouble) => {
+        match (&self.pause_reason, &level.pause) {
+            (Some(reason), pause) if pause.as_ref() != Some(reason) => {
                 let mut transition = self.transition(level, level.phase, "paused");
-                transition.level.pause = Some(trouble.clone());
+                transition.level.pause = Some(reason.clone());
                 Some(transition)
             }
             (None, Some(_)) => {
@@ -153,46 +156,55 @@
         }
     }
 
-    /// The transition of an upgrade that nothing holds up.
+    /// The next step of the upgrade if no other transition is due.
     fn advance(&self, level: &LevelRecord) -> Option<Transition> {
-        let (common, least_label) = self.least_supported();
-        let target = self.target();
+        let (common, label) = self.common_level();
+        let target = self.target_level();
         match level.phase {
             Phase::Idle | Phase::Finalized if target > level.active => {
-                let mut transition = self.transition(level, Phase::Mixed, "a newer build is there");
+                let mut transition =
+                    self.transition(level, Phase::Mixed, "a controller supports a newer level");
                 transition.level.target = target;
                 Some(transition)
             }
             Phase::Mixed if target <= level.active => {
-                let phase = self.resting_phase(level.active);
-                let mut transition = self.transition(level, phase, "no newer build is left");
+                let phase = self.phase_at_target(level.active);
+                let mut transition =
+                    self.transition(level, phase, "no controller supports a newer level");
                 transition.level.target = level.active;
                 transition.level.pause = None;
                 Some(transition)
             }
             Phase::Mixed if common > level.active => {
-                let mut transition =
-                    self.transition(level, Phase::Ready, "every controller supports it");
+                let mut transition = self.transition(
+                    level,
+                    Phase::Ready,
+                    "every controller supports a newer level",
+                );
                 transition.level.target = common;
                 Some(transition)
             }
             Phase::Ready if common <= level.active => {
-                let mut transition = self.transition(level, Phase::Mixed, "a controller went back");
+                let mut transition = self.transition(
+                    level,
+                    Phase::Mixed,
+                    "a controller no longer supports the newer level",
+                );
                 transition.level.pause = Some(PauseReason::Regressed {
-                    label: least_label.to_string(),
+                    label: label.to_string(),
                 });
                 Some(transition)
             }
             _ if level.pause.is_some() || !self.all_confirmed() => None,
             Phase::Ready => {
                 let mut transition =
-                    self.transition(level, Phase::Soaking, "every controller is heard");
+                    self.transition(level, Phase::Soaking, "every controller sends heartbeats");
                 transition.level.active = common;
                 transition.level.target = common;
                 Some(transition)
             }
-            Phase::Soaking if self.may_finalize && self.leader_is_announced() => {
-                Some(self.transition(level, Phase::Finalized, "it soaked without trouble"))
+            Phase::Soaking if self.may_finalize && self.leader_has_announced() => {
+                Some(self.transition(level, Phase::Finalized, "the soak period is complete"))
             }
             _ => None,
         }
--- a/crates/rollout/src/request.rs
+++ b/crates/rollout/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests of the state machines to the state service, its replies, and the events that they emit.
+//! The state machines' requests to the state service, its replies, and the events that the state machines emit.
 
 use crate::levels::{Level, LevelRange};
 use wire::records::{PauseReason, Phase};
@@ -7,104 +7,104 @@
 /// A request to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Request {
-    /// Keys under a prefix.
+    /// Lists the keys under a prefix.
     List {
         /// The prefix.
         prefix: &'static str,
-        /// Key behind which to begin.
-        from: String,
+        /// Key after which the listing starts; empty to start at the beginning.
+        start_after: String,
     },
-    /// One key.
+    /// Reads one key.
     Get(&'static str),
-    /// A transaction.
+    /// Commits a transaction.
     Commit(Txn),
 }
 
 /// The outcome of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// Keys under a prefix.
+    /// A page of keys under a prefix.
     Page(Page),
-    /// A key that exists.
+    /// The requested key.
     Item(Item),
-    /// A key that does not.
+    /// The requested key does not exist.
     Missing,
     /// The transaction was executed.
     Committed,
-    /// It was not executed, or its outcome is unknown. The stored records show which.
+    /// The transaction was not executed, or its outcome is unknown. The stored records show which.
     Failed,
 }
 
-/// What has become known, to be logged and acted upon.
+/// Something that a state machine has observed or done, to be logged.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// This process has announced its range.
+    /// This process has announced its level range.
     Announced {
         /// The range.
         range: LevelRange,
     },
-    /// The cluster's level has changed, as this controller has read it.
+    /// This controller has read a change of the cluster's level.
     LevelRead {
         /// Active level.
         active: Level,
-        /// Final level.
+        /// Finalized level.
         finalized: Level,
         /// Phase of the upgrade.
         phase: Phase,
     },
     /// This controller has committed a transition, forward or back.
-    Moved {
+    TransitionCommitted {
         /// Phase before.
         from: Phase,
         /// Phase after.
         to: Phase,
         /// Level that is active now.
         active: Level,
-        /// Why.
-        why: &'static str,
+        /// Why the transition was due.
+        reason: &'static str,
     },
     /// This controller has paused the upgrade.
     Paused(PauseReason),
     /// This controller has resumed the upgrade.
     Resumed,
-    /// A controller runs a process that has announced nothing.
-    Unannounced {
-        /// Its label.
+    /// A controller runs a process that announces nothing.
+    UnannouncedController {
+        /// Label of the controller.
         label: String,
-        /// Level that is final. No older build may run.
+        /// Finalized level. No build that does not support it may run.
         finalized: Level,
     },
     /// A controller that is not configured has announced itself.
-    UnknownMember {
-        /// Its label.
+    UnconfiguredController {
+        /// Label of the controller.
         label: String,
     },
-    /// This build can't run what the cluster runs.
-    Refused {
-        /// What it can run.
+    /// This build does not support what the cluster runs.
+    AdmissionRefused {
+        /// Levels that this build supports.
         range: LevelRange,
         /// Active level.
         active: Level,
-        /// Final level.
+        /// Finalized level.
         finalized: Level,
     },
-    /// A record can't be read.
-    Unreadable {
-        /// Its key.
+    /// This build can't read a record.
+    UnreadableRecord {
+        /// Key of the record.
         key: String,
     },
-    /// Generation 1: this node has recorded its generation.
+    /// Generation 1: this controller writes its generation.
     GenerationRecorded,
-    /// Generation 1: the mark is about to be raised.
-    MarkRaised {
-        /// Nodes that have not recorded their generation.
+    /// Generation 1: this controller is about to raise the mark.
+    RaisingMark {
+        /// Number of controllers that have not recorded their generation.
         missing: usize,
-        /// Why no old process can be left.
+        /// What proves that no old process can be left.
         evidence: &'static str,
     },
-    /// Generation 1: the mark is known to be raised.
-    MarkSeen {
-        /// Its number.
+    /// Generation 1: this controller has read that the mark is raised.
+    MarkObserved {
+        /// Generation of the mark.
         generation: Level,
     },
 }
--- a/crates/rollout/src/snapshot.rs
+++ b/crates/rollout/src/snapshot.rs
@@ -1,31 +1,31 @@
-//! What a controller has read of the cluster's level.
+//! The records of the cluster's level, as a controller has read them.
 
-use crate::levels::{Level, BASE};
+use crate::levels::{Level, BASE_LEVEL};
 use std::collections::BTreeMap;
 use wire::records::{GenerationRecord, LeaderRecord, LevelRecord, MemberRecord, TermRecord};
 
 /// A record as it was read.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub enum Stored<T> {
-    /// There is none.
+    /// The record does not exist.
     #[default]
     Missing,
-    /// There is one that this build can't read.
+    /// The record exists, but this build can't read it.
     Unreadable {
-        /// Its version.
+        /// Version of the record.
         version: u64,
     },
-    /// There is one.
+    /// The record exists and was decoded.
     Known {
-        /// Its content.
+        /// Content of the record.
         record: T,
-        /// Its version.
+        /// Version of the record.
         version: u64,
     },
 }
 
 impl<T> Stored<T> {
-    /// Its content, if it can be read.
+    /// Content of the record, if it exists and can be read.
     pub fn record(&self) -> Option<&T> {
         match self {
             Stored::Known { record, .. } => Some(record),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Its version, 0 if there is none.
+    /// Version of the record; 0 if it does not exist.
     pub fn version(&self) -> u64 {
         match self {
             Stored::Missing => 0,
@@ -41,41 +41,45 @@
         }
     }
 
-    /// Whether it can't be read.
+    /// Whether the record exists but can't be read.
     pub fn is_unreadable(&self) -> bool {
         matches!(self, Stored::Unreadable { .. })
     }
 }
 
-/// The records of the cluster's level as they were read, one after the other. Each write that depends on them has
-/// their versions as conditions.
+/// The records of the cluster's level. They are read one after the other, so each write that depends on them has their
+/// versions as conditions.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Snapshot {
-    /// Level.
+    /// Record of the active level.
     pub level: Stored<LevelRecord>,
-    /// Level that is final. Builds of generation 1 call it the generation that all controllers are known to run.
+    /// The mark: record of the finalized level. Builds of generation 1 read it as the generation that all controllers
+    /// are known to run.
     pub mark: Stored<GenerationRecord>,
-    /// Announcements by label.
+    /// Announcements by label of the controller.
     pub members: BTreeMap<String, Stored<MemberRecord>>,
-    /// Last term. Read only where an upgrade may be finalized, and before the leader.
+    /// Last term. Read only if a level may be finalized next, and before the leader.
     pub term: Stored<TermRecord>,
-    /// Leader. Read under the same condition, after the term.
+    /// Leader. Read only if a level may be finalized next, and after the term.
     pub leader: Stored<LeaderRecord>,
 }
 
 impl Snapshot {
-    /// Level that is final.
+    /// Finalized level.
     pub fn finalized(&self) -> Level {
-        self.mark.record().map_or(BASE, |mark| mark.generation)
+        self.mark
+            .record()
+            .map_or(BASE_LEVEL, |mark| mark.generation)
     }
 
-    /// Level that is active. What is final is always active.
+    /// Active level. It is never below the finalized level.
     pub fn active(&self) -> Level {
-        let active = self.level.record().map_or(BASE, |level| level.active);
+        let level = self.level.record();
+        let active = level.map_or(BASE_LEVEL, |level| level.active);
         active.max(self.finalized())
     }
 
-    /// What a controller has announced.
+    /// Announcement of a controller, if there is one that can be read.
     pub fn member(&self, label: &str) -> Option<&MemberRecord> {
         self.members.get(label)?.record()
     }
@@ -83,6 +87,9 @@
     /// Newest level that any controller has announced.
     pub fn newest_announced(&self) -> Level {
         let members = self.members.values().filter_map(Stored::record);
-        members.map(|member| member.newest).max().unwrap_or(BASE)
+        members
+            .map(|member| member.newest)
+            .max()
+            .unwrap_or(BASE_LEVEL)
     }
 }
--- a/crates/rollout/src/state_machine.rs
+++ b/crates/rollout/src/state_machine.rs
@@ -1,36 +1,36 @@
 //! The state machine of one controller in staged upgrades.
 //!
-//! It repeats one cycle: read the records of the upgrade (`reading`), learn from them (`applying`), and write at most
-//! one transaction (`writing`). At most one request to the state service is in flight at a time.
+//! It repeats one cycle: read the records of the upgrade (`reading`), apply them (`applying`), and write at most one
+//! transaction (`writing`). At most one request to the state service is in flight at a time.
 
 mod applying;
 mod reading;
 mod status;
 mod writing;
 
-use crate::gates::Gates;
+use crate::gates::FeatureGates;
 use crate::heartbeats::Liveness;
 use crate::identity::{Identity, Policy};
 use crate::levels::{Feature, Level};
 use crate::plan::{self, Transition};
 use crate::request::{Event, Reply, Request};
 use crate::snapshot::Snapshot;
-use crate::upgrade_monitor::Supervision;
+use crate::upgrade_monitor::UpgradeMonitor;
 use constants::{ELECTION_DEFER_MS, GENERATION_POLL_MS};
-use reading::stored;
+use reading::stored_record;
 use wire::records::{Phase, LEADER, TERM};
 use wire::state::Compare;
 
-/// Whether a process may take part.
+/// Whether this process may take part in the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Admission {
-    /// Not known yet: the records have not been read.
+    /// Unknown: the records have not been read yet.
     Pending,
     Admitted,
     Refused,
 }
 
-/// The request whose reply is awaited.
+/// The step of the cycle whose reply is awaited.
 #[derive(Debug, Clone, PartialEq)]
 enum Step {
     Idle,
@@ -38,76 +38,75 @@
     ReadMark,
     ReadTerm,
     ReadLeader,
-    /// The announcement was sent.
+    /// Writes the announcement of this process.
     Announce,
-    /// A transition was sent, from this phase.
+    /// Writes a transition from this phase.
     Transition(Phase, Transition),
-    /// The mark of a proven level was sent.
-    Prove,
+    /// Raises the mark to a level for which there is evidence.
+    RaiseMark,
 }
 
-/// What a machine wants done.
+/// What a state machine asks its caller to do.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Output {
     /// A request to the state service. Its reply must be passed back before another request is made.
     pub request: Option<Request>,
-    /// What has become known.
+    /// Events to be logged.
     pub events: Vec<Event>,
 }
 
-/// The state machine of one controller.
-pub struct RolloutMachine {
+/// The state machine of one controller in staged upgrades.
+pub struct RolloutStateMachine {
     identity: Identity,
     policy: Policy,
-    gates: Gates,
+    gates: FeatureGates,
     admission: Admission,
-    supervision: Supervision,
-    /// The last complete reading.
-    snapshot: Option<Snapshot>,
-    /// The reading in progress.
-    reading: Snapshot,
-    /// Key after which the next page of members begins.
-    read_from: String,
+    monitor: UpgradeMonitor,
+    /// The last complete snapshot.
+    last_snapshot: Option<Snapshot>,
+    /// The snapshot that is being read.
+    partial_snapshot: Snapshot,
+    /// Key after which the next page of members starts.
+    list_after: String,
     step: Step,
-    /// Whether a reply is awaited.
-    busy: bool,
-    next_at: u64,
-    /// What proves that generation 1 is final, if anything does.
+    awaits_reply: bool,
+    next_cycle_at: u64,
+    /// What proves that every controller runs generation 1, if anything does.
     evidence: Option<&'static str>,
-    /// The leader, as the election knows it.
+    /// Label of the leader, as known from the election.
     leader: Option<String>,
 }
 
-impl RolloutMachine {
-    /// A process that has just started. `siblings` are the labels of the other controllers.
+impl RolloutStateMachine {
+    /// The state of a process that has just started. `siblings` are the labels of the other controllers.
     pub fn new(identity: Identity, siblings: impl Iterator<Item = String>, policy: Policy) -> Self {
-        RolloutMachine {
-            supervision: Supervision::new(&identity, siblings, policy),
-            gates: Gates::closed(identity.range),
+        RolloutStateMachine {
+            monitor: UpgradeMonitor::new(&identity, siblings, policy),
+            gates: FeatureGates::closed(identity.range),
             identity,
             policy,
             admission: Admission::Pending,
-            snapshot: None,
-            reading: Snapshot::default(),
-            read_from: String::new(),
+            last_snapshot: None,
+            partial_snapshot: Snapshot::default(),
+            list_after: String::new(),
             step: Step::Idle,
-            busy: false,
-            next_at: 0,
+            awaits_reply: false,
+            next_cycle_at: 0,
             evidence: None,
             leader: None,
         }
     }
 
-    /// When [`RolloutMachine::tick`] is to be called next.
+    /// When [`RolloutStateMachine::tick`] is to be called next.
     pub fn next_wake(&self) -> u64 {
-        match self.busy {
+        match self.awaits_reply {
             true => u64::MAX,
-            false => self.next_at,
+            false => self.next_cycle_at,
         }
     }
 
     /// Which features may be used.
-    pub fn gates(&self) -> Gates {
+    pub fn gates(&self) -> FeatureGates {
         self.gates
     }
 
@@ -116,138 +115,141 @@
         self.admission == Admission::Admitted
     }
 
-    /// Whether it is admitted by a reading made since the process last stood still.
-    pub fn is_up_to_date(&self) -> bool {
+    /// Whether this process is admitted, and has read the level since its last stall.
+    pub fn is_admission_current(&self) -> bool {
         self.is_admitted() && self.gates.is_fresh()
     }
 
-    /// The condition that nothing has become final since this process was admitted.
-    pub fn admission_guard(&self) -> Option<Compare> {
-        let snapshot = self.snapshot.as_ref()?;
-        Some(plan::admission_guard(snapshot))
+    /// The condition that nothing has been finalized since this process was admitted.
+    pub fn admission_condition(&self) -> Option<Compare> {
+        let snapshot = self.last_snapshot.as_ref()?;
+        Some(plan::admission_condition(snapshot))
     }
 
-    /// Milliseconds for which this process leaves an election to others. A newer build needs no restart after the
-    /// election, so that leadership moves twice at most during an upgrade.
-    pub fn defers_election_ms(&self, now: u64) -> u64 {
-        let Some(snapshot) = &self.snapshot else {
+    /// Milliseconds by which this process delays its candidacy in favor of newer builds. A leader of a newer build
+    /// needs no restart after the election, so leadership moves at most twice during an upgrade.
+    pub fn election_delay_ms(&self, now: u64) -> u64 {
+        let Some(snapshot) = &self.last_snapshot else {
             return 0;
         };
-        let newer = |label: &&String| {
+        let runs_newer_build = |label: &&String| {
             let member = snapshot.member(label);
             member.is_some_and(|member| member.newest > self.identity.range.newest())
-                && self.supervision.liveness(label, snapshot, now) == Liveness::Confirmed
+                && self.monitor.liveness(label, snapshot, now) == Liveness::Confirmed
         };
-        match self.supervision.labels().iter().find(newer) {
+        match self.monitor.labels().iter().find(runs_newer_build) {
             Some(_) => ELECTION_DEFER_MS,
             None => 0,
         }
     }
 
-    /// Whether the running process of another controller has a feature and is the process that announced it.
-    pub fn peer_has(&self, label: &str, feature: Feature, now: u64) -> bool {
-        let Some(snapshot) = &self.snapshot else {
+    /// Whether another controller has announced a level with a feature, and still runs the process that announced it.
+    pub fn peer_supports(&self, label: &str, feature: Feature, now: u64) -> bool {
+        let Some(snapshot) = &self.last_snapshot else {
             return false;
         };
         let member = snapshot.member(label);
-        member.is_some_and(|member| feature.is_in(member.newest))
-            && self.supervision.liveness(label, snapshot, now) == Liveness::Confirmed
+        member.is_some_and(|member| feature.is_supported_at(member.newest))
+            && self.monitor.liveness(label, snapshot, now) == Liveness::Confirmed
     }
 
-    /// Newest level that another controller has announced, for choosing among several.
-    pub fn peer_newest(&self, label: &str) -> Level {
-        let snapshot = self.snapshot.as_ref();
+    /// Newest level that another controller has announced, by which to choose among several; 0 if there is no
+    /// announcement.
+    pub fn peer_newest_level(&self, label: &str) -> Level {
+        let snapshot = self.last_snapshot.as_ref();
         let member = snapshot.and_then(|snapshot| snapshot.member(label));
         member.map_or(0, |member| member.newest)
     }
 
-    /// A heartbeat of another controller arrived.
+    /// Notes a heartbeat of another controller.
     pub fn on_heartbeat(&mut self, label: &str, boot: u64, now: u64) {
-        self.supervision.on_heartbeat(label, boot, now);
+        self.monitor.on_heartbeat(label, boot, now);
     }
 
-    /// The process stood still, or was notified of a change of the level: the last reading may be outdated.
+    /// Schedules a new read of the records: the process was stalled or was notified of a change of the level, so the
+    /// last snapshot may be outdated.
     pub fn reread(&mut self, now: u64) {
-        self.gates.forget();
+        self.gates.mark_stale();
         self.step = Step::Idle;
-        self.busy = false;
-        self.next_at = now;
-        self.supervision.forget_soak();
+        self.awaits_reply = false;
+        self.next_cycle_at = now;
+        self.monitor.reset_soak();
     }
 
-    /// Something happened that happens only when every controller runs generation 1.
-    pub fn proven(&mut self, why: &'static str, now: u64) {
+    /// Notes an observation that is possible only when every controller runs generation 1.
+    pub fn on_upgrade_evidence(&mut self, evidence: &'static str, now: u64) {
         if self.evidence.is_none() {
-            self.evidence = Some(why);
-            self.next_at = self.next_at.min(now);
+            self.evidence = Some(evidence);
+            self.next_cycle_at = self.next_cycle_at.min(now);
         }
-        self.gates.prove_generation_1();
+        self.gates.set_generation_1_finalized();
     }
 
-    /// Time passed. `leader` is the controller that leads, as the election knows it.
+    /// Starts the next cycle if it is due. `leader` is the label of the leader, as known from the election.
     pub fn tick(&mut self, now: u64, leader: Option<&str>) -> Output {
         self.leader = leader.map(str::to_string);
-        if self.busy || now < self.next_at {
+        if self.awaits_reply || now < self.next_cycle_at {
             return Output::default();
         }
-        self.reading = Snapshot::default();
-        self.read_from = String::new();
+        self.partial_snapshot = Snapshot::default();
+        self.list_after = String::new();
         self.send(Step::ReadMembers, self.list_request())
     }
 
-    /// The reply to the last request.
-    pub fn on_reply(&mut self, reply: Reply, now: u64, unix: u64) -> Output {
-        self.busy = false;
+    /// Handles the reply to the last request.
+    pub fn on_reply(&mut self, reply: Reply, now: u64, unix_ms: u64) -> Output {
+        self.awaits_reply = false;
         match (std::mem::replace(&mut self.step, Step::Idle), reply) {
             (Step::ReadMembers, Reply::Page(page)) => self.on_members(page.items, page.more),
             (Step::ReadMark, reply @ (Reply::Item(_) | Reply::Missing)) => {
-                self.reading.mark = stored(reply);
-                match self.is_about_to_finalize() {
+                self.partial_snapshot.mark = stored_record(reply);
+                match self.may_finalize_next() {
                     true => self.send(Step::ReadTerm, Request::Get(TERM)),
-                    false => self.on_read(now, unix),
+                    false => self.on_snapshot_complete(now, unix_ms),
                 }
             }
             (Step::ReadTerm, reply @ (Reply::Item(_) | Reply::Missing)) => {
-                self.reading.term = stored(reply);
+                self.partial_snapshot.term = stored_record(reply);
                 self.send(Step::ReadLeader, Request::Get(LEADER))
             }
             (Step::ReadLeader, reply @ (Reply::Item(_) | Reply::Missing)) => {
-                self.reading.leader = stored(reply);
-                self.on_read(now, unix)
+                self.partial_snapshot.leader = stored_record(reply);
+                self.on_snapshot_complete(now, unix_ms)
             }
             (Step::Announce, Reply::Committed) => {
                 let range = self.identity.range;
-                self.idle_with(now, vec![Event::Announced { range }])
+                self.idle_with_events(now, vec![Event::Announced { range }])
             }
             (Step::Transition(from, transition), Reply::Committed) => {
-                self.idle_with(now, writing::events_of(from, &transition))
+                self.idle_with_events(now, writing::transition_events(from, &transition))
             }
-            (Step::Prove, Reply::Committed) => self.idle(now),
-            // After a conflict or an unknown outcome the next reading shows what is stored.
-            _ => self.idle(now + GENERATION_POLL_MS),
+            (Step::RaiseMark, Reply::Committed) => self.idle_until(now),
+            // After a conflict or an unknown outcome, the next read shows what is stored.
+            _ => self.idle_until(now + GENERATION_POLL_MS),
         }
     }
 
-    /// Sends a request and remembers what it is for.
+    /// Sends a request, whose reply continues with this step.
     fn send(&mut self, step: Step, request: Request) -> Output {
         self.step = step;
-        self.busy = true;
+        self.awaits_reply = true;
         Output {
             request: Some(request),
             events: Vec::new(),
         }
     }
 
-    /// Waits until the next cycle is due.
-    fn idle(&mut self, until: u64) -> Output {
+    /// Schedules the next cycle.
+    fn idle_until(&mut self, next_cycle_at: u64) -> Output {
         self.step = Step::Idle;
-        self.busy = false;
-        self.next_at = until;
+        self.awaits_reply = false;
+        self.next_cycle_at = next_cycle_at;
         Output::default()
     }
 
-    fn idle_with(&mut self, until: u64, events: Vec<Event>) -> Output {
-        let output = self.idle(until);
+    /// Schedules the next cycle and emits events.
+    fn idle_with_events(&mut self, next_cycle_at: u64, events: Vec<Event>) -> Output {
+        let output = self.idle_until(next_cycle_at);
         Output { events, ..output }
     }
 }
--- a/crates/rollout/src/state_machine/reading.rs
+++ b/crates/rollout/src/state_machine/reading.rs
@@ -1,49 +1,51 @@
 //! Reading the records of an upgrade, one request after the other.
 
-use super::{Output, RolloutMachine, Step};
+use super::{Output, RolloutStateMachine, Step};
 use crate::request::{Reply, Request};
 use crate::snapshot::Stored;
 use serde::de::DeserializeOwned;
 use wire::records::{Phase, LEVEL, MARK, MEMBERS, ROLLOUT};
 use wire::state::Item;
 
-impl RolloutMachine {
-    /// The next page of the level and the announcements.
+impl RolloutStateMachine {
+    /// The request for the next page of the level and the announcements.
     pub(super) fn list_request(&self) -> Request {
         Request::List {
             prefix: ROLLOUT,
-            from: self.read_from.clone(),
+            start_after: self.list_after.clone(),
         }
     }
 
+    /// Adds a page of the level and the announcements to the partial snapshot.
     pub(super) fn on_members(&mut self, items: Vec<Item>, more: bool) -> Output {
-        let last = items.last().map(|item| item.key.clone());
+        let last_key = items.last().map(|item| item.key.clone());
         for item in items {
             if item.key == LEVEL {
-                self.reading.level = stored(Reply::Item(item));
+                self.partial_snapshot.level = stored_record(Reply::Item(item));
             } else if let Some(label) = item.key.strip_prefix(MEMBERS).map(str::to_string) {
-                let member = stored(Reply::Item(item));
-                self.reading.members.insert(label, member);
+                let member = stored_record(Reply::Item(item));
+                self.partial_snapshot.members.insert(label, member);
             }
         }
-        match last.filter(|_| more) {
-            Some(last) => {
-                self.read_from = last;
+        match last_key.filter(|_| more) {
+            Some(last_key) => {
+                self.list_after = last_key;
                 self.send(Step::ReadMembers, self.list_request())
             }
             None => self.send(Step::ReadMark, Request::Get(MARK)),
         }
     }
 
-    /// Whether the level may be finalized next. Term and leader are read only for that.
-    pub(super) fn is_about_to_finalize(&self) -> bool {
-        let level = self.reading.level.record();
-        level.is_some_and(|level| level.phase == Phase::Soaking) && self.policy.finalizes
+    /// Whether the level may be finalized next. Term and leader are read only in that case.
+    pub(super) fn may_finalize_next(&self) -> bool {
+        let level = self.partial_snapshot.level.record();
+        level.is_some_and(|level| level.phase == Phase::Soaking)
+            && self.policy.finalizes_automatically
     }
 }
 
-/// A record as a reply contains it.
-pub(super) fn stored<T: DeserializeOwned>(reply: Reply) -> Stored<T> {
+/// The record that a reply contains.
+pub(super) fn stored_record<T: DeserializeOwned>(reply: Reply) -> Stored<T> {
     let Reply::Item(item) = reply else {
         return Stored::Missing;
     };
--- a/crates/rollout/src/state_machine/status.rs
+++ b/crates/rollout/src/state_machine/status.rs
@@ -1,18 +1,18 @@
 //! The state of the upgrade, for operators.
 
-use super::RolloutMachine;
+use super::RolloutStateMachine;
 use crate::heartbeats::Liveness;
 use crate::plan::Controller;
 use crate::snapshot::Snapshot;
 use crate::status::{ControllerStatus, RolloutStatus};
 
-impl RolloutMachine {
+impl RolloutStateMachine {
     /// The state of the upgrade, if it has been read.
     pub fn status(&self, now: u64) -> Option<RolloutStatus> {
-        let snapshot = self.snapshot.as_ref()?;
+        let snapshot = self.last_snapshot.as_ref()?;
         let level = snapshot.level.record()?;
-        let controllers = self.supervision.controllers(snapshot, now);
-        let view = self.view(snapshot, &controllers, now, level.since);
+        let controllers = self.monitor.controllers(snapshot, now);
+        let input = self.planning_input(snapshot, &controllers, now, level.since);
         let statuses = controllers.iter();
         let statuses = statuses.map(|controller| controller_status(controller, snapshot));
         Some(RolloutStatus {
@@ -22,7 +22,7 @@
             finalized: snapshot.finalized(),
             since: level.since,
             pause: level.pause.clone(),
-            waits_for: view.waits_for(level),
+            waits_for: input.waits_for(level),
             admitted: self.is_admitted(),
             controllers: statuses.collect(),
         })
--- a/crates/rollout/src/state_machine/writing.rs
+++ b/crates/rollout/src/state_machine/writing.rs
@@ -1,80 +1,83 @@
-//! What this controller writes: its announcement, the mark of a proven level, and the transitions of the upgrade.
+//! What this controller writes: its announcement, the mark of a level for which there is evidence, and the transitions
+//! of the upgrade.
 
-use super::{Output, RolloutMachine, Step};
+use super::{Output, RolloutStateMachine, Step};
 use crate::heartbeats::Liveness;
 use crate::levels::GENERATION_1;
-use crate::plan::{self, Controller, Transition, View};
+use crate::plan::{self, Controller, PlanningInput, Transition};
 use crate::request::{Event, Request};
 use crate::snapshot::Snapshot;
 use constants::{GENERATION_POLL_MS, LEVEL_POLL_MS};
 use wire::records::Phase;
 
-impl RolloutMachine {
-    /// Writes what is due, if anything.
-    pub(super) fn act(&mut self, snapshot: &Snapshot, now: u64, unix: u64) -> Output {
+impl RolloutStateMachine {
+    /// Writes what is due, or schedules the next cycle if nothing is.
+    pub(super) fn write_next(&mut self, snapshot: &Snapshot, now: u64, unix_ms: u64) -> Output {
         if !self.is_admitted() {
-            return self.idle(now + LEVEL_POLL_MS);
+            return self.idle_until(now + LEVEL_POLL_MS);
         }
         if self.evidence.is_some() && snapshot.finalized() < GENERATION_1 {
-            let txn = plan::proven(snapshot, GENERATION_1);
-            return self.send(Step::Prove, Request::Commit(txn));
+            let txn = plan::finalize_by_evidence(snapshot, GENERATION_1);
+            return self.send(Step::RaiseMark, Request::Commit(txn));
         }
-        if let Some(txn) = plan::announcement(&self.identity, snapshot, unix) {
+        if let Some(txn) = plan::announcement_transaction(&self.identity, snapshot, unix_ms) {
             return self.send(Step::Announce, Request::Commit(txn));
         }
-        if self.decides(snapshot, now) {
-            if let Some(output) = self.transition(snapshot, now, unix) {
+        if self.is_coordinator(snapshot, now) {
+            if let Some(output) = self.write_transition(snapshot, now, unix_ms) {
                 return output;
             }
         }
         let level = snapshot.level.record();
-        let is_at_rest =
+        let is_upgrade_complete =
             level.is_some_and(|level| matches!(level.phase, Phase::Idle | Phase::Finalized));
-        let poll_ms = match is_at_rest {
+        let poll_ms = match is_upgrade_complete {
             true => LEVEL_POLL_MS,
             false => GENERATION_POLL_MS,
         };
-        self.idle(now + poll_ms)
+        self.idle_until(now + poll_ms)
     }
 
-    fn transition(&mut self, snapshot: &Snapshot, now: u64, unix: u64) -> Option<Output> {
-        let controllers = self.supervision.controllers(snapshot, now);
-        let view = self.view(snapshot, &controllers, now, unix);
-        let transition = view.next_transition()?;
-        let txn = plan::transaction(snapshot, &transition)?;
+    /// Sends the next transition if one is due.
+    fn write_transition(&mut self, snapshot: &Snapshot, now: u64, unix_ms: u64) -> Option<Output> {
+        let controllers = self.monitor.controllers(snapshot, now);
+        let input = self.planning_input(snapshot, &controllers, now, unix_ms);
+        let transition = input.next_transition()?;
+        let txn = plan::transition_transaction(snapshot, &transition)?;
         let from = snapshot.level.record()?.phase;
         Some(self.send(Step::Transition(from, transition), Request::Commit(txn)))
     }
 
-    /// What a transition is decided on.
-    pub(super) fn view<'a>(
+    /// The input from which the next transition is computed.
+    pub(super) fn planning_input<'a>(
         &self,
         snapshot: &'a Snapshot,
         controllers: &'a [Controller],
         now: u64,
-        unix: u64,
-    ) -> View<'a> {
-        let before = self.snapshot.as_ref();
-        View {
+        unix_ms: u64,
+    ) -> PlanningInput<'a> {
+        let last_snapshot = self.last_snapshot.as_ref();
+        PlanningInput {
             snapshot,
             controllers,
-            trouble: self.supervision.trouble(before, snapshot, now),
-            may_finalize: self.policy.finalizes && self.supervision.has_soaked(now),
-            unix,
+            pause_reason: self.monitor.pause_reason(last_snapshot, snapshot, now),
+            may_finalize: self.policy.finalizes_automatically && self.monitor.has_soaked(now),
+            unix_ms,
         }
     }
 
-    /// One controller decides: the leader if it takes part, else the first of those that do. Two that decide at once
-    /// do no harm, since one of their transactions fails.
-    fn decides(&self, snapshot: &Snapshot, now: u64) -> bool {
+    /// Whether this controller writes the transitions: the leader does if it takes part, otherwise the first label of
+    /// those controllers that do. If two controllers write at once, no harm is done, since one of their transactions
+    /// fails.
+    fn is_coordinator(&self, snapshot: &Snapshot, now: u64) -> bool {
         let takes_part = |label: &str| {
             label == self.identity.label
-                || self.supervision.liveness(label, snapshot, now) == Liveness::Confirmed
+                || self.monitor.liveness(label, snapshot, now) == Liveness::Confirmed
         };
         match self.leader.as_deref().filter(|leader| takes_part(leader)) {
             Some(leader) => leader == self.identity.label,
             None => {
-                let labels = self.supervision.labels().iter();
+                let labels = self.monitor.labels().iter();
                 let mut participants = labels.filter(|label| takes_part(label));
                 participants.all(|label| *label >= self.identity.label)
             }
@@ -82,16 +85,16 @@
     }
 }
 
-/// What a committed transition is logged as.
-pub(super) fn events_of(from: Phase, transition: &Transition) -> Vec<Event> {
+/// The events of a committed transition.
+pub(super) fn transition_events(from: Phase, transition: &Transition) -> Vec<Event> {
     let level = &transition.level;
-    let mut events = vec![Event::Moved {
+    let mut events = vec![Event::TransitionCommitted {
         from,
         to: level.phase,
         active: level.active,
-        why: transition.why,
+        reason: transition.reason,
     }];
-    match (&level.pause, transition.why) {
+    match (&level.pause, transition.reason) {
         (Some(reason), _) => events.push(Event::Paused(reason.clone())),
         (None, plan::RESUMED) => events.push(Event::Resumed),
         _ => {}
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -1,38 +1,38 @@
-//! The state of an upgrade, for people and clients.
+//! The state of an upgrade, for operators and clients.
 
 use crate::levels::Level;
 use serde::Serialize;
 use wire::records::{PauseReason, Phase};
 
-/// What is known of one controller.
+/// The state of one controller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ControllerStatus {
-    /// Its label.
+    /// Label of the controller.
     pub label: String,
-    /// Oldest and newest level that it has announced.
+    /// Oldest and newest level that the controller has announced.
     pub levels: Option<(Level, Level)>,
-    /// Its build, as announced.
+    /// Build that the controller has announced.
     pub build: Option<String>,
-    /// Whether it is heard, and whether as the process that announced.
+    /// Whether the controller sends heartbeats, and whether they are from the process that announced itself.
     pub liveness: &'static str,
 }
 
 /// The state of an upgrade, as one controller knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct RolloutStatus {
-    /// Phase.
+    /// Phase of the upgrade.
     pub phase: Phase,
-    /// Level that is active.
+    /// Active level.
     pub active: Level,
-    /// Level that the upgrade leads to.
+    /// Target level of the upgrade.
     pub target: Level,
-    /// Level that is final.
+    /// Finalized level.
     pub finalized: Level,
     /// Time of day of the last transition, in milliseconds.
     pub since: u64,
-    /// Why the upgrade goes no further.
+    /// Why the upgrade is paused, if it is.
     pub pause: Option<PauseReason>,
-    /// What is waited for.
+    /// What the upgrade waits for.
     pub waits_for: String,
     /// Whether this process may take part.
     pub admitted: bool,
--- a/crates/rollout/src/upgrade_monitor.rs
+++ b/crates/rollout/src/upgrade_monitor.rs
@@ -1,7 +1,7 @@
-//! Supervision of an upgrade: which controllers are alive, for how long a level has been active without trouble, and
-//! which reasons there are to pause.
+//! Monitoring of an upgrade: which controllers are alive, for how long a level has soaked, and whether the upgrade must
+//! be paused.
 
-use crate::heartbeats::{Liveness, Observations};
+use crate::heartbeats::{HeartbeatMonitor, Liveness};
 use crate::identity::{Identity, Policy};
 use crate::plan::Controller;
 use crate::request::Event;
@@ -10,111 +10,111 @@
 use std::collections::BTreeMap;
 use wire::records::{PauseReason, Phase};
 
-/// A value of the level record, and since when it has been unchanged by our own monotonic clock.
+/// A value, and since when it is unchanged by the monotonic clock of this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Since<T> {
+struct TimedValue<T> {
     value: T,
-    at: u64,
+    since: u64,
 }
 
-impl<T: PartialEq> Since<T> {
-    /// Notes a value. The time restarts if the value has changed.
-    fn note(slot: &mut Option<Since<T>>, value: T, now: u64) {
-        if slot.as_ref().is_none_or(|known| known.value != value) {
-            *slot = Some(Since { value, at: now });
+impl<T: PartialEq> TimedValue<T> {
+    /// Stores a value. The time restarts if the value has changed.
+    fn update(slot: &mut Option<TimedValue<T>>, value: T, now: u64) {
+        if slot.as_ref().is_none_or(|stored| stored.value != value) {
+            *slot = Some(TimedValue { value, since: now });
         }
     }
 }
 
 /// What one controller observes of an upgrade.
-pub(crate) struct Supervision {
-    /// Label and process of this controller.
+pub(crate) struct UpgradeMonitor {
+    /// Label and boot number of this controller's process.
     label: String,
     boot: u64,
     /// Labels of all configured controllers, this one included.
     labels: Vec<String>,
     policy: Policy,
-    observations: Observations,
-    /// Number of the transition with which the soak began, and since when there was no trouble.
-    soak: Option<Since<u64>>,
-    /// Numbers of the last transition and announcement, and when they were first seen.
-    progress: Option<Since<(u64, u64)>>,
-    /// Processes of controllers that are not configured, by label.
+    heartbeats: HeartbeatMonitor,
+    /// Number of the last transition while a level soaks, and the start of the uninterrupted soak period.
+    soak: Option<TimedValue<u64>>,
+    /// Numbers of the last transition and of the last announcement, and when they were first seen.
+    progress: Option<TimedValue<(u64, u64)>>,
+    /// Boot numbers of controllers that are not configured, by label.
     unconfigured: BTreeMap<String, u64>,
-    /// The last of those that was seen to restart, and when.
-    unconfigured_restart: Option<Since<String>>,
-    /// Controllers that were reported as unannounced.
-    unannounced: Vec<String>,
+    /// The unconfigured controller whose restart was last observed, and when.
+    unconfigured_restart: Option<TimedValue<String>>,
+    /// Controllers that were reported as unannounced, and still are.
+    reported_unannounced: Vec<String>,
 }
 
-impl Supervision {
-    /// Nothing has been observed yet.
+impl UpgradeMonitor {
+    /// A monitor that has observed nothing yet.
     pub fn new(
         identity: &Identity,
         siblings: impl Iterator<Item = String>,
         policy: Policy,
     ) -> Self {
-        Supervision {
+        UpgradeMonitor {
             label: identity.label.clone(),
             boot: identity.boot,
             labels: siblings.chain([identity.label.clone()]).collect(),
             policy,
-            observations: Observations::default(),
+            heartbeats: HeartbeatMonitor::default(),
             soak: None,
             progress: None,
             unconfigured: BTreeMap::new(),
             unconfigured_restart: None,
-            unannounced: Vec::new(),
+            reported_unannounced: Vec::new(),
         }
     }
 
-    /// Labels of all configured controllers.
+    /// Labels of all configured controllers, this one included.
     pub fn labels(&self) -> &[String] {
         &self.labels
     }
 
-    /// A heartbeat of another controller arrived.
+    /// Notes a heartbeat of another controller.
     pub fn on_heartbeat(&mut self, label: &str, boot: u64, now: u64) {
-        self.observations.on_heartbeat(label, boot, now);
+        self.heartbeats.on_heartbeat(label, boot, now);
     }
 
-    /// Restarts the time without trouble.
-    pub fn forget_soak(&mut self) {
+    /// Restarts the soak period.
+    pub fn reset_soak(&mut self) {
         self.soak = None;
     }
 
-    /// Whether a level has been active without trouble for as long as it must.
+    /// Whether the active level has completed its soak period.
     pub fn has_soaked(&self, now: u64) -> bool {
-        let soaked = |soak: Since<u64>| now >= soak.at + self.policy.soak_ms;
+        let soaked = |soak: TimedValue<u64>| now >= soak.since + self.policy.soak_ms;
         self.soak.is_some_and(soaked)
     }
 
-    /// Notes what was read.
-    pub fn note(&mut self, snapshot: &Snapshot, now: u64, events: &mut Vec<Event>) {
+    /// Updates the observations with the records that were read.
+    pub fn on_snapshot(&mut self, snapshot: &Snapshot, now: u64, events: &mut Vec<Event>) {
         if let Some(level) = snapshot.level.record() {
-            let moved = (level.number, level.announcements);
-            Since::note(&mut self.progress, moved, now);
+            let progress = (level.number, level.announcements);
+            TimedValue::update(&mut self.progress, progress, now);
         }
-        self.note_unconfigured(snapshot, now, events);
-        self.note_unannounced(snapshot, now, events);
-        self.note_soak(snapshot, now);
+        self.track_unconfigured(snapshot, now, events);
+        self.report_unannounced(snapshot, now, events);
+        self.track_soak(snapshot, now);
     }
 
-    /// Announcements of controllers that are not configured are ignored. But a new one shows that such a controller is
-    /// running.
-    fn note_unconfigured(&mut self, snapshot: &Snapshot, now: u64, events: &mut Vec<Event>) {
+    /// Reports controllers that are not configured, and notes their restarts. The level in their announcements is
+    /// ignored, but a new announcement shows that such a controller is running.
+    fn track_unconfigured(&mut self, snapshot: &Snapshot, now: u64, events: &mut Vec<Event>) {
         for (label, member) in &snapshot.members {
             let Some(member) = member.record().filter(|_| !self.labels.contains(label)) else {
                 continue;
             };
             match self.unconfigured.insert(label.clone(), member.boot) {
-                None => events.push(Event::UnknownMember {
+                None => events.push(Event::UnconfiguredController {
                     label: label.clone(),
                 }),
                 Some(boot) if boot != member.boot => {
-                    self.unconfigured_restart = Some(Since {
+                    self.unconfigured_restart = Some(TimedValue {
                         value: label.clone(),
-                        at: now,
+                        since: now,
                     });
                 }
                 Some(_) => {}
@@ -122,56 +122,58 @@
         }
     }
 
-    /// Reports controllers that were found to run a build which announces nothing.
-    fn note_unannounced(&mut self, snapshot: &Snapshot, now: u64, events: &mut Vec<Event>) {
+    /// Reports controllers that are newly found to run a build that announces nothing.
+    fn report_unannounced(&mut self, snapshot: &Snapshot, now: u64, events: &mut Vec<Event>) {
         let controllers = self.controllers(snapshot, now);
         let unannounced = controllers
             .into_iter()
             .filter(|c| c.liveness == Liveness::Unannounced);
         let unannounced: Vec<String> = unannounced.map(|c| c.label).collect();
-        for label in unannounced.iter().filter(|l| !self.unannounced.contains(l)) {
-            events.push(Event::Unannounced {
+        let is_new = |label: &&String| !self.reported_unannounced.contains(label);
+        for label in unannounced.iter().filter(is_new) {
+            events.push(Event::UnannouncedController {
                 label: label.clone(),
                 finalized: snapshot.finalized(),
             });
         }
-        self.unannounced = unannounced;
+        self.reported_unannounced = unannounced;
     }
 
-    /// The time without trouble is measured by the monotonic clock of the controller that decides, from when it first
-    /// saw the level active. It restarts after each restart or silence of a controller.
-    fn note_soak(&mut self, snapshot: &Snapshot, now: u64) {
+    /// Tracks the soak period. It is measured by the monotonic clock of the controller that writes the transitions,
+    /// from when that controller first reads that the level is active. It restarts whenever a controller restarts or
+    /// falls silent.
+    fn track_soak(&mut self, snapshot: &Snapshot, now: u64) {
         let level = snapshot.level.record();
         let Some(level) = level.filter(|l| l.phase == Phase::Soaking && l.pause.is_none()) else {
             self.soak = None;
             return;
         };
         let controllers = self.controllers(snapshot, now);
-        let confirmed = controllers
+        let all_confirmed = controllers
             .iter()
             .all(|c| c.liveness == Liveness::Confirmed);
-        let restarted = |soak: &Since<u64>| {
-            let last = self.observations.last_restart();
-            last.is_some_and(|at| at > soak.at)
+        let restarted = |soak: &TimedValue<u64>| {
+            let last = self.heartbeats.last_restart_at();
+            last.is_some_and(|at| at > soak.since)
         };
-        if !confirmed || self.soak.as_ref().is_some_and(restarted) {
+        if !all_confirmed || self.soak.as_ref().is_some_and(restarted) {
             self.soak = None;
         }
-        if confirmed {
-            Since::note(&mut self.soak, level.number, now);
+        if all_confirmed {
+            TimedValue::update(&mut self.soak, level.number, now);
         }
     }
 
-    /// How a controller's heartbeats compare with what it has announced.
+    /// How the heartbeats of a controller compare with its announcement.
     pub fn liveness(&self, label: &str, snapshot: &Snapshot, now: u64) -> Liveness {
-        let announced = snapshot.member(label).map(|m| m.boot);
+        let announced_boot = snapshot.member(label).map(|m| m.boot);
         if label == self.label {
-            return match announced == Some(self.boot) {
+            return match announced_boot == Some(self.boot) {
                 true => Liveness::Confirmed,
                 false => Liveness::Starting,
             };
         }
-        self.observations.liveness(label, announced, now)
+        self.heartbeats.liveness(label, announced_boot, now)
     }
 
     /// All configured controllers, as they are observed.
@@ -183,12 +185,12 @@
         self.labels.iter().map(controller).collect()
     }
 
-    /// A reason to pause the upgrade, if there is one.
+    /// Why the upgrade must be paused, if it must.
     ///
-    /// `before` is what was read before `snapshot`.
-    pub fn trouble(
+    /// `last_snapshot` is the snapshot before `snapshot`.
+    pub fn pause_reason(
         &self,
-        before: Option<&Snapshot>,
+        last_snapshot: Option<&Snapshot>,
         snapshot: &Snapshot,
         now: u64,
     ) -> Option<PauseReason> {
@@ -198,64 +200,68 @@
             return None;
         }
         let unconfigured = self.unconfigured_restart.as_ref();
-        if let Some(running) = unconfigured.filter(|seen| now < seen.at + CALM_MS) {
-            let label = running.value.clone();
+        if let Some(restarted) = unconfigured.filter(|restart| now < restart.since + CALM_MS) {
+            let label = restarted.value.clone();
             return Some(PauseReason::Unknown { label });
         }
-        if let Some(label) = self.observations.restarting(now) {
+        if let Some(label) = self.heartbeats.restarting_controller(now) {
             let label = label.to_string();
             return Some(PauseReason::Restarting { label });
         }
         if let Some(pause @ PauseReason::Regressed { .. }) = &level.pause {
-            let supports = |c: &Controller| {
+            let supports_target = |c: &Controller| {
                 let member = snapshot.member(&c.label);
                 member.is_some_and(|m| m.newest >= level.target)
                     && c.liveness == Liveness::Confirmed
             };
-            let returned = controllers.iter().all(supports);
-            if !returned || !self.observations.is_calm(now) {
+            let have_returned = controllers.iter().all(supports_target);
+            if !have_returned || !self.heartbeats.is_restart_free(now) {
                 return Some(pause.clone());
             }
         }
-        self.stall(before, snapshot, controllers, now)
+        self.stall_reason(last_snapshot, snapshot, controllers, now)
     }
 
-    /// An upgrade that has made no progress for too long.
-    fn stall(
+    /// The reason to pause an upgrade that has made no progress for too long.
+    fn stall_reason(
         &self,
-        before: Option<&Snapshot>,
+        last_snapshot: Option<&Snapshot>,
         snapshot: &Snapshot,
         controllers: &[Controller],
         now: u64,
     ) -> Option<PauseReason> {
         let level = snapshot.level.record()?;
         let may_stall = matches!(level.phase, Phase::Mixed | Phase::Ready);
-        // A pause is itself a transition, but no progress.
+        // A pause is itself a transition but no progress. So a stalled upgrade stays paused until a
+        // controller announces itself.
         let was_stalled = matches!(level.pause, Some(PauseReason::Stalled { .. }));
         let is_overdue = self.progress.is_some_and(|progress| {
-            let waits_ms = self.policy.stall_ms;
-            now >= progress.at + waits_ms || (was_stalled && !has_announced(before, snapshot))
+            now >= progress.since + self.policy.stall_ms
+                || (was_stalled && !has_new_announcement(last_snapshot, snapshot))
         });
         if !may_stall || !is_overdue {
             return None;
         }
         let target = level.target;
-        let lacks = |c: &&Controller| {
+        let lacks_target = |c: &&Controller| {
             let member = snapshot.member(&c.label);
             member.is_none_or(|m| m.newest < target) || c.liveness != Liveness::Confirmed
         };
-        let label = controllers.iter().find(lacks).map(|c| c.label.clone());
+        let label = controllers
+            .iter()
+            .find(lacks_target)
+            .map(|c| c.label.clone());
         Some(PauseReason::Stalled {
             label: label.unwrap_or_else(|| self.label.clone()),
         })
     }
 }
 
-/// Whether a controller has announced itself since what was read before.
-fn has_announced(before: Option<&Snapshot>, snapshot: &Snapshot) -> bool {
-    let before = before.and_then(|s| s.level.record());
-    let (Some(before), Some(level)) = (before, snapshot.level.record()) else {
+/// Whether a controller has announced itself since the last snapshot.
+fn has_new_announcement(last_snapshot: Option<&Snapshot>, snapshot: &Snapshot) -> bool {
+    let last_level = last_snapshot.and_then(|last| last.level.record());
+    let (Some(last_level), Some(level)) = (last_level, snapshot.level.record()) else {
         return false;
     };
-    level.announcements > before.announcements
+    level.announcements > last_level.announcements
 }
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -1,38 +1,38 @@
-//! A model of upgrades with crashes, lost answers and delayed writes, explored exhaustively within bounds.
+//! A model checker for upgrades with crashes, lost answers and delayed writes. It explores all states within bounds.
 //!
-//! The processes run the crate's own planning code on what they have read; the model adds the state service, restarts
-//! with other builds, elections, and transactions that are executed at any later time or never. `stateright` could
-//! not be had from the registry; the reachable states are enumerated by `pathfinding`'s breadth-first search.
+//! The processes run the crate's own planning code on what they have read. The model adds the state service, restarts
+//! with other builds, elections, and transactions that are executed at any later time or never. A breadth-first search
+//! of `pathfinding` enumerates the reachable states, since the registry did not offer `stateright`.
 //!
 //! Invariants, checked in every state and on every step:
 //! 1. The active level is not above what any controller has announced.
-//! 2. What is final never becomes less, and is supported by every controller that has announced.
-//! 3. Once a level is final that fences the term, no process leads that does not support it.
+//! 2. The finalized level never decreases, and every controller that has announced supports it.
+//! 3. Once a level that fences the term is finalized, no process leads that does not support that level.
 
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::BTreeMap;
-use vetchmount_rollout::plan::{self, Controller, View};
+use vetchmount_rollout::plan::{self, Controller, PlanningInput};
 use vetchmount_rollout::{Identity, LevelRange, Liveness, Snapshot, Stored};
 use wire::records::*;
 use wire::state::{Compare, Txn, Write};
 
 const LABELS: [&str; 2] = ["a", "b"];
-/// Revisions of the store up to which states are explored; the environment variable of this name explores further (10
-/// takes a minute and a half in release mode).
-const REVISIONS: u64 = 9;
-/// Elections in a run of the model.
-const ELECTIONS: u32 = 2;
+/// Revision of the store up to which states are explored by default. The environment variable `REVISIONS` sets another
+/// limit; 10 takes a minute and a half in release mode.
+const DEFAULT_REVISION_MAX: u64 = 9;
+/// Maximum number of elections on each path of the model.
+const ELECTIONS_MAX: u32 = 2;
 
 /// A build of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Build {
-    /// From before rollouts: announces nothing, reads neither `u/` nor a fenced term.
+    /// A build without staged upgrades: it announces nothing, and reads neither `u/` nor a fenced term.
     Unaware,
-    /// Announces levels up to this one.
+    /// A build that announces levels up to this one.
     Levels(u32),
 }
 
-/// Values by key, with versions. Values are encoded, so that states can be compared.
+/// The state service: values and versions by key. Values are encoded, so that states can be compared.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Store {
     revision: u64,
@@ -43,37 +43,38 @@
 struct Process {
     build: Build,
     boot: u64,
-    /// Version of the mark when it was admitted, if it is: by its last reading, however long ago that was.
-    admitted_by: Option<u64>,
+    /// Version of the mark by which the process was admitted at its last read, however long ago that was. `None` if it
+    /// is not admitted.
+    admitted_at_version: Option<u64>,
 }
 
 /// A transaction that has been sent, encoded.
-type Sent = Vec<u8>;
+type SentTransaction = Vec<u8>;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     store: Store,
     processes: Vec<Process>,
-    /// Builds that each label still has before it.
-    scripts: Vec<Vec<Build>>,
-    /// At most one a label is kept on its way.
-    in_flight: Vec<Option<Sent>>,
+    /// Builds that each label will still be restarted with.
+    remaining_builds: Vec<Vec<Build>>,
+    /// Transactions that were sent and not executed yet, at most one per label.
+    in_flight: Vec<Option<SentTransaction>>,
     elections: u32,
-    /// Process of each label that was heard last: another one may have begun since.
-    heard: Vec<u64>,
-    /// An invariant that a step broke.
+    /// Boot number in the last heartbeat of each label. Another process may have started since.
+    heartbeat_boots: Vec<u64>,
+    /// The invariant that the last step broke, if any.
     broken: Option<&'static str>,
 }
 
-/// A fault that is put into the protocol on purpose.
+/// A fault that is injected into the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// Transitions and announcements do not name the version of this key.
-    WithoutGuard(&'static str),
-    /// An election does not rest on the mark.
-    ElectionWithoutMark,
-    /// A level is finalized without reading who leads.
+    /// Transitions and announcements lack the condition on the version of this key.
+    WithoutCondition(&'static str),
+    /// Elections lack the condition on the version of the mark.
+    ElectionWithoutMarkCondition,
+    /// A level is finalized without reading the leader.
     LeaderNotRead,
 }
 
@@ -96,7 +97,7 @@
     }
 
     fn commit(&mut self, txn: &Txn) {
-        let holds = |guard: &Compare| self.version(&guard.key) == guard.version;
+        let holds = |condition: &Compare| self.version(&condition.key) == condition.version;
         if !txn.compares.iter().all(holds) {
             return;
         }
@@ -125,7 +126,7 @@
 }
 
 impl State {
-    fn first(scripts: [Vec<Build>; 2]) -> State {
+    fn initial(scripts: [Vec<Build>; 2]) -> State {
         let mut store = Store::default();
         store.commit(&Txn {
             compares: Vec::new(),
@@ -135,15 +136,15 @@
         let processes = scripts.iter_mut().map(|script| Process {
             build: script.remove(0),
             boot: 1,
-            admitted_by: None,
+            admitted_at_version: None,
         });
         State {
             store,
             processes: processes.collect(),
-            scripts,
+            remaining_builds: scripts,
             in_flight: vec![None; LABELS.len()],
             elections: 0,
-            heard: vec![1; LABELS.len()],
+            heartbeat_boots: vec![1; LABELS.len()],
             broken: None,
         }
     }
@@ -157,37 +158,38 @@
             label: LABELS[number].to_string(),
             build: "model".into(),
             boot: process.boot,
-            range: LevelRange::any(0, newest).expect("a range"),
+            range: LevelRange::new(0, newest).expect("a valid range"),
         })
     }
 
-    /// A process reads, and sends what it would: it is executed later, or never.
-    fn after_reading(&self, number: usize, fault: Fault) -> Option<State> {
+    /// The state after a process reads the records and sends the transaction that is due, which is executed later or
+    /// never.
+    fn after_read(&self, number: usize, fault: Fault) -> Option<State> {
         let identity = self.identity(number)?;
         let snapshot = self.store.snapshot();
         let mut state = self.clone();
         let admitted = plan::is_admitted(identity.range, &snapshot);
-        state.processes[number].admitted_by = admitted.then(|| snapshot.mark.version());
+        state.processes[number].admitted_at_version = admitted.then(|| snapshot.mark.version());
         if self.in_flight[number].is_none() {
-            let planned = self.plans(&identity, fault);
+            let planned = self.planned_transaction(&identity, fault);
             state.in_flight[number] = planned.map(|txn| wire::encode(&txn));
         }
         Some(state)
     }
 
-    /// A transaction that a process would send, from what is stored now.
-    fn plans(&self, identity: &Identity, fault: Fault) -> Option<Txn> {
+    /// The transaction that a process would send according to what is stored now.
+    fn planned_transaction(&self, identity: &Identity, fault: Fault) -> Option<Txn> {
         let mut snapshot = self.store.snapshot();
         if fault == Fault::LeaderNotRead {
             snapshot.leader = Stored::Missing;
         }
-        let mut txn = match plan::announcement(identity, &snapshot, 0) {
+        let mut txn = match plan::announcement_transaction(identity, &snapshot, 0) {
             Some(txn) => txn,
             None if !plan::is_admitted(identity.range, &snapshot) => return None,
             None => self.transition(&snapshot)?,
         };
-        if let Fault::WithoutGuard(key) = fault {
-            txn.compares.retain(|guard| guard.key != key);
+        if let Fault::WithoutCondition(key) = fault {
+            txn.compares.retain(|condition| condition.key != key);
         }
         Some(txn)
     }
@@ -195,12 +197,12 @@
     fn transition(&self, snapshot: &Snapshot) -> Option<Txn> {
         let controllers: Vec<Controller> = LABELS
             .iter()
-            .zip(&self.heard)
-            .map(|(label, heard)| {
+            .zip(&self.heartbeat_boots)
+            .map(|(label, heartbeat_boot)| {
                 let announced = snapshot.member(label).map(|m| m.boot);
                 Controller {
                     label: label.to_string(),
-                    liveness: match announced == Some(*heard) {
+                    liveness: match announced == Some(*heartbeat_boot) {
                         true => Liveness::Confirmed,
                         false => Liveness::Unannounced,
                     },
@@ -208,22 +210,22 @@
             })
             .collect();
         let pause = snapshot.level.record().and_then(|l| l.pause.clone());
-        let view = View {
+        let input = PlanningInput {
             snapshot,
             controllers: &controllers,
-            // A pause lasts until its controllers are back.
-            trouble: pause.filter(|_| {
+            // A pause lasts until every controller is confirmed.
+            pause_reason: pause.filter(|_| {
                 controllers
                     .iter()
                     .any(|c| c.liveness != Liveness::Confirmed)
             }),
             may_finalize: true,
-            unix: 0,
+            unix_ms: 0,
         };
-        plan::transaction(snapshot, &view.next_transition()?)
+        plan::transition_transaction(snapshot, &input.next_transition()?)
     }
 
-    /// The transaction by which a process would be elected now, if it may stand.
+    /// The transaction by which a process would be elected now, if it may stand for election.
     fn election(&self, number: usize, fault: Fault) -> Option<Txn> {
         let process = &self.processes[number];
         let term: Stored<TermRecord> = self.store.get(TERM);
@@ -236,9 +238,9 @@
             Build::Unaware if record.fenced => return None,
             Build::Unaware => {}
             Build::Levels(_) => {
-                let guard = Compare::new(MARK, process.admitted_by?);
-                if fault != Fault::ElectionWithoutMark {
-                    compares.push(guard);
+                let condition = Compare::new(MARK, process.admitted_at_version?);
+                if fault != Fault::ElectionWithoutMarkCondition {
+                    compares.push(condition);
                 }
             }
         }
@@ -266,56 +268,57 @@
 
     /// All states that one step leads to.
     fn successors(&self, fault: Fault) -> Vec<State> {
-        if self.broken.is_some() || self.store.revision >= revisions() {
+        if self.broken.is_some() || self.store.revision >= revision_max() {
             return Vec::new();
         }
         let mut next = Vec::new();
         for number in 0..LABELS.len() {
-            next.extend(self.after_reading(number, fault));
+            next.extend(self.after_read(number, fault));
             if let Some(sent) = &self.in_flight[number] {
-                let txn: Txn = wire::decode(sent).expect("our own");
+                let txn: Txn = wire::decode(sent).expect("a transaction that the model encoded");
                 let mut state = self.clone();
                 state.in_flight[number] = None;
                 state.store.commit(&txn);
                 next.push(state);
             }
-            let may_stand = self.elections < ELECTIONS && !self.leads(number);
+            let may_stand = self.elections < ELECTIONS_MAX && !self.leads(number);
             if let Some(txn) = self.election(number, fault).filter(|_| may_stand) {
                 let mut state = self.clone();
                 state.elections += 1;
                 state.store.commit(&txn);
                 next.push(state);
             }
-            if self.heard[number] != self.processes[number].boot {
+            if self.heartbeat_boots[number] != self.processes[number].boot {
                 let mut state = self.clone();
-                state.heard[number] = self.processes[number].boot;
+                state.heartbeat_boots[number] = self.processes[number].boot;
                 next.push(state);
             }
-            if !self.scripts[number].is_empty() {
-                // What the process before has sent stays on its way.
+            if !self.remaining_builds[number].is_empty() {
+                // A transaction that the previous process has sent stays in flight.
                 let mut state = self.clone();
                 let process = &mut state.processes[number];
-                process.build = state.scripts[number].remove(0);
+                process.build = state.remaining_builds[number].remove(0);
                 process.boot += 1;
-                process.admitted_by = None;
+                process.admitted_at_version = None;
                 next.push(state);
             }
         }
         next.retain(|state| state != self);
         for state in &mut next {
-            state.broken = state.breach(self);
+            state.broken = state.broken_invariant(self);
         }
         next
     }
 
-    fn breach(&self, before: &State) -> Option<&'static str> {
+    /// The invariant that the step from `before` breaks, if any.
+    fn broken_invariant(&self, before: &State) -> Option<&'static str> {
         let (now, then) = (self.store.snapshot(), before.store.snapshot());
         let mut members = now.members.values().filter_map(Stored::record);
         if members.any(|member| member.newest < now.active()) {
-            return Some("1: active above what is announced");
+            return Some("1: the active level is above an announced one");
         }
         if now.finalized() < then.finalized() {
-            return Some("2: final level became less");
+            return Some("2: the finalized level decreased");
         }
         let leader_supports = |number: usize| match self.processes[number].build {
             Build::Unaware => false,
@@ -324,37 +327,37 @@
         let leads = (0..LABELS.len()).find(|n| self.leads(*n));
         let fenced = now.term.record().is_some_and(|term| term.fenced);
         if fenced && !leads.is_none_or(leader_supports) {
-            return Some("3: a process leads that does not support what is final");
+            return Some("3: the leader does not support the finalized level");
         }
         None
     }
 }
 
-fn revisions() -> u64 {
-    static REVISIONS_ASKED: std::sync::OnceLock<u64> = std::sync::OnceLock::new();
-    let asked = || std::env::var("REVISIONS").ok()?.parse().ok();
-    *REVISIONS_ASKED.get_or_init(|| asked().unwrap_or(REVISIONS))
+fn revision_max() -> u64 {
+    static REVISION_MAX: std::sync::OnceLock<u64> = std::sync::OnceLock::new();
+    let configured = || std::env::var("REVISIONS").ok()?.parse().ok();
+    *REVISION_MAX.get_or_init(|| configured().unwrap_or(DEFAULT_REVISION_MAX))
 }
 
-/// What was found among all reachable states.
+/// Statistics of the reachable states, and an invariant that one of them breaks.
 struct Explored {
     states: usize,
-    /// States in which the newest level is final.
+    /// Number of states in which the newest level is finalized.
     finalized: usize,
-    /// States in which the active level has gone back.
+    /// Number of states in which the active level has been lowered, which shows in the reason of the pause.
     lowered: usize,
     broken: Option<&'static str>,
 }
 
 fn explore(scripts: [Vec<Build>; 2], fault: Fault) -> Explored {
-    let first = State::first(scripts);
+    let initial = State::initial(scripts);
     let mut found = Explored {
         states: 0,
         finalized: 0,
         lowered: 0,
         broken: None,
     };
-    for state in bfs_reach(first, |state| state.successors(fault)) {
+    for state in bfs_reach(initial, |state| state.successors(fault)) {
         let snapshot = state.store.snapshot();
         found.states += 1;
         found.finalized += usize::from(snapshot.finalized() == 2);
@@ -371,7 +374,7 @@
 
 use Build::{Levels, Unaware};
 
-/// Upgrades, returns and restarts of two controllers.
+/// Upgrades, rollbacks and restarts of two controllers.
 fn scripts() -> Vec<[Vec<Build>; 2]> {
     vec![
         [vec![Levels(2), Levels(2)], vec![Unaware, Levels(2)]],
@@ -397,32 +400,32 @@
     assert!(lowered > 0, "the model reaches a rollback");
 }
 
-/// The invariant that a fault breaks in some script.
+/// The invariant that a fault breaks in the first script where it breaks one.
 fn broken_by(fault: Fault) -> Option<&'static str> {
     let mut found = scripts().into_iter().map(|s| explore(s, fault).broken);
     found.find_map(|broken| broken)
 }
 
 #[test]
-fn transitions_without_the_levels_version_are_found() {
-    let broken = broken_by(Fault::WithoutGuard(LEVEL)).expect("found");
+fn transactions_without_a_condition_on_the_level_are_detected() {
+    let broken = broken_by(Fault::WithoutCondition(LEVEL)).expect("a broken invariant");
     assert!(broken.starts_with('1'), "{broken}");
 }
 
 #[test]
-fn a_finalization_without_the_terms_version_is_found() {
-    let broken = broken_by(Fault::WithoutGuard(TERM)).expect("found");
+fn a_finalization_without_a_condition_on_the_term_is_detected() {
+    let broken = broken_by(Fault::WithoutCondition(TERM)).expect("a broken invariant");
     assert!(broken.starts_with('3'), "{broken}");
 }
 
 #[test]
-fn a_finalization_that_does_not_look_who_leads_is_found() {
-    let broken = broken_by(Fault::LeaderNotRead).expect("found");
+fn a_finalization_that_ignores_the_leader_is_detected() {
+    let broken = broken_by(Fault::LeaderNotRead).expect("a broken invariant");
     assert!(broken.starts_with('3'), "{broken}");
 }
 
 #[test]
-fn an_election_that_does_not_rest_on_the_mark_is_found() {
-    let broken = broken_by(Fault::ElectionWithoutMark).expect("found");
+fn an_election_without_a_condition_on_the_mark_is_detected() {
+    let broken = broken_by(Fault::ElectionWithoutMarkCondition).expect("a broken invariant");
     assert!(broken.starts_with('3'), "{broken}");
 }
--- a/crates/rollout/tests/records.rs
+++ b/crates/rollout/tests/records.rs
@@ -1,17 +1,18 @@
-//! Records between builds of different levels: what one writes another reads, and keeps what it does not know.
+//! Compatibility of records between builds of different levels: each build reads what another one writes, and preserves
+//! the fields that it does not know.
 
 use ciborium::Value;
 use proptest::collection::btree_map;
 use proptest::prelude::*;
 use serde::{Deserialize, Serialize};
-use vetchmount_rollout::levels::{RangeError, NEWEST};
+use vetchmount_rollout::levels::{RangeError, NEWEST_LEVEL};
 use vetchmount_rollout::{Feature, LevelRange};
 use wire::records::*;
 use wire::state::to_value;
 use wire::users::{Priority, Shape, Submission};
 
-/// The types of builds from before staged upgrades, frozen.
-mod before {
+/// The record types of builds from before staged upgrades. They never change.
+mod legacy {
     use super::*;
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
@@ -64,7 +65,7 @@
     })
 }
 
-/// Fields that some later build may add. No name of ours begins so.
+/// Fields that a later build may add. No field of this build has a name with this prefix.
 fn unknown_fields() -> impl Strategy<Value = UnknownFields> {
     btree_map("later_[a-z]{1,6}", values(), 0..4)
 }
@@ -107,7 +108,7 @@
 /// A record with fields that a later build has added.
 fn with_fields<T: Serialize>(record: &T, fields: &UnknownFields) -> Value {
     let Value::Map(mut map) = to_value(record) else {
-        panic!("a record is a map");
+        panic!("a record encodes as a map");
     };
     let added = fields.iter();
     map.extend(added.map(|(k, v)| (Value::Text(k.clone()), v.clone())));
@@ -116,13 +117,13 @@
 
 proptest! {
     #![proptest_config(ProptestConfig {
-        // Fixed, as everything in CI; no file of regressions is written.
+        // The seed is fixed, like all inputs in CI. No regression file is written.
         rng_seed: proptest::test_runner::RngSeed::Fixed(24),
         failure_persistence: None,
         ..ProptestConfig::with_cases(256)
     })]
 
-    /// A job that a later build has written, cancelled by this one, keeps what this one does not know.
+    /// If this build cancels a job that a later build has written, the fields that this build does not know are kept.
     #[test]
     fn a_job_keeps_unknown_fields_through_a_rewrite(
         spec in submissions(),
@@ -130,63 +131,70 @@
         fields in unknown_fields(),
     ) {
         let written = with_fields(&JobRecord::new(spec, at.into()), &fields);
-        let read: JobRecord = written.deserialized().expect("readable");
+        let read: JobRecord = written.deserialized().expect("a readable record");
         prop_assert_eq!(&read.unknown, &fields);
         let cancelled = JobRecord { aborted: true, ..read };
-        let again: JobRecord = to_value(&cancelled).deserialized().expect("readable");
+        let again: JobRecord = to_value(&cancelled).deserialized().expect("a readable record");
         prop_assert_eq!(again, cancelled);
     }
 
-    /// Without unknown fields the bytes are those of before, and both builds read each other.
+    /// A job record without unknown fields is encoded to the same bytes by this build and by builds from before staged
+    /// upgrades, and each reads the other's.
     #[test]
-    fn a_job_without_unknown_fields_has_the_bytes_of_before(spec in submissions(), at in any::<u32>()) {
+    fn a_job_without_unknown_fields_has_the_same_bytes_as_before_staged_upgrades(
+        spec in submissions(),
+        at in any::<u32>(),
+    ) {
         let record = JobRecord::new(spec, at.into());
         let bytes = wire::encode(&record);
-        let before: before::JobRecord = wire::decode(&bytes).expect("readable");
-        prop_assert_eq!(&wire::encode(&before), &bytes);
-        let read: JobRecord = wire::decode(&bytes).expect("readable");
+        let legacy: legacy::JobRecord = wire::decode(&bytes).expect("a readable record");
+        prop_assert_eq!(&wire::encode(&legacy), &bytes);
+        let read: JobRecord = wire::decode(&bytes).expect("a readable record");
         prop_assert_eq!(read, record);
     }
 
-    /// The leader's record names its level where others ignore it.
+    /// Builds from before staged upgrades ignore the level in the leader's record.
     #[test]
-    fn the_leaders_record_is_read_by_builds_of_before(
+    fn the_leaders_record_is_read_by_builds_from_before_staged_upgrades(
         term in any::<u32>(),
         boot in any::<u32>(),
         level in proptest::option::of(0..9u32),
     ) {
         let leader = LeaderRecord { node: "n1".into(), term: term.into(), boot: boot.into(), level };
-        let before: before::LeaderRecord = to_value(&leader).deserialized().expect("readable");
-        prop_assert_eq!((before.term, before.boot), (leader.term, leader.boot));
-        let read: LeaderRecord = to_value(&before).deserialized().expect("readable");
+        let legacy: legacy::LeaderRecord = to_value(&leader).deserialized().expect("a readable record");
+        prop_assert_eq!((legacy.term, legacy.boot), (leader.term, leader.boot));
+        let read: LeaderRecord = to_value(&legacy).deserialized().expect("a readable record");
         prop_assert_eq!(read, LeaderRecord { level: None, ..leader });
     }
 
-    /// The term is read by builds of before until it is fenced, and never after.
+    /// Builds from before staged upgrades can read the term until it is fenced, and never afterwards.
     #[test]
-    fn only_a_fenced_term_is_unreadable_before(term in any::<u64>(), fields in unknown_fields()) {
+    fn only_a_fenced_term_is_unreadable_to_builds_from_before_staged_upgrades(
+        term in any::<u64>(),
+        fields in unknown_fields(),
+    ) {
         let open = TermRecord { unknown: fields, ..TermRecord::new(term) };
-        let before: before::TermRecord = to_value(&open).deserialized().expect("readable");
-        prop_assert_eq!(before.term, term);
+        let legacy: legacy::TermRecord = to_value(&open).deserialized().expect("a readable record");
+        prop_assert_eq!(legacy.term, term);
         let fenced = TermRecord { fenced: true, ..open.clone() };
-        prop_assert!(to_value(&fenced).deserialized::<before::TermRecord>().is_err());
+        prop_assert!(to_value(&fenced).deserialized::<legacy::TermRecord>().is_err());
         for record in [open, fenced] {
-            let read: TermRecord = to_value(&record).deserialized().expect("readable");
+            let read: TermRecord = to_value(&record).deserialized().expect("a readable record");
             prop_assert_eq!(read, record);
         }
     }
 
-    /// The mark of any level is read by builds of generation 1, which take it for theirs or above.
+    /// Builds of generation 1 read the mark of any finalized level as their generation or a later one.
     #[test]
-    fn the_mark_keeps_its_meaning(generation in 1..100u32, fields in unknown_fields()) {
+    fn the_mark_is_read_by_builds_of_generation_1(generation in 1..100u32, fields in unknown_fields()) {
         let mark = GenerationRecord { generation, unknown: fields };
-        let before: before::GenerationRecord = to_value(&mark).deserialized().expect("readable");
-        prop_assert_eq!(before.generation, generation);
-        let read: GenerationRecord = to_value(&mark).deserialized().expect("readable");
+        let legacy: legacy::GenerationRecord = to_value(&mark).deserialized().expect("a readable record");
+        prop_assert_eq!(legacy.generation, generation);
+        let read: GenerationRecord = to_value(&mark).deserialized().expect("a readable record");
         prop_assert_eq!(read, mark);
     }
 
-    /// The level record and announcements survive with what later builds add.
+    /// The level record and announcements keep the fields that later builds add.
     #[test]
     fn level_and_announcement_keep_unknown_fields(
         active in 0..9u32,
@@ -198,7 +206,7 @@
         level.phase = Phase::Soaking;
         level.pause = Some(PauseReason::Stalled { label: "n1".into() });
         level.unknown = fields.clone();
-        let read: LevelRecord = to_value(&level).deserialized().expect("readable");
+        let read: LevelRecord = to_value(&level).deserialized().expect("a readable record");
         prop_assert_eq!(read, level);
         let member = MemberRecord {
             oldest: 0,
@@ -207,26 +215,26 @@
             boot: number.into(),
             unknown: fields,
         };
-        let read: MemberRecord = to_value(&member).deserialized().expect("readable");
+        let read: MemberRecord = to_value(&member).deserialized().expect("a readable record");
         prop_assert_eq!(read, member);
     }
 
-    /// A range is one, or names what is wrong with it.
+    /// A valid range is accepted, and the error for an invalid one says what is wrong.
     #[test]
     fn ranges_are_checked(oldest in 0..6u32, newest in 0..6u32) {
-        match LevelRange::held(oldest, newest) {
+        match LevelRange::restricted(oldest, newest) {
             Ok(range) => {
-                prop_assert!(oldest <= newest && newest <= NEWEST);
+                prop_assert!(oldest <= newest && newest <= NEWEST_LEVEL);
                 prop_assert_eq!((range.oldest(), range.newest()), (oldest, newest));
             }
-            Err(RangeError::Unsupported { .. }) => prop_assert!(newest > NEWEST),
+            Err(RangeError::Unsupported { .. }) => prop_assert!(newest > NEWEST_LEVEL),
             Err(RangeError::Reversed { .. }) => prop_assert!(oldest > newest),
         }
     }
 }
 
 #[test]
-fn every_feature_has_its_row_and_no_level_is_skipped() {
+fn every_feature_is_in_the_table_and_every_level_has_a_feature() {
     use vetchmount_rollout::levels::FEATURES;
     for feature in [
         Feature::SmallValues,
@@ -236,7 +244,7 @@
     ] {
         assert_eq!(feature.entry().feature, feature);
     }
-    for level in 1..=NEWEST {
+    for level in 1..=NEWEST_LEVEL {
         assert!(FEATURES.iter().any(|entry| entry.level == level), "{level}");
     }
 }
