--- a/crates/control/src/partitions/leading.rs
+++ b/crates/control/src/partitions/leading.rs
@@ -132,7 +132,7 @@
     ) {
         let now = effects.now.mono;
         self.own_load = own_load;
-        if view.rollout.has_partitions() && leader.is_ready() {
+        if view.rollout.partitions_enabled() && leader.is_ready() {
             leader.begin_delegation();
         }
         self.send_recalls(leader, effects);
@@ -145,7 +145,7 @@
             self.next_permit_review_at = now + PERMIT_REVIEW_INTERVAL_MS;
             leader.review_delegation(now);
         }
-        if !view.rollout.has_partitions() || self.is_table_unusable {
+        if !view.rollout.partitions_enabled() || self.is_table_unusable {
             return;
         }
         self.read_table(effects);
