--- a/crates/control/tests/bad_input.rs
+++ b/crates/control/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! What users may send wrongly, and what other parties may have written that can't be read.
+//! Invalid requests of users, and records that can't be read.
 
 mod common;
 
@@ -8,39 +8,41 @@
 use wire::records::*;
 use wire::users::{Phase, Submission};
 
-const ID: &str = "run-1";
+/// Job id of the submissions under test.
+const JOB_ID: &str = "run-1";
 
-/// A submission in which no field is omitted.
-fn complete() -> Submission {
+/// A submission with every optional field set.
+fn complete_submission() -> Submission {
     Submission {
         types: Some(vec![fakes::KIND.into()]),
         zone: Some("a".into()),
         due_s: Some(900.0),
-        ..array(ID, 2)
+        ..array(JOB_ID, 2)
     }
 }
 
+/// Names and values of a submission's fields as encoded.
 fn fields(job: &Submission) -> Vec<(String, Value)> {
     let Ok(Value::Map(map)) = Value::serialized(job) else {
         panic!("a submission is a map");
     };
     let named = |(name, value): (Value, Value)| match name {
         Value::Text(name) => (name, value),
-        other => panic!("not a name: {other:?}"),
+        other => panic!("a field name is not text: {other:?}"),
     };
     map.into_iter().map(named).collect()
 }
 
-/// The complete submission with one field changed, or left out.
+/// The complete submission, encoded with one field replaced, or omitted if there is no value.
 fn with_field(name: &str, value: Option<Value>) -> Vec<u8> {
-    let mut map = fields(&complete());
+    let mut map = fields(&complete_submission());
     map.retain(|(n, _)| n != name);
     map.extend(value.map(|v| (name.to_string(), v)));
     let map = map.into_iter().map(|(n, v)| (Value::Text(n), v)).collect();
     wire::encode(&Value::Map(map))
 }
 
-fn submit(w: &mut World, body: Vec<u8>) -> u16 {
+fn submit_body(w: &mut World, body: Vec<u8>) -> u16 {
     let (status, _) = w.ask(0, "POST", "/submissions", body);
     status
 }
@@ -50,71 +52,74 @@
     status == 404
 }
 
-fn text(s: &str) -> Value {
-    Value::Text(s.into())
+fn text_value(value: &str) -> Value {
+    Value::Text(value.into())
 }
 
-fn number(v: f64) -> Value {
-    Value::Float(v)
+fn number_value(value: f64) -> Value {
+    Value::Float(value)
 }
 
 #[test]
 fn every_field_of_a_submission_is_refused_when_missing_or_wrong() {
     let mut w = world(1, 1, 0.0);
     let optional = ["breeds", "valley", "due_s", "awaits"];
-    let names: Vec<String> = fields(&complete()).into_iter().map(|(n, _)| n).collect();
+    let names: Vec<String> = fields(&complete_submission())
+        .into_iter()
+        .map(|(n, _)| n)
+        .collect();
     assert_eq!(names.len(), 20, "{names:?}");
     for name in &names {
         if !optional.contains(&name.as_str()) {
             assert_eq!(
-                submit(&mut w, with_field(name, None)),
+                submit_body(&mut w, with_field(name, None)),
                 400,
                 "{name}: missing"
             );
             let null = with_field(name, Some(Value::Null));
-            assert_eq!(submit(&mut w, null), 400, "{name}: null");
+            assert_eq!(submit_body(&mut w, null), 400, "{name}: null");
         }
-        // No field may be a map, and none both a list and something else.
+        // No field is a map, and no field takes a list of numbers.
         let map = with_field(name, Some(Value::Map(vec![])));
-        assert_eq!(submit(&mut w, map), 400, "{name}: a map");
-        let list = with_field(name, Some(Value::Array(vec![number(1.0)])));
-        assert_eq!(submit(&mut w, list), 400, "{name}: a list of numbers");
+        assert_eq!(submit_body(&mut w, map), 400, "{name}: a map");
+        let list = with_field(name, Some(Value::Array(vec![number_value(1.0)])));
+        assert_eq!(submit_body(&mut w, list), 400, "{name}: a list of numbers");
     }
-    let long = "x".repeat(200);
-    let wrong = [
-        ("id", text("")),
-        ("id", text("run-")),
-        ("id", text("run-1a")),
-        ("id", text("job-1")),
-        ("id", number(1.0)),
-        ("cohort", text("")),
-        ("cohort", text(&long)),
-        ("tenant", text("")),
-        ("tenant", number(1.0)),
-        ("shape", text("ring")),
-        ("shape", text("")),
-        ("rank", text("highest")),
-        ("rank", number(1.0)),
+    let too_long = "x".repeat(200);
+    let invalid_values = [
+        ("id", text_value("")),
+        ("id", text_value("run-")),
+        ("id", text_value("run-1a")),
+        ("id", text_value("job-1")),
+        ("id", number_value(1.0)),
+        ("cohort", text_value("")),
+        ("cohort", text_value(&too_long)),
+        ("tenant", text_value("")),
+        ("tenant", number_value(1.0)),
+        ("shape", text_value("ring")),
+        ("shape", text_value("")),
+        ("rank", text_value("highest")),
+        ("rank", number_value(1.0)),
         ("shards", Value::from(0)),
         ("shards", Value::from(100_001)),
         ("shards", Value::from(-1)),
-        ("shards", number(1.5)),
-        ("shards", text("2")),
-        ("bundle", text("")),
+        ("shards", number_value(1.5)),
+        ("shards", text_value("2")),
+        ("bundle", text_value("")),
         ("bundle", Value::Bool(true)),
-        ("breeds", text(fakes::KIND)),
-        ("breeds", Value::Array(vec![text("")])),
-        ("breeds", Value::Array(vec![text("g4"); 100])),
-        ("valley", text("")),
-        ("valley", number(1.0)),
-        ("same_place", text("true")),
+        ("breeds", text_value(fakes::KIND)),
+        ("breeds", Value::Array(vec![text_value("")])),
+        ("breeds", Value::Array(vec![text_value("g4"); 100])),
+        ("valley", text_value("")),
+        ("valley", number_value(1.0)),
+        ("same_place", text_value("true")),
         ("apart", Value::from(1)),
-        ("loaners", text("no")),
-        ("awaits", text("run-2")),
+        ("loaners", text_value("no")),
+        ("awaits", text_value("run-2")),
     ];
-    for (name, value) in wrong {
+    for (name, value) in invalid_values {
         let body = with_field(name, Some(value.clone()));
-        assert_eq!(submit(&mut w, body), 400, "{name}: {value:?}");
+        assert_eq!(submit_body(&mut w, body), 400, "{name}: {value:?}");
     }
     let amounts = [
         "cpus",
@@ -128,38 +133,41 @@
     ];
     for name in amounts {
         for value in [-1.0, f64::NAN, f64::INFINITY] {
-            let body = with_field(name, Some(number(value)));
-            assert_eq!(submit(&mut w, body), 400, "{name}: {value}");
+            let body = with_field(name, Some(number_value(value)));
+            assert_eq!(submit_body(&mut w, body), 400, "{name}: {value}");
         }
-        let body = with_field(name, Some(text("4.0")));
-        assert_eq!(submit(&mut w, body), 400, "{name}: text");
+        let body = with_field(name, Some(text_value("4.0")));
+        assert_eq!(submit_body(&mut w, body), 400, "{name}: text");
     }
-    let whole = wire::encode(&complete());
+    let complete_body = wire::encode(&complete_submission());
     let bodies = [
         vec![],
-        whole[..whole.len() / 2].to_vec(),
-        wire::encode(&Value::Array(vec![text(ID)])),
-        wire::encode(&text(ID)),
+        complete_body[..complete_body.len() / 2].to_vec(),
+        wire::encode(&Value::Array(vec![text_value(JOB_ID)])),
+        wire::encode(&text_value(JOB_ID)),
         vec![0xff; 40],
     ];
     for body in bodies {
-        assert_eq!(submit(&mut w, body.clone()), 400, "{body:?}");
+        assert_eq!(submit_body(&mut w, body.clone()), 400, "{body:?}");
     }
-    assert!(is_unknown(&mut w, ID), "nothing of all that was recorded");
+    assert!(
+        is_unknown(&mut w, JOB_ID),
+        "no refused submission was recorded"
+    );
     clean(&w);
 }
 
 #[test]
-fn what_may_be_null_or_omitted_or_is_not_known_yet_is_accepted() {
+fn fields_that_are_optional_or_not_known_yet_are_accepted() {
     let mut w = world(1, 2, 0.0);
-    let mut bodies = vec![with_field("added_later", Some(text("ignored")))];
+    let mut bodies = vec![with_field("added_later", Some(text_value("ignored")))];
     for name in ["breeds", "valley", "due_s", "awaits"] {
         bodies.push(with_field(name, None));
         bodies.push(with_field(name, Some(Value::Null)));
     }
-    // A class that no objective names, and a type that the cloud does not have beside one that it has.
-    bodies.push(with_field("cohort", Some(text("never seen"))));
-    let types = vec![text("never seen"), text(fakes::KIND)];
+    // A class without an objective, and a machine type that the cloud doesn't have next to one that it has.
+    bodies.push(with_field("cohort", Some(text_value("never seen"))));
+    let types = vec![text_value("never seen"), text_value(fakes::KIND)];
     bodies.push(with_field("breeds", Some(Value::Array(types))));
     for (n, body) in bodies.into_iter().enumerate() {
         let id = format!("run-{}", 100 + n);
@@ -167,10 +175,10 @@
         let Value::Map(mut map) = map else {
             panic!("a map");
         };
-        map.retain(|(name, _)| *name != text("id"));
-        map.push((text("id"), text(&id)));
+        map.retain(|(name, _)| *name != text_value("id"));
+        map.push((text_value("id"), text_value(&id)));
         w.describe(&array(&id, 2), runs(500));
-        let status = submit(&mut w, wire::encode(&Value::Map(map)));
+        let status = submit_body(&mut w, wire::encode(&Value::Map(map)));
         assert_eq!(status, 201, "{id}");
     }
     assert!(done(&mut w, "run-100", 20_000));
@@ -180,63 +188,83 @@
 }
 
 #[test]
-fn what_can_never_run_is_refused_as_such_and_stays_unknown() {
+fn a_job_that_can_never_run_is_refused_with_422_and_stays_unknown() {
     let mut w = world(1, 1, 8.0);
-    let job = || array(ID, 1);
-    let one = |change: fn(&mut Submission)| {
+    let job = || array(JOB_ID, 1);
+    let changed_job = |change: fn(&mut Submission)| {
         let mut job = job();
         change(&mut job);
         job
     };
-    let never = [
-        ("a team never seen", one(|j| j.team = "never seen".into())),
+    let impossible_jobs = [
         (
-            "a type never seen",
-            one(|j| j.types = Some(vec!["g5".into()])),
+            "an unknown team",
+            changed_job(|j| j.team = "never seen".into()),
         ),
-        ("no type at all", one(|j| j.types = Some(vec![]))),
-        ("a zone never seen", one(|j| j.zone = Some("z".into()))),
-        ("more CPUs than any type", one(|j| j.cpus = 33.0)),
-        ("more GPUs than any type", one(|j| j.gpus = 5.0)),
-        ("more memory than any type", one(|j| j.mem_gb = 257.0)),
-        ("a task over its team's limit", one(|j| j.gpus = 9.0)),
-        ("a gang over its team's limit", gang(ID, 3)),
         (
-            "a job that nobody has submitted",
+            "an unknown machine type",
+            changed_job(|j| j.types = Some(vec!["g5".into()])),
+        ),
+        ("no machine type", changed_job(|j| j.types = Some(vec![]))),
+        (
+            "an unknown zone",
+            changed_job(|j| j.zone = Some("z".into())),
+        ),
+        ("more CPUs than any type", changed_job(|j| j.cpus = 33.0)),
+        ("more GPUs than any type", changed_job(|j| j.gpus = 5.0)),
+        (
+            "more memory than any type",
+            changed_job(|j| j.mem_gb = 257.0),
+        ),
+        (
+            "a task over its team's limit",
+            changed_job(|j| j.gpus = 9.0),
+        ),
+        ("a gang over its team's limit", gang(JOB_ID, 3)),
+        (
+            "a dependency that was never submitted",
             after(job(), &["run-999"]),
         ),
-        ("a job that waits for itself", after(job(), &[ID])),
+        ("a dependency on itself", after(job(), &[JOB_ID])),
     ];
-    for (what, job) in never {
-        assert_eq!(submit(&mut w, wire::encode(&job)), 422, "{what}");
+    for (description, job) in impossible_jobs {
+        assert_eq!(
+            submit_body(&mut w, wire::encode(&job)),
+            422,
+            "{description}"
+        );
     }
-    assert!(is_unknown(&mut w, ID));
-    // An array of which not all tasks fit into the limit at once can run, and so can a gang that just fits.
+    assert!(is_unknown(&mut w, JOB_ID));
+    // An array can run although its tasks don't all fit into the limit at once, and so can a gang that just fits.
     for job in [array("run-2", 9), gang("run-3", 2)] {
-        assert_eq!(submit(&mut w, wire::encode(&job)), 201, "{}", job.id);
+        assert_eq!(submit_body(&mut w, wire::encode(&job)), 201, "{}", job.id);
     }
-    // What is known is answered before anything is looked at.
+    // A known id is answered before the submission is checked.
     let known = Submission {
         team: "never seen".into(),
         ..array("run-2", 9)
     };
-    assert_eq!(submit(&mut w, wire::encode(&known)), 200);
+    assert_eq!(submit_body(&mut w, wire::encode(&known)), 200);
     clean(&w);
 }
 
 #[test]
-fn a_cancellation_of_what_is_done_answers_done_and_of_what_is_unknown_404() {
+fn a_cancellation_answers_done_for_a_completed_job_and_404_for_an_unknown_one() {
     let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array(ID, 2), runs(500)), 201);
-    assert!(done(&mut w, ID, 20_000));
+    assert_eq!(w.submit(0, &array(JOB_ID, 2), runs(500)), 201);
+    assert!(done(&mut w, JOB_ID, 20_000));
     for node in 0..3 {
-        assert_eq!(w.abort(node, ID), Some(Phase::Done), "node {node}");
+        assert_eq!(w.abort(node, JOB_ID), Some(Phase::Done), "node {node}");
         let (status, _) = w.ask(node, "POST", "/submissions/run-2/abort", vec![]);
         assert_eq!(status, 404, "node {node}");
         w.crash(node);
         w.start(node);
         w.run(5_000);
-        assert_eq!(w.abort(node, ID), Some(Phase::Done), "node {node} anew");
+        assert_eq!(
+            w.abort(node, JOB_ID),
+            Some(Phase::Done),
+            "node {node} after its restart"
+        );
     }
     for target in [
         "/submissions/",
@@ -252,13 +280,13 @@
     clean(&w);
 }
 
-/// Records that another program left, or that a later version writes.
+/// Records that another program left or that a later version writes must not stop the work on other jobs.
 #[test]
-fn unreadable_records_are_survived_and_stop_nothing_else() {
+fn unreadable_records_stop_no_other_work() {
     let mut w = world(3, 2, 0.0);
-    let junk = "not a record";
-    w.state.write(&job_key("run-7"), &junk, None);
-    w.state.write(&final_key("run-8"), &junk, None);
+    let unreadable = "not a record";
+    w.state.write(&job_key("run-7"), &unreadable, None);
+    w.state.write(&final_key("run-8"), &unreadable, None);
     w.state.write("j/not-an-id", &7, None);
     w.run(1_000);
     for round in 0..2 {
@@ -266,20 +294,20 @@
         for node in 0..3 {
             for id in ["run-7", "run-8"] {
                 let (status, _) = w.ask(node, "GET", &format!("/submissions/{id}"), vec![]);
-                assert_eq!(status, 503, "{id} exists, and nothing can be said of it");
+                assert_eq!(status, 503, "{id} exists, and its state can't be read");
             }
         }
         let id = format!("run-1{round}");
         assert_eq!(w.submit(leader, &array(&id, 4), runs(500)), 201);
         assert!(done(&mut w, &id, 20_000), "round {round}");
-        // The next leader has to read all of it.
+        // The next leader has to read all records, including the unreadable ones.
         w.crash(leader);
         assert!(w.until(6_000, |w| w.leader().is_some()));
         w.start(leader);
         w.run(2_000);
     }
-    // Reports, direct answers and frames that mean nothing.
-    for body in [vec![], vec![0xff; 40], wire::encode(&junk)] {
+    // Reports that can't be decoded.
+    for body in [vec![], vec![0xff; 40], wire::encode(&unreadable)] {
         assert_eq!(w.ask(0, "POST", "/v1/report", body).0, 400);
     }
     assert!(w.leader().is_some());
@@ -287,20 +315,20 @@
 }
 
 #[test]
-fn half_as_many_machines_controllers_and_limits_again_change_nothing() {
+fn a_cluster_with_one_and_a_half_times_the_machines_controllers_and_limits_works_the_same() {
     let settings = |i: usize| {
         let mut settings = settings(i, 5, 0.0);
-        let d = &mut settings.deployment;
+        let deployment = &mut settings.deployment;
         for rate in [
-            &mut d.state.rps,
-            &mut d.state.write_rps,
-            &mut d.cloud.rps,
-            &mut d.quota.cpu,
-            &mut d.quota.mem_mb,
+            &mut deployment.state.rps,
+            &mut deployment.state.write_rps,
+            &mut deployment.cloud.rps,
+            &mut deployment.quota.cpu,
+            &mut deployment.quota.mem_mb,
         ] {
             *rate *= 1.5;
         }
-        d.quota.max_connections += d.quota.max_connections / 2;
+        deployment.quota.max_connections += deployment.quota.max_connections / 2;
         settings.validate().expect("valid");
         settings
     };
--- a/crates/control/tests/cancellations.rs
+++ b/crates/control/tests/cancellations.rs
@@ -1,4 +1,5 @@
-//! Cancellations that meet other troubles: whoever confirms one, its tasks are gone in time. The world watches for that.
+//! Cancellations combined with other faults: whichever node confirms a cancellation, the job's tasks must end in time.
+//! The simulated cluster checks that.
 
 mod common;
 
@@ -6,144 +7,154 @@
 use fakes::{array, World};
 use wire::users::Phase;
 
-/// Milliseconds within which a cancelled job's tasks are to be gone in these worlds, and some more.
-const CANCEL_MS: u64 = 30_000 + 2_000;
+/// Time in which the tasks of a cancelled job must have ended (`cancel_s`), with a margin.
+const CANCEL_DEADLINE_MS: u64 = 30_000 + 2_000;
 
-/// A job with a task on each machine, which run for minutes.
-fn long_job(w: &mut World, id: &str, tasks: u64) {
+/// Submits a job whose tasks run for minutes, and waits until all of them are on machines.
+fn start_long_job(w: &mut World, id: &str, tasks: u64) {
     assert_eq!(w.submit(follower(w), &array(id, tasks), runs(600_000)), 201);
     assert!(w.until(10_000, |w| w.on_machines(id).len() as u64 == tasks));
 }
 
-/// A job was cancelled through another node while the leader, the second one given, can't read what is open, though all
-/// else is answered, and hears nothing from its peers.
-fn cancelled_unread() -> (World, usize) {
+/// A cluster in which a job was cancelled through a follower while the leader, whose index is returned, can't read the
+/// open jobs, though its other requests are answered, and receives nothing from its peers.
+fn cluster_with_unread_cancellation() -> (World, usize) {
     let mut w = world(3, 2, 0.0);
-    let old = w.leader().expect("leader");
-    let other = follower(&w);
-    long_job(&mut w, "run-1", 2);
-    // What is open is not read any more, and all else is answered.
+    let leader = w.leader().expect("leader");
+    let other_node = follower(&w);
+    start_long_job(&mut w, "run-1", 2);
+    // The open jobs can't be read any more, and all other requests are answered.
     (w.break_watches, w.break_lists) = (true, true);
     w.run(3_500);
-    w.silent_peers.insert(old);
-    assert_eq!(w.abort(other, "run-1"), Some(Phase::Aborted));
-    (w, old)
+    w.silent_peers.insert(leader);
+    assert_eq!(w.abort(other_node, "run-1"), Some(Phase::Aborted));
+    (w, leader)
 }
 
-/// Lets time pass step by step until another node than `old` has just been elected.
-fn elected(w: &mut World, old: usize) -> usize {
+/// Lets time pass in small steps until a node other than `old_leader` has just been elected.
+fn wait_for_new_leader(w: &mut World, old_leader: usize) -> usize {
     for _ in 0..1_000 {
-        match w.leader().filter(|l| *l != old) {
-            Some(new) => return new,
+        match w.leader().filter(|l| *l != old_leader) {
+            Some(new_leader) => return new_leader,
             None => w.run(10),
         }
     }
-    panic!("nobody was elected");
+    panic!("no node was elected");
 }
 
 #[test]
-fn the_gap_between_a_refused_leader_and_an_outage_hides_no_cancellation() {
-    for wait in [200, 900, 1_700, 2_600] {
+fn cancellations_between_a_refused_leader_and_an_outage_are_carried_out() {
+    for wait_ms in [200, 900, 1_700, 2_600] {
         let mut w = world(3, 4, 0.0);
-        let old = w.leader().expect("leader");
-        let other = follower(&w);
+        let old_leader = w.leader().expect("leader");
+        let other_node = follower(&w);
         for id in ["run-1", "run-2", "run-3"] {
-            long_job(&mut w, id, 3);
+            start_long_job(&mut w, id, 3);
         }
-        w.refused.insert(old);
-        w.run(wait / 2);
+        w.refused.insert(old_leader);
+        w.run(wait_ms / 2);
         for id in ["run-1", "run-2"] {
-            assert_eq!(w.abort(other, id), Some(Phase::Aborted));
+            assert_eq!(w.abort(other_node, id), Some(Phase::Aborted));
         }
-        w.run(wait / 2);
+        w.run(wait_ms / 2);
         w.state_down = true;
         w.run(14_000);
         w.refused.clear();
-        w.run(CANCEL_MS + 20_000);
+        w.run(CANCEL_DEADLINE_MS + 20_000);
         for id in ["run-1", "run-2"] {
-            assert!(w.on_machines(id).is_empty(), "{id} after {wait}");
+            assert!(w.on_machines(id).is_empty(), "{id} after {wait_ms} ms");
         }
-        assert_eq!(w.on_machines("run-3").len(), 3, "kept alive after {wait}");
+        assert_eq!(
+            w.on_machines("run-3").len(),
+            3,
+            "leases are renewed after {wait_ms} ms"
+        );
         clean(&w);
     }
 }
 
-/// A renewal that gets through says nothing about what the watch has missed, and a notice lost with its connection is
-/// not made up for by it.
+/// A successful renewal of the leader's lease proves nothing about changes that the watch has missed, and doesn't make
+/// up for a notification that was lost with its connection.
 #[test]
-fn a_good_answer_to_something_else_does_not_vouch_for_a_lost_notice() {
-    let (mut w, old) = cancelled_unread();
+fn a_successful_lease_renewal_does_not_make_up_for_a_lost_notification() {
+    let (mut w, leader) = cluster_with_unread_cancellation();
     w.silent_peers.clear();
     w.run(4_000);
-    assert_eq!(w.leader(), Some(old), "its lease is renewed all the time");
+    assert_eq!(
+        w.leader(),
+        Some(leader),
+        "the leader's lease is renewed all the time"
+    );
     w.state_down = true;
-    w.run(CANCEL_MS);
+    w.run(CANCEL_DEADLINE_MS);
     assert!(w.on_machines("run-1").is_empty());
     clean(&w);
 }
 
-/// Without an outage too: what it can't read of the records it may not go on keeping alive.
+/// Without an outage, too, a leader must not keep renewing the leases of tasks whose records it can't read.
 #[test]
-fn a_leader_that_can_not_read_what_is_open_stops_answering_in_time() {
-    let (mut w, old) = cancelled_unread();
-    w.run(CANCEL_MS);
+fn a_leader_that_can_not_read_open_jobs_stops_answering_in_time() {
+    let (mut w, leader) = cluster_with_unread_cancellation();
+    w.run(CANCEL_DEADLINE_MS);
     assert!(w.on_machines("run-1").is_empty());
     w.silent_peers.clear();
     (w.break_watches, w.break_lists) = (false, false);
-    assert!(w.until(20_000, |w| w.phase(old, "run-1") == Some(Phase::Aborted)));
+    assert!(w.until(20_000, |w| w.phase(leader, "run-1") == Some(Phase::Aborted)));
     clean(&w);
 }
 
-/// An answer of a leader that has not read its records used to renew the leases of tasks that it knew nothing of.
+/// A leader that had not yet read its records renewed, with its answers, the leases of tasks that it did not know.
 #[test]
-fn a_leader_that_has_yet_to_read_its_records_keeps_nothing_alive() {
+fn a_leader_that_has_yet_to_read_its_records_renews_no_worker_lease() {
     for steps in [0, 3, 6, 9] {
         let mut w = world(3, 3, 0.0);
-        let old = w.leader().expect("leader");
-        let other = follower(&w);
-        long_job(&mut w, "run-1", 3);
-        w.refused.insert(old);
-        w.silent_peers.insert(old);
-        assert_eq!(w.abort(other, "run-1"), Some(Phase::Aborted));
-        elected(&mut w, old);
+        let old_leader = w.leader().expect("leader");
+        let other_node = follower(&w);
+        start_long_job(&mut w, "run-1", 3);
+        w.refused.insert(old_leader);
+        w.silent_peers.insert(old_leader);
+        assert_eq!(w.abort(other_node, "run-1"), Some(Phase::Aborted));
+        wait_for_new_leader(&mut w, old_leader);
         w.silent_peers.clear();
         w.run(10 * steps);
         w.state_down = true;
-        w.run(CANCEL_MS);
+        w.run(CANCEL_DEADLINE_MS);
         assert!(w.on_machines("run-1").is_empty(), "after {steps} steps");
         w.state_down = false;
         w.refused.clear();
         w.run(20_000);
-        assert_eq!(w.phase(other, "run-1"), Some(Phase::Aborted));
+        assert_eq!(w.phase(other_node, "run-1"), Some(Phase::Aborted));
         clean(&w);
     }
 }
 
-/// The notice came while the records were being read, and was lost on a job that was not there yet.
+/// A notification that arrived while the records were being read was lost, since the job had not been loaded yet.
 #[test]
-fn a_notice_that_comes_while_the_records_are_read_counts() {
+fn a_notification_that_arrives_while_the_records_are_read_takes_effect() {
     for steps in 0..16 {
         let mut w = world(3, 3, 0.0);
-        let old = w.leader().expect("leader");
-        long_job(&mut w, "run-1", 3);
-        w.refused.insert(old);
-        let new = elected(&mut w, old);
-        let other = (0..3).find(|n| *n != old && *n != new).expect("third");
+        let old_leader = w.leader().expect("leader");
+        start_long_job(&mut w, "run-1", 3);
+        w.refused.insert(old_leader);
+        let new_leader = wait_for_new_leader(&mut w, old_leader);
+        let third_node = (0..3)
+            .find(|n| *n != old_leader && *n != new_leader)
+            .expect("third");
         w.run(10 * steps);
-        // No watch will tell of it, and the reading comes to its end.
+        // No watch reports the cancellation, and the reading of the records completes.
         w.break_watches = true;
-        assert_eq!(w.abort(other, "run-1"), Some(Phase::Aborted));
+        assert_eq!(w.abort(third_node, "run-1"), Some(Phase::Aborted));
         w.run(150);
         w.state_down = true;
-        w.run(CANCEL_MS);
+        w.run(CANCEL_DEADLINE_MS);
         assert!(w.on_machines("run-1").is_empty(), "after {steps} steps");
         clean(&w);
     }
 }
 
-/// The first answer of a new leader goes to a report with the old term; it renewed the lease and ended nothing.
+/// The first answer of a new leader goes to a report with the old term. It renewed the lease and stopped no task.
 #[test]
-fn the_first_answer_of_a_new_leader_ends_what_is_cancelled() {
+fn the_first_answer_of_a_new_leader_stops_cancelled_tasks() {
     let mut w = World::new(3, |i| {
         let mut settings = settings(i, 3, 0.0);
         settings.deployment.workers.cancel_s = 14.0;
@@ -152,18 +163,18 @@
     w.add_machine("vm-000000", "a");
     assert!(w.until(6_000, |w| w.leader().is_some()), "a leader");
     w.run(4_000);
-    long_job(&mut w, "run-1", 1);
-    let old = w.leader().expect("leader");
-    let other = follower(&w);
-    // Nobody leads for most of a lease after the cancellation.
-    w.silent_peers.insert(old);
-    w.refused.insert(old);
-    assert_eq!(w.abort(other, "run-1"), Some(Phase::Aborted));
-    w.crash(old);
+    start_long_job(&mut w, "run-1", 1);
+    let old_leader = w.leader().expect("leader");
+    let other_node = follower(&w);
+    // There is no leader for most of a lease after the cancellation.
+    w.silent_peers.insert(old_leader);
+    w.refused.insert(old_leader);
+    assert_eq!(w.abort(other_node, "run-1"), Some(Phase::Aborted));
+    w.crash(old_leader);
     w.state_down = true;
     w.run(5_000);
     w.state_down = false;
-    // It hears one answer of the next leader, and nothing more.
+    // The worker receives one answer of the next leader and nothing after it.
     assert!(w.until(8_000, |w| w.workers["vm-000000"].term > 1));
     w.workers.get_mut("vm-000000").expect("worker").one_way = true;
     w.run(20_000);
@@ -171,11 +182,11 @@
     clean(&w);
 }
 
-/// What a node was told is cancelled it answers so at once, without the state service, and never takes back.
+/// A node that was told of a cancellation answers with it at once, without the state service, and never reverts it.
 #[test]
 fn every_node_answers_a_cancellation_as_soon_as_one_has_confirmed_it() {
     let mut w = world(3, 2, 0.0);
-    long_job(&mut w, "run-1", 2);
+    start_long_job(&mut w, "run-1", 2);
     assert_eq!(w.abort(1, "run-1"), Some(Phase::Aborted));
     w.run(20);
     w.state_down = true;
--- a/crates/control/tests/failing_jobs.rs
+++ b/crates/control/tests/failing_jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs that were submitted with a mistake: each of their tasks exits with `error` soon after its start, on every
-//! machine, until the user cancels them. And their counterpart, a machine on which every task fails.
+//! Jobs that were submitted with a mistake: all their tasks exit with `error` soon after their start, on every machine,
+//! until the user cancels the job. And the opposite case, a machine on which every task fails.
 
 mod common;
 
@@ -7,82 +7,102 @@
 use fakes::{array, gang, Behaviour, World};
 use wire::users::{Phase, Submission};
 
+/// Number of machines of the cluster, each with 4 GPUs.
 const MACHINES: usize = 8;
-const GPUS: usize = MACHINES * 4;
-/// GPUs that the team `t` may use.
+const CLUSTER_GPUS: usize = MACHINES * 4;
+/// GPU limit of the team `t`.
 const TEAM_GPUS: f64 = 24.0;
 
-/// A simulated cluster whose machines stand ready, with two teams.
-fn two_teams(nodes: usize) -> World {
+/// A simulated cluster that keeps idle machines, with two teams.
+fn two_team_cluster(nodes: usize) -> World {
     cluster(nodes, MACHINES, |i| {
-        let mut s = settings(i, nodes, 0.0);
-        s.deployment.objectives[0].kind = "guarantee".into();
-        s.deployment.teams = vec![team("t", TEAM_GPUS), team("u", 0.0)];
-        s
+        let mut settings = settings(i, nodes, 0.0);
+        settings.deployment.objectives[0].kind = "guarantee".into();
+        settings.deployment.teams = vec![team("t", TEAM_GPUS), team("u", 0.0)];
+        settings
     })
 }
 
 /// Tasks that run for two seconds and exit with `error`.
-fn failing() -> Behaviour {
+fn failing_behaviour() -> Behaviour {
     Behaviour {
         fails: true,
         ..runs(2_000)
     }
 }
 
-/// Starts of tasks of a job so far, on the machines that are there.
-fn starts(w: &World, job: &str) -> usize {
+/// Number of task starts of a job so far, on the machines that still exist.
+fn start_count(w: &World, job: &str) -> usize {
     let started = w.workers.values().flat_map(|m| m.started.iter());
     started
         .filter(|(task, _)| task.split('/').next() == Some(job))
         .count()
 }
 
-/// Machines of the beginning that were given back meanwhile; the cloud lets others take their place.
-fn given_back(w: &World) -> Vec<String> {
+/// Initial machines that were returned meanwhile; the cloud may have replaced them.
+fn returned_machines(w: &World) -> Vec<String> {
     let names = (0..MACHINES).map(|m| format!("vm-{m:06}"));
     names.filter(|m| !w.workers.contains_key(m)).collect()
 }
 
-/// Changes in the state service while time passes.
-fn changes(w: &mut World, ms: u64) -> u64 {
+/// Runs the cluster for `ms` and returns the number of writes to the state service.
+fn count_writes(w: &mut World, ms: u64) -> u64 {
     let before = w.state.writes;
     w.run(ms);
     w.state.writes - before
 }
 
-/// Runs one task on each GPU of the cluster that is not busy: every machine is there and is given work.
-fn assert_all_machines_are_used(w: &mut World, id: &str, busy: usize) {
-    assert_eq!(given_back(w), Vec::<String>::new());
-    let job = of_team("u", array(id, (GPUS - busy) as u64));
+/// Asserts that no initial machine was returned, and that tasks of one GPU can occupy all GPUs of the cluster except
+/// `busy_gpus`, so that every machine is used.
+fn assert_all_machines_are_used(w: &mut World, id: &str, busy_gpus: usize) {
+    assert_eq!(returned_machines(w), Vec::<String>::new());
+    let job = of_team("u", array(id, (CLUSTER_GPUS - busy_gpus) as u64));
     assert_eq!(w.submit(0, &job, runs(20_000)), 201);
-    let whole = |w: &mut World| w.on_machines(id).len() == GPUS - busy;
-    assert!(w.until(15_000, whole), "{}", w.on_machines(id).len());
+    let all_placed = |w: &mut World| w.on_machines(id).len() == CLUSTER_GPUS - busy_gpus;
+    assert!(w.until(15_000, all_placed), "{}", w.on_machines(id).len());
     assert!(done(w, id, 60_000));
 }
 
 #[test]
-fn failing_jobs_of_each_shape_back_off_and_leave_room_to_others() {
-    let mut w = two_teams(1);
+fn failing_jobs_of_each_shape_back_off_and_leave_capacity_to_others() {
+    let mut w = two_team_cluster(1);
     let ids = ["run-1", "run-2", "run-3"];
-    let shape = Behaviour {
+    let failing_gang = Behaviour {
         gang: 3,
-        ..failing()
+        ..failing_behaviour()
     };
-    // Expected to run long: taken for samples, the failed tasks would make them the smallest of all.
-    let long = |job: Submission| Submission {
+    // The jobs have long estimated run times. If failed tasks counted as samples of the run time, these jobs would be
+    // taken for the smallest of all.
+    let with_long_estimate = |job: Submission| Submission {
         guess_s: 2_000.0,
         ..job
     };
-    assert_eq!(w.submit(0, &long(array("run-1", 1)), failing()), 201);
-    assert_eq!(w.submit(0, &long(array("run-2", 400)), failing()), 201);
-    assert_eq!(w.submit(0, &long(gang("run-3", 3)), shape), 201);
+    assert_eq!(
+        w.submit(
+            0,
+            &with_long_estimate(array("run-1", 1)),
+            failing_behaviour()
+        ),
+        201
+    );
+    assert_eq!(
+        w.submit(
+            0,
+            &with_long_estimate(array("run-2", 400)),
+            failing_behaviour()
+        ),
+        201
+    );
+    assert_eq!(
+        w.submit(0, &with_long_estimate(gang("run-3", 3)), failing_gang),
+        201
+    );
     let mut most_on_machines = 0;
     for minute in 0..5 {
-        let array_before = starts(&w, "run-2");
+        let array_before = start_count(&w, "run-2");
         for second in 0..60 {
             if second % 10 == 0 {
-                // Small work of both teams is done within seconds all the while.
+                // Small jobs of both teams are done within seconds throughout.
                 let team = ["t", "u"][second / 10 % 2];
                 let id = format!("run-{}", 100 + 10 * minute + second / 10);
                 let job = of_team(team, array(&id, 2));
@@ -95,23 +115,32 @@
             }
         }
         if minute > 0 {
-            let fresh = starts(&w, "run-2") - array_before;
-            assert!(fresh <= 2, "{fresh} starts in minute {minute}");
+            let new_starts = start_count(&w, "run-2") - array_before;
+            assert!(new_starts <= 2, "{new_starts} starts in minute {minute}");
         }
     }
     assert!(most_on_machines <= 1, "one task at a time is tried");
-    // Pauses of 4, 8, 16, 32 and then 60 s.
-    let [one, wide, whole] = ids.map(|id| starts(&w, id));
-    assert!((6..=9).contains(&one), "{one} starts of the single task");
-    assert!((GPUS / 2..=GPUS + 12).contains(&wide), "{wide} starts");
-    assert!((9..=24).contains(&whole), "{whole} starts of the gang");
-    let with_them = changes(&mut w, 120_000);
-    let [one, wide, whole] = ids.map(|id| starts(&w, id));
+    // Backoffs of 4, 8, 16, 32 and then 60 s.
+    let [single_starts, array_starts, gang_starts] = ids.map(|id| start_count(&w, id));
+    assert!(
+        (6..=9).contains(&single_starts),
+        "{single_starts} starts of the single task"
+    );
+    assert!(
+        (CLUSTER_GPUS / 2..=CLUSTER_GPUS + 12).contains(&array_starts),
+        "{array_starts} starts"
+    );
+    assert!(
+        (9..=24).contains(&gang_starts),
+        "{gang_starts} starts of the gang"
+    );
+    let writes_with_failing_jobs = count_writes(&mut w, 120_000);
+    let [single_starts, array_starts, gang_starts] = ids.map(|id| start_count(&w, id));
     for id in ids {
         let timed: u32 = parts(&w)
             .iter()
-            .filter(|e| e.job == id)
-            .map(|e| e.chunk.timed)
+            .filter(|entry| entry.job == id)
+            .map(|entry| entry.chunk.timed)
             .sum();
         assert_eq!(timed, 0, "no failed task of {id} is a sample");
     }
@@ -119,26 +148,33 @@
     for id in ids {
         assert_eq!(w.abort(0, id), Some(Phase::Aborted));
     }
-    let gone = |w: &mut World| ids.iter().all(|id| w.on_machines(id).is_empty());
-    assert!(w.until(4_000, gone), "gone at once");
+    let all_ended = |w: &mut World| ids.iter().all(|id| w.on_machines(id).is_empty());
+    assert!(w.until(4_000, all_ended), "all tasks end at once");
     w.run(5_000);
-    let without = changes(&mut w, 120_000);
-    // Two attempts of each, and a change for its places before and after.
-    let theirs = with_them.saturating_sub(without);
-    assert!(theirs <= 16, "{theirs} changes in two minutes");
-    let after = ids.map(|id| starts(&w, id));
-    assert_eq!(after, [one, wide, whole], "never started again");
+    let writes_without_failing_jobs = count_writes(&mut w, 120_000);
+    // Two attempts of each job, with a write for its assignments before and after each attempt.
+    let failing_job_writes = writes_with_failing_jobs.saturating_sub(writes_without_failing_jobs);
+    assert!(
+        failing_job_writes <= 16,
+        "{failing_job_writes} writes in two minutes"
+    );
+    let starts_after = ids.map(|id| start_count(&w, id));
+    assert_eq!(
+        starts_after,
+        [single_starts, array_starts, gang_starts],
+        "never started again"
+    );
     clean(&w);
 }
 
-/// Each machine had failed two of the jobs before any of them had failed on a third machine, and all were taken for
-/// faulty and given back.
+/// Two of the jobs had failed on each machine before any job had failed on a third machine, so that all machines were
+/// taken for faulty and returned.
 #[test]
-fn many_failing_jobs_at_once_blame_no_machine_and_hold_up_nobody() {
-    let mut w = two_teams(1);
+fn many_failing_jobs_at_once_mark_no_machine_as_faulty_and_delay_no_other_job() {
+    let mut w = two_team_cluster(1);
     for n in 0..20 {
         let id = format!("run-{}", 100 + n);
-        assert_eq!(w.submit(0, &array(&id, 1), failing()), 201);
+        assert_eq!(w.submit(0, &array(&id, 1), failing_behaviour()), 201);
     }
     for n in 0..12 {
         let team = ["t", "u"][n % 2];
@@ -151,33 +187,44 @@
     clean(&w);
 }
 
-/// A new leader knew nothing of earlier failures: all failing jobs began anew with short pauses, wide arrays with as
-/// many tasks as there was room for.
+/// A new leader did not know of earlier failures: all failing jobs started again with short backoffs, large arrays with
+/// as many tasks as fitted.
 #[test]
 fn failing_jobs_stay_backed_off_across_a_change_of_leader() {
-    let mut w = two_teams(3);
+    let mut w = two_team_cluster(3);
     let mut ids: Vec<String> = (100..110).map(|n| format!("run-{n}")).collect();
     for id in &ids {
-        assert_eq!(w.submit(0, &array(id, 1), failing()), 201);
+        assert_eq!(w.submit(0, &array(id, 1), failing_behaviour()), 201);
     }
     for id in ["run-1", "run-2"] {
-        assert_eq!(w.submit(0, &array(id, 300), failing()), 201);
+        assert_eq!(w.submit(0, &array(id, 300), failing_behaviour()), 201);
         ids.push(id.into());
     }
-    // A job whose tasks run on; it is no worse off with the new leader.
-    let sound = of_team("u", array("run-3", 8));
-    assert_eq!(w.submit(0, &sound, runs(600_000)), 201);
+    // The tasks of a healthy job keep running under the new leader.
+    let healthy_job = of_team("u", array("run-3", 8));
+    assert_eq!(w.submit(0, &healthy_job, runs(600_000)), 201);
     w.run(200_000);
     let placed = w.on_machines("run-3");
-    let count = |w: &World| ids.iter().map(|id| starts(w, id)).collect::<Vec<usize>>();
-    let before = count(&w);
+    let start_counts = |w: &World| {
+        ids.iter()
+            .map(|id| start_count(w, id))
+            .collect::<Vec<usize>>()
+    };
+    let starts_before = start_counts(&w);
     let leader = w.leader().expect("leader");
     w.crash(leader);
     w.run(60_000);
-    let after = count(&w);
-    let fresh: Vec<usize> = after.iter().zip(&before).map(|(a, b)| a - b).collect();
-    assert!(fresh.iter().all(|n| *n <= 1), "{fresh:?} starts of {ids:?}");
-    assert!(fresh.contains(&1), "they are still tried");
+    let starts_after = start_counts(&w);
+    let new_starts: Vec<usize> = starts_after
+        .iter()
+        .zip(&starts_before)
+        .map(|(a, b)| a - b)
+        .collect();
+    assert!(
+        new_starts.iter().all(|n| *n <= 1),
+        "{new_starts:?} starts of {ids:?}"
+    );
+    assert!(new_starts.contains(&1), "failing jobs are still attempted");
     assert_eq!(w.on_machines("run-3"), placed);
     w.start(leader);
     w.run(4_000);
@@ -185,14 +232,14 @@
     clean(&w);
 }
 
-/// A machine is told apart by jobs that run elsewhere, also while jobs that fail everywhere are about.
+/// A faulty machine is recognized by jobs that succeed elsewhere, also in the presence of jobs that fail everywhere.
 #[test]
-fn a_machine_on_which_every_job_fails_is_kept_free_and_given_back() {
-    let mut w = two_teams(1);
+fn a_machine_on_which_every_job_fails_gets_few_tasks_and_is_returned() {
+    let mut w = two_team_cluster(1);
     w.workers.get_mut("vm-000003").expect("worker").faulty = true;
     for n in 0..3 {
         let id = format!("run-{}", 100 + n);
-        assert_eq!(w.submit(0, &array(&id, 1), failing()), 201);
+        assert_eq!(w.submit(0, &array(&id, 1), failing_behaviour()), 201);
     }
     let mut starts_there = 0;
     for n in 0..40 {
@@ -202,7 +249,11 @@
         let there = w.workers.get("vm-000003").map(|m| m.started.len());
         starts_there = there.unwrap_or(starts_there);
     }
-    assert_eq!(given_back(&w), ["vm-000003"], "and no other");
+    assert_eq!(
+        returned_machines(&w),
+        ["vm-000003"],
+        "only the faulty machine is returned"
+    );
     assert!(starts_there <= 24, "{starts_there} starts there");
     let last = "run-239";
     assert!(done(&mut w, last, 40_000));
--- a/crates/control/tests/guest_teams.rs
+++ b/crates/control/tests/guest_teams.rs
@@ -1,4 +1,5 @@
-//! A guest team has no guarantee: its work gives way to guaranteed work, never stops it, and still does not starve.
+//! A guest team is a team without a guarantee: its tasks are preempted for guaranteed work and never preempt it, and
+//! still its jobs don't starve.
 
 mod common;
 
@@ -8,35 +9,41 @@
 use wire::records::JOBS;
 use wire::users::{Phase, Submission};
 
+/// Number of machines of the cluster, each with 4 GPUs.
 const MACHINES: usize = 8;
 /// GPUs guaranteed to each of two teams; the cluster has 32.
-const GUARANTEE: f64 = 12.0;
+const GUARANTEED_GPUS: f64 = 12.0;
 
-fn guaranteed(name: &str) -> Team {
+/// A team with a guarantee and without a limit.
+fn team_with_guarantee(name: &str) -> Team {
     Team {
-        gpus: GUARANTEE,
+        gpus: GUARANTEED_GPUS,
         ..team(name, 0.0)
     }
 }
 
-/// A simulated cluster of machines that stand ready, two teams with guarantees and a guest.
+/// A simulated cluster that keeps idle machines, with two teams that have guarantees and a guest team.
 fn cluster_with_guest() -> World {
     cluster(1, MACHINES, |i| {
-        let mut s = settings(i, 1, 0.0);
-        s.deployment.objectives[0].kind = "guarantee".into();
-        s.deployment.teams = vec![guaranteed("t"), guaranteed("u"), team("guest", 0.0)];
-        s
+        let mut settings = settings(i, 1, 0.0);
+        settings.deployment.objectives[0].kind = "guarantee".into();
+        settings.deployment.teams = vec![
+            team_with_guarantee("t"),
+            team_with_guarantee("u"),
+            team("guest", 0.0),
+        ];
+        settings
     })
 }
 
-/// Tasks of a team on machines.
-fn tasks_of(w: &World, team: &str) -> usize {
+/// Number of tasks of a team that are on machines.
+fn tasks_on_machines_of(w: &World, team: &str) -> usize {
     let jobs = w.jobs.values().filter(|j| j.team == team);
     jobs.map(|j| w.on_machines(&j.id).len()).sum()
 }
 
-/// Starts of a team's tasks so far.
-fn starts(w: &World, team: &str) -> usize {
+/// Number of task starts of a team so far.
+fn start_count(w: &World, team: &str) -> usize {
     let started = w.workers.values().flat_map(|m| m.started.iter());
     let of_team = |task: &str| {
         let job = task.split('/').next().and_then(|id| w.jobs.get(id));
@@ -46,52 +53,53 @@
 }
 
 #[test]
-fn guest_tasks_are_stopped_for_a_guarantee_and_not_the_other_way_round() {
+fn guest_tasks_are_preempted_for_a_guarantee_and_not_vice_versa() {
     let mut w = cluster_with_guest();
-    let guest = of_team("guest", array("run-1", 64));
-    assert_eq!(w.submit(0, &guest, runs(300_000)), 201);
+    let guest_job = of_team("guest", array("run-1", 64));
+    assert_eq!(w.submit(0, &guest_job, runs(300_000)), 201);
     assert!(w.until(10_000, |w| w.on_machines("run-1").len() == 32));
-    // The guest has the whole cluster. Each team gets what is guaranteed to it within seconds, and no more.
-    // (Arrays of more than seven tasks would wait for their pilots first, which stop nothing.)
+    // The guest uses the whole cluster. Each other team gets its guarantee within seconds, and no more.
+    // (Arrays of more than seven tasks would wait for their pilot tasks first, which preempt nothing.)
     for n in 0..3 {
-        for (first, name) in [(10, "t"), (20, "u")] {
-            let job = of_team(name, array(&format!("run-{}", first + n), 6));
+        for (first_id, name) in [(10, "t"), (20, "u")] {
+            let job = of_team(name, array(&format!("run-{}", first_id + n), 6));
             assert_eq!(w.submit(0, &job, runs(120_000)), 201);
         }
     }
-    let served = |w: &mut World| ["t", "u"].map(|team| tasks_of(w, team)) == [12, 12];
-    assert!(w.until(10_000, served));
+    let have_guarantees =
+        |w: &mut World| ["t", "u"].map(|team| tasks_on_machines_of(w, team)) == [12, 12];
+    assert!(w.until(10_000, have_guarantees));
     assert_eq!(w.on_machines("run-1").len(), 8);
-    // More work of the guest, of a class with a deadline or a gang, stops none of theirs.
-    let due = Submission {
+    // More jobs of the guest, with a deadline or as a gang, preempt no task of the other teams.
+    let job_with_deadline = Submission {
         due_s: Some(30.0),
         ..of_team("guest", array("run-4", 8))
     };
-    assert_eq!(w.submit(0, &due, runs(5_000)), 201);
-    let b = Behaviour {
+    assert_eq!(w.submit(0, &job_with_deadline, runs(5_000)), 201);
+    let behaviour = Behaviour {
         gang: 2,
         ..runs(5_000)
     };
-    let large = of_team("guest", gang("run-5", 2));
-    assert_eq!(w.submit(0, &large, b), 201);
+    let guest_gang = of_team("guest", gang("run-5", 2));
+    assert_eq!(w.submit(0, &guest_gang, behaviour), 201);
     w.run(60_000);
-    assert!(served(&mut w));
+    assert!(have_guarantees(&mut w));
     assert_eq!(
-        [starts(&w, "t"), starts(&w, "u")],
+        [start_count(&w, "t"), start_count(&w, "u")],
         [12, 12],
-        "none was stopped"
+        "no task was preempted"
     );
     clean(&w);
 }
 
-/// Jobs of a team that are not over.
-fn open_jobs(w: &World, team: &str) -> usize {
+/// Number of jobs of a team that are not final.
+fn open_job_count(w: &World, team: &str) -> usize {
     let open = w.state.keys(JOBS);
     let ids = open.iter().filter_map(|key| key.strip_prefix(JOBS));
     ids.filter(|id| w.jobs[*id].team == team).count()
 }
 
-/// A guest's job, and whether it has begun and when.
+/// A job of the guest, and when its first task was seen on a machine.
 struct GuestJob {
     id: String,
     submitted_at: u64,
@@ -99,7 +107,7 @@
 }
 
 #[test]
-fn a_guest_is_served_beside_a_full_load_of_guaranteed_work() {
+fn a_guest_is_served_next_to_a_full_load_of_guaranteed_work() {
     let mut w = cluster_with_guest();
     // Idle-time arrays, one huge array, single tasks and gangs of two whole machines.
     let mut jobs: Vec<GuestJob> = Vec::new();
@@ -119,33 +127,37 @@
         };
         submit(&mut w, job, runs(30_000));
     }
-    let tiny = |id: &str, tasks: u64| Submission {
+    let small_tasks = |id: &str, tasks: u64| Submission {
         cpus: 0.25,
         gpus: 0.0,
         mem_gb: 0.5,
         guess_s: 5.0,
         ..array(id, tasks)
     };
-    submit(&mut w, tiny("run-200", 5_000), runs(5_000));
+    submit(&mut w, small_tasks("run-200", 5_000), runs(5_000));
     for n in 0..4 {
-        let shape = Behaviour {
+        let gang_behaviour = Behaviour {
             gang: 2,
             ..runs(15_000)
         };
         let job = gang(&format!("run-{}", 300 + n), 2);
-        submit(&mut w, job, shape);
+        submit(&mut w, job, gang_behaviour);
     }
     for n in 0..60 {
-        submit(&mut w, tiny(&format!("run-{}", 400 + n), 1), runs(3_000));
+        submit(
+            &mut w,
+            small_tasks(&format!("run-{}", 400 + n), 1),
+            runs(3_000),
+        );
     }
-    // Both teams ask for more than their guarantees all the while, in jobs of eight tasks of 10 s.
-    let mut load = 1_000;
+    // Both teams request more than their guarantees throughout, in jobs of eight tasks of 10 s.
+    let mut next_job = 1_000;
     for _ in 0..80 {
         for name in ["t", "u"] {
-            while open_jobs(&w, name) < 3 {
-                let job = of_team(name, array(&format!("run-{load}"), 8));
+            while open_job_count(&w, name) < 3 {
+                let job = of_team(name, array(&format!("run-{next_job}"), 8));
                 assert_eq!(w.submit(0, &job, runs(10_000)), 201);
-                load += 1;
+                next_job += 1;
             }
         }
         for job in &mut jobs {
@@ -157,26 +169,30 @@
     }
     let ids: Vec<String> = jobs.iter().map(|j| j.id.clone()).collect();
     let phases = w.phases(0, &ids);
-    let done_of = |class: std::ops::Range<usize>| {
-        let of_class = &phases[class];
-        of_class.iter().filter(|p| **p == Some(Phase::Done)).count()
+    let done_of = |group: std::ops::Range<usize>| {
+        let of_group = &phases[group];
+        of_group.iter().filter(|p| **p == Some(Phase::Done)).count()
     };
-    let [arrays, huge, gangs, single] = [0..6, 6..7, 7..11, 11..71].map(done_of);
-    assert!(arrays >= 3, "{arrays} of 6 idle-time arrays");
-    assert_eq!(huge, 1, "the huge array");
-    assert!(gangs >= 2, "{gangs} of 4 gangs");
-    assert!(single >= 30, "{single} of 60 single tasks");
+    let [arrays_done, huge_done, gangs_done, single_done] =
+        [0..6, 6..7, 7..11, 11..71].map(done_of);
+    assert!(arrays_done >= 3, "{arrays_done} of 6 idle-time arrays");
+    assert_eq!(huge_done, 1, "the huge array");
+    assert!(gangs_done >= 2, "{gangs_done} of 4 gangs");
+    assert!(single_done >= 30, "{single_done} of 60 single tasks");
     for gang in &jobs[7..11] {
-        let began = gang.began_at.map(|at| at - gang.submitted_at);
+        let wait_ms = gang.began_at.map(|at| at - gang.submitted_at);
         assert!(
-            began.is_some_and(|ms| ms <= 240_000),
-            "{}: {began:?}",
+            wait_ms.is_some_and(|ms| ms <= 240_000),
+            "{}: {wait_ms:?}",
             gang.id
         );
     }
     for name in ["t", "u"] {
-        let load = starts(&w, name);
-        assert!(load as f64 >= 20.0 * GUARANTEE, "{load} tasks of {name}");
+        let started = start_count(&w, name);
+        assert!(
+            started as f64 >= 20.0 * GUARANTEED_GPUS,
+            "{started} tasks of {name}"
+        );
     }
     clean(&w);
 }
--- a/crates/control/tests/large_arrays.rs
+++ b/crates/control/tests/large_arrays.rs
@@ -1,4 +1,4 @@
-//! Very large arrays of small tasks and swarms of one-task jobs, beside small work of other teams.
+//! Very large arrays of small tasks and large numbers of one-task jobs, next to small jobs of other teams.
 
 mod common;
 
@@ -8,30 +8,30 @@
 use wire::records::*;
 use wire::users::Submission;
 
-/// Tasks of the large array, each of a quarter CPU.
-const TASKS: u64 = 25_000;
-/// Jobs of the swarm.
-const SWARM: usize = 320;
-/// Machines of the cluster, each with room for 128 such tasks by CPU.
+/// Number of tasks of the large array, each of which needs a quarter of a CPU.
+const ARRAY_TASKS: u64 = 25_000;
+/// Number of jobs with a single task.
+const ONE_TASK_JOBS: usize = 320;
+/// Number of machines of the cluster, each of which fits 128 of these tasks by its CPUs.
 const MACHINES: usize = 4;
 
-/// A simulated cluster of machines that stand ready, with two teams and a stopwatch that counts looks at it: a round
-/// looks once for each decision.
-fn counted_cluster(looks: fn() -> u64) -> World {
+/// A simulated cluster that keeps idle machines, with two teams and a stopwatch that counts its readings: a scheduling
+/// round reads it once for each decision.
+fn cluster_with_stopwatch(stopwatch: fn() -> u64) -> World {
     let mut w = cluster(1, MACHINES, |i| {
-        let mut s = settings(i, 1, 0.0);
-        s.deployment.objectives[0].kind = "guarantee".into();
-        s.deployment.teams = vec![team("t", 0.0), team("u", 0.0)];
-        s
+        let mut settings = settings(i, 1, 0.0);
+        settings.deployment.objectives[0].kind = "guarantee".into();
+        settings.deployment.teams = vec![team("t", 0.0), team("u", 0.0)];
+        settings
     });
-    w.stopwatch = looks;
+    w.stopwatch = stopwatch;
     w.crash(0);
     w.start(0);
     w.run(6_000);
     w
 }
 
-/// A job of tasks of a quarter CPU.
+/// A job whose tasks each need a quarter of a CPU.
 fn small_tasks(id: &str, tasks: u64) -> Submission {
     Submission {
         cpus: 0.25,
@@ -42,68 +42,91 @@
     }
 }
 
-/// A single small task of another team, submitted now, is done within a time.
-fn small_task_is_done(w: &mut World, id: &str, within_ms: u64) {
+/// Submits a single small task of another team and asserts that it is done within `within_ms`.
+fn assert_small_task_is_done(w: &mut World, id: &str, within_ms: u64) {
     let job = of_team("u", small_tasks(id, 1));
     assert_eq!(w.submit(0, &job, runs(1_000)), 201);
     assert!(done(w, id, within_ms), "{id}");
 }
 
 #[test]
-fn an_array_of_25_000_tasks_takes_bounded_records_and_rounds_and_holds_up_nobody() {
-    static LOOKS: AtomicU64 = AtomicU64::new(0);
-    let mut w = counted_cluster(|| LOOKS.fetch_add(1, Ordering::Relaxed));
-    let (submitted, bytes) = (w.state.writes, w.state.bytes_written);
-    assert_eq!(w.submit(0, &small_tasks("run-1", TASKS), runs(5_000)), 201);
+fn an_array_of_25_000_tasks_takes_bounded_records_and_rounds_and_delays_no_other_job() {
+    static STOPWATCH_READINGS: AtomicU64 = AtomicU64::new(0);
+    let mut w = cluster_with_stopwatch(|| STOPWATCH_READINGS.fetch_add(1, Ordering::Relaxed));
+    let (writes_before, bytes_before) = (w.state.writes, w.state.bytes_written);
+    assert_eq!(
+        w.submit(0, &small_tasks("run-1", ARRAY_TASKS), runs(5_000)),
+        201
+    );
     w.run(3_000);
-    let mut most_looks = 0;
+    let mut most_readings = 0;
     for n in 0..10 {
-        let looks = LOOKS.load(Ordering::Relaxed);
-        // The first one waits until the array's pilots, a twentieth of its tasks, have been placed.
+        let readings_before = STOPWATCH_READINGS.load(Ordering::Relaxed);
+        // The first small task waits until the array's pilot tasks, a twentieth of its tasks, have been placed.
         let within_ms = if n == 0 { 12_000 } else { 5_000 };
-        small_task_is_done(&mut w, &format!("run-{}", 100 + n), within_ms);
+        assert_small_task_is_done(&mut w, &format!("run-{}", 100 + n), within_ms);
         w.run(5_000);
-        most_looks = most_looks.max(LOOKS.load(Ordering::Relaxed) - looks);
-        let pages = w.state.largest(PAGES);
-        assert!(pages <= 8 * 1024, "a page of {pages} bytes");
+        most_readings =
+            most_readings.max(STOPWATCH_READINGS.load(Ordering::Relaxed) - readings_before);
+        let largest_page_bytes = w.state.largest(PAGES);
+        assert!(
+            largest_page_bytes <= 8 * 1024,
+            "a page of {largest_page_bytes} bytes"
+        );
         assert!(w.on_machines("run-1").len() <= MACHINES * 128);
     }
     let tasks_done: u64 = parts(&w)
         .iter()
-        .filter(|e| e.job == "run-1")
-        .map(|e| sched::RangeSet::parse(&e.chunk.done).expect("ranges").len())
+        .filter(|entry| entry.job == "run-1")
+        .map(|entry| {
+            sched::RangeSet::parse(&entry.chunk.done)
+                .expect("ranges")
+                .len()
+        })
         .sum();
     assert!(tasks_done >= 6_000, "{tasks_done} tasks done");
-    // A look for each decision, some 100 tasks a second, and two for each round.
-    assert!(most_looks <= 3_000, "{most_looks} looks in ten seconds");
-    let (writes, bytes) = (w.state.writes - submitted, w.state.bytes_written - bytes);
-    assert!(writes <= 300, "{writes} changes");
-    let each = bytes as u64 / writes;
-    assert!(each <= 2_048, "{each} bytes a change");
+    // One reading for each decision, at about 100 tasks a second, and two for each round.
+    assert!(
+        most_readings <= 3_000,
+        "{most_readings} stopwatch readings in ten seconds"
+    );
+    let (writes, bytes) = (
+        w.state.writes - writes_before,
+        w.state.bytes_written - bytes_before,
+    );
+    assert!(writes <= 300, "{writes} writes");
+    let bytes_per_write = bytes as u64 / writes;
+    assert!(
+        bytes_per_write <= 2_048,
+        "{bytes_per_write} bytes per write"
+    );
     clean(&w);
 }
 
 #[test]
-fn a_swarm_of_one_task_jobs_stays_within_the_state_services_write_rate() {
-    let mut w = counted_cluster(|| 0);
-    let writes = w.state.writes;
-    // Eight a second for forty seconds; the state service takes 50 changes a second.
-    for n in 0..SWARM {
+fn many_one_task_jobs_stay_within_the_state_services_write_rate() {
+    let mut w = cluster_with_stopwatch(|| 0);
+    let writes_before = w.state.writes;
+    // Eight jobs a second for forty seconds; the state service accepts 50 writes a second.
+    for n in 0..ONE_TASK_JOBS {
         let id = format!("run-{}", 1_000 + n);
         let body = wire::encode(&small_tasks(&id, 1));
         w.describe(&small_tasks(&id, 1), runs(3_000));
         w.send(0, "POST", "/submissions", body);
         w.run(120);
         if n % 80 == 40 {
-            small_task_is_done(&mut w, &format!("run-{}", 100 + n), 5_000);
+            assert_small_task_is_done(&mut w, &format!("run-{}", 100 + n), 5_000);
         }
     }
     assert!(
         w.until(20_000, |w| w.state.keys(JOBS).is_empty()),
-        "all are over"
+        "all jobs are final"
+    );
+    assert_eq!(
+        w.state.too_many, 0,
+        "no write was refused by the rate limit"
     );
-    assert_eq!(w.state.too_many, 0, "no change was refused for its rate");
-    let writes = w.state.writes - writes;
-    assert!(writes <= 1_600, "{writes} changes for {SWARM} jobs");
+    let writes = w.state.writes - writes_before;
+    assert!(writes <= 1_600, "{writes} writes for {ONE_TASK_JOBS} jobs");
     clean(&w);
 }
--- a/crates/control/tests/node_wakeup.rs
+++ b/crates/control/tests/node_wakeup.rs
@@ -1,5 +1,5 @@
-//! Nodes that stood still for seconds or minutes: on waking, everything that waited is judged by the clock before
-//! anything goes out.
+//! Node processes that were frozen for seconds or minutes: when one resumes, it checks everything that waited by the
+//! clock before it sends anything.
 
 mod common;
 
@@ -8,56 +8,57 @@
 use wire::users::{JobStatus, Phase, Submission};
 use wire::workers::Redirect;
 
-/// Jobs of that many seconds are there for the whole of a scenario.
-const LONG_MS: u64 = 600_000;
+/// Run time of tasks that outlast every scenario.
+const LONG_RUN_MS: u64 = 600_000;
 
-/// Which node stands still.
+/// Which node is frozen.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Frozen {
+enum FrozenNode {
     Leader,
     Follower,
-    /// A follower that passes its users' requests on to a peer.
+    /// A follower that forwards its users' requests to a peer.
     Forwarding,
 }
 
-/// From now on the node neither receives anything nor acts until this much time has passed.
+/// Freezes a node for `ms`: meanwhile it neither receives input nor acts.
 fn freeze(w: &mut World, node: usize, ms: u64) {
     w.troubles.frozen.insert(node, w.now + ms);
 }
 
-/// The nodes of a cluster of three other than this one.
-fn others(node: usize) -> [usize; 2] {
+/// The other two nodes of a cluster of three.
+fn other_nodes(node: usize) -> [usize; 2] {
     [(node + 1) % 3, (node + 2) % 3]
 }
 
-/// A job each of whose tasks takes all of a machine.
-fn whole_machines(id: &str, tasks: u64) -> Submission {
+/// A job whose tasks each occupy a whole machine.
+fn whole_machine_job(id: &str, tasks: u64) -> Submission {
     Submission {
         gpus: 4.0,
         ..array(id, tasks)
     }
 }
 
-/// Machines that are up, by name.
+/// Names of the machines that are up.
 fn machine_names(w: &World) -> Vec<String> {
     w.workers.keys().cloned().collect()
 }
 
-/// The freeze begins while the leader records the place of a task and a worker's report waits for it, so that on waking
-/// the commit comes first and the notice of the cancellation, confirmed meanwhile, after it.
+/// The leader is frozen while it records the assignment of a task and a worker's report waits for the record. When the
+/// leader resumes, it processes the commit first and then the notification of the cancellation, which was confirmed
+/// meanwhile.
 #[test]
-fn a_woken_leader_starts_nothing_of_a_job_cancelled_while_it_stood_still() {
+fn a_resumed_leader_starts_no_task_of_a_job_cancelled_while_it_was_frozen() {
     for freeze_ms in [1_500, 2_000, 2_600, 3_500] {
         for offset in 0..24 {
             let mut w = world(3, 4, 0.0);
             let leader = w.leader().expect("leader");
-            let [first, second] = others(leader);
-            // Renewals are answered late too.
+            let [first, second] = other_nodes(leader);
+            // Renewals of the leader's lease are answered late, too.
             w.seed(offset);
             let slow_ms = if offset < 10 { 0 } else { 400 };
             w.troubles.slow_state.insert(leader, slow_ms);
             assert_eq!(
-                w.submit(first, &whole_machines("run-1", 4), runs(LONG_MS)),
+                w.submit(first, &whole_machine_job("run-1", 4), runs(LONG_RUN_MS)),
                 201
             );
             w.run(10 * (offset % 12));
@@ -78,8 +79,8 @@
     }
 }
 
-/// Reports to this node from now on, and nowhere else.
-fn bind_workers(w: &mut World, node: usize) {
+/// Makes all workers report to this node only, from now on.
+fn bind_workers_to(w: &mut World, node: usize) {
     let now = w.now;
     for worker in w.workers.values_mut() {
         (worker.only, worker.node) = (Some(node), node);
@@ -87,132 +88,134 @@
     }
 }
 
-/// The reply to a watch and the beats of the peers wait for the leader while it stands still. It is cut off before the job
-/// is cancelled elsewhere, and the machines reach nobody but it.
+/// The reply to a watch and heartbeats of the peers wait for the leader while it is frozen. The leader is isolated
+/// before the job is cancelled through another node, and the workers reach only the leader.
 #[test]
-fn replies_that_waited_vouch_for_nothing_later_than_their_sending() {
+fn replies_that_waited_prove_nothing_later_than_the_time_they_were_sent() {
     for (freeze_ms, offset) in [(8_000, 0), (8_000, 1_000), (8_000, 2_000), (4_000, 500)] {
         let mut w = world(3, 2, 0.0);
         let leader = w.leader().expect("leader");
-        let [first, second] = others(leader);
-        assert_eq!(w.submit(first, &array("run-1", 8), runs(LONG_MS)), 201);
+        let [first, second] = other_nodes(leader);
+        assert_eq!(w.submit(first, &array("run-1", 8), runs(LONG_RUN_MS)), 201);
         assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 8));
-        bind_workers(&mut w, leader);
+        bind_workers_to(&mut w, leader);
         w.run(2_200 + offset);
         freeze(&mut w, leader, freeze_ms);
-        // Long enough for some beats and mostly for the watch to time out, but not for another to be elected.
+        // Long enough for some heartbeats and mostly for the watch to time out, but not for another leader's election.
         w.run(2_000);
         w.silent_peers.insert(leader);
         w.troubles.cut_from_state.insert(leader);
         assert_eq!(w.abort(second, "run-1"), Some(Phase::Aborted));
         w.run(freeze_ms - 2_500);
-        // Its machines report as it wakes, while their leases hold.
-        bind_workers(&mut w, leader);
+        // The workers report when the leader resumes, while their leases are valid.
+        bind_workers_to(&mut w, leader);
         w.run(7_000);
-        let at = format!("{freeze_ms} ms, offset {offset}");
-        assert_eq!(w.on_machines("run-1").len(), 8, "not ended so far, {at}");
+        let case = format!("{freeze_ms} ms, offset {offset}");
+        assert_eq!(w.on_machines("run-1").len(), 8, "not ended so far, {case}");
         w.run(40_000);
-        assert!(w.on_machines("run-1").is_empty(), "{at}");
+        assert!(w.on_machines("run-1").is_empty(), "{case}");
         clean(&w);
     }
 }
 
-/// Its last look at the leader key was answered while it stood still, before another node was elected, and it wakes in an
-/// outage, so that no newer answer follows.
+/// The follower's last read of the leader key was answered while it was frozen, before another node was elected. It
+/// resumes in an outage, so that no newer answer follows.
 #[test]
-fn a_woken_follower_sends_no_worker_to_a_former_leader() {
+fn a_resumed_follower_redirects_no_worker_to_a_former_leader() {
     for offset in 0..8 {
         let mut w = world(3, 0, 0.0);
-        let old = w.leader().expect("leader");
-        let [first, _] = others(old);
-        // The answer takes some time, so that it is on its way when the freeze begins.
+        let old_leader = w.leader().expect("leader");
+        let [first, _] = other_nodes(old_leader);
+        // The answer takes some time, so that it is in transit when the node is frozen.
         w.seed(offset);
         w.troubles.slow_state.insert(first, 600);
         w.run(80 * offset);
         freeze(&mut w, first, 20_000);
         w.run(100);
-        w.refused.insert(old);
+        w.refused.insert(old_leader);
         w.run(17_000);
-        assert_ne!(w.leader(), Some(old));
+        assert_ne!(w.leader(), Some(old_leader));
         w.state_down = true;
         w.run(2_700);
         let report = FakeWorker::new("vm-000000", "a", false, 0).report(KIND, 0);
-        let sent = w.send(first, "POST", "/v1/report", wire::encode(&report));
+        let request = w.send(first, "POST", "/v1/report", wire::encode(&report));
         w.run(2_500);
-        let (status, body) = w.answer(sent).expect("an answer");
-        let named = wire::decode::<Redirect>(&body).ok().and_then(|e| e.leader);
-        assert_eq!((status, named), (421, None), "offset {offset}");
+        let (status, body) = w.answer(request).expect("an answer");
+        let named_leader = wire::decode::<Redirect>(&body)
+            .ok()
+            .and_then(|redirect| redirect.leader);
+        assert_eq!((status, named_leader), (421, None), "offset {offset}");
         clean(&w);
     }
 }
 
-/// What users asked just before the freeze is refused on waking, since whatever was read for it is of that time; what
-/// they ask from then on is answered as it is.
+/// User requests from just before the freeze are refused when the node resumes, since the data read for them is from
+/// that time. Later requests are answered with the current state.
 #[test]
-fn users_of_a_woken_node_hear_a_refusal_or_the_present() {
+fn users_of_a_resumed_node_get_a_refusal_or_the_current_state() {
     let frozen = [
-        (1_300, Frozen::Leader),
-        (1_300, Frozen::Follower),
-        (1_300, Frozen::Forwarding),
-        (20_000, Frozen::Leader),
-        (61_000, Frozen::Follower),
+        (1_300, FrozenNode::Leader),
+        (1_300, FrozenNode::Follower),
+        (1_300, FrozenNode::Forwarding),
+        (20_000, FrozenNode::Leader),
+        (61_000, FrozenNode::Follower),
     ];
     for (freeze_ms, frozen) in frozen {
         for offset in [0, 1, 3, 6] {
             let mut w = world(3, 2, 0.0);
             let leader = w.leader().expect("leader");
-            let [first, second] = others(leader);
+            let [first, second] = other_nodes(leader);
             let node = match frozen {
-                Frozen::Leader => leader,
-                Frozen::Follower | Frozen::Forwarding => first,
+                FrozenNode::Leader => leader,
+                FrozenNode::Follower | FrozenNode::Forwarding => first,
             };
-            assert_eq!(w.submit(second, &array("run-1", 1), runs(LONG_MS)), 201);
-            if frozen == Frozen::Forwarding {
+            assert_eq!(w.submit(second, &array("run-1", 1), runs(LONG_RUN_MS)), 201);
+            if frozen == FrozenNode::Forwarding {
                 w.refused.insert(node);
             }
             w.run(4_000);
-            w.describe(&array("run-2", 1), runs(LONG_MS));
+            w.describe(&array("run-2", 1), runs(LONG_RUN_MS));
             let body = wire::encode(&array("run-2", 1));
             let poll = w.send(node, "GET", "/submissions/run-1", vec![]);
-            let creation = w.send(node, "POST", "/submissions", body);
+            let submission = w.send(node, "POST", "/submissions", body);
             w.run(10 * offset);
             freeze(&mut w, node, freeze_ms);
             w.run(50);
-            let waits = [poll, creation].map(|request| w.answer(request).is_none());
+            let is_pending = [poll, submission].map(|request| w.answer(request).is_none());
             assert_eq!(w.abort(second, "run-1"), Some(Phase::Aborted));
             w.run(freeze_ms + 100);
-            let mut heard = |request| {
+            let mut answer_of = |request| {
                 let (status, body) = w.answer(request).expect("an answer");
                 (
                     status,
                     wire::decode::<JobStatus>(&body).map(|s| s.phase).ok(),
                 )
             };
-            let at = format!("{frozen:?}, {freeze_ms} ms, offset {offset}");
-            if waits[0] {
-                let fresh = [(503, None), (200, Some(Phase::Aborted))];
-                let heard = heard(poll);
-                assert!(fresh.contains(&heard), "{at}: {heard:?}");
+            let case = format!("{frozen:?}, {freeze_ms} ms, offset {offset}");
+            if is_pending[0] {
+                let allowed = [(503, None), (200, Some(Phase::Aborted))];
+                let answer = answer_of(poll);
+                assert!(allowed.contains(&answer), "{case}: {answer:?}");
             }
-            if waits[1] {
-                let status = heard(creation).0;
-                assert_eq!(status, if offset == 0 { 201 } else { 503 }, "{at}");
+            if is_pending[1] {
+                let status = answer_of(submission).0;
+                assert_eq!(status, if offset == 0 { 201 } else { 503 }, "{case}");
             }
             w.refused.clear();
             w.run(2_000);
-            assert_eq!(w.phase(node, "run-1"), Some(Phase::Aborted), "{at}");
-            let again = w.submit(node, &array("run-2", 1), runs(LONG_MS));
-            assert!(matches!(again, 200 | 201), "{at}: {again}");
+            assert_eq!(w.phase(node, "run-1"), Some(Phase::Aborted), "{case}");
+            let again = w.submit(node, &array("run-2", 1), runs(LONG_RUN_MS));
+            assert!(matches!(again, 200 | 201), "{case}: {again}");
             clean(&w);
         }
     }
 }
 
-/// A leader stands still for most of an outage and still leads after it. Nobody has heard of its machines since: all of
-/// them were given back at once.
+/// A leader is frozen for most of an outage and still leads after it. No node has received reports of its machines
+/// meanwhile, and all of them were returned at once.
 #[test]
-fn a_leader_that_stood_still_in_an_outage_gives_no_machine_back_for_silence() {
-    // Awake, with and without its peers; frozen, with and without workers that reach it as it wakes.
+fn a_leader_frozen_in_an_outage_returns_no_machine_for_missing_reports() {
+    // Not frozen, with and without its peers; frozen, with and without workers that reach it when it resumes.
     for (freeze_ms, peers_cut, workers_cut) in [
         (0, false, false),
         (0, true, false),
@@ -222,9 +225,12 @@
         let mut w = world(3, 6, 0.0);
         w.capacity = 6;
         let leader = w.leader().expect("leader");
-        assert_eq!(w.submit(leader, &array("run-1", 24), runs(LONG_MS)), 201);
+        assert_eq!(
+            w.submit(leader, &array("run-1", 24), runs(LONG_RUN_MS)),
+            201
+        );
         assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 24));
-        let before = machine_names(&w);
+        let machines_before = machine_names(&w);
         w.state_down = true;
         freeze(&mut w, leader, freeze_ms);
         if peers_cut {
@@ -239,47 +245,53 @@
         w.silent_peers.clear();
         w.unreached.clear();
         w.run(20_000);
-        let at = format!("{freeze_ms} ms, {peers_cut} {workers_cut}");
-        assert_eq!(machine_names(&w), before, "{at}");
+        let case = format!("{freeze_ms} ms, peers cut: {peers_cut}, workers cut: {workers_cut}");
+        assert_eq!(machine_names(&w), machines_before, "{case}");
         assert!(w.until(20_000, |w| w.on_machines("run-1").len() == 24));
-        // A machine that is gone is told from the others as ever.
-        let gone = w.workers.get_mut("vm-000000").expect("worker");
-        gone.cut_until = u64::MAX;
+        // A machine that is lost is still distinguished from the others.
+        let lost_worker = w.workers.get_mut("vm-000000").expect("worker");
+        lost_worker.cut_until = u64::MAX;
         assert!(w.until(60_000, |w| !w.workers.contains_key("vm-000000")));
         clean(&w);
     }
 }
 
-/// Each leader stands still as soon as it has been elected, the next one a little later, while jobs are submitted,
-/// cancelled and completed through whoever is awake.
+/// Each leader is frozen soon after its election, each a little later than the one before, while jobs are submitted,
+/// cancelled and completed through the other nodes.
 #[test]
-fn freezes_that_straddle_elections_cancellations_and_completions_break_no_rule() {
+fn freezes_across_elections_cancellations_and_completions_violate_no_rule() {
     for freeze_ms in [2_000, 3_200, 20_000, 61_000] {
         let mut w = world(3, 12, 0.0);
-        assert_eq!(w.submit(0, &array("run-1", 12), runs(LONG_MS)), 201);
+        assert_eq!(w.submit(0, &array("run-1", 12), runs(LONG_RUN_MS)), 201);
         assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 12));
-        let mut before = w.on_machines("run-1");
-        before.sort();
+        let mut placed_before = w.on_machines("run-1");
+        placed_before.sort();
         for round in 0..4 {
             let leader = w.leader().expect("leader");
-            let [first, second] = others(leader);
-            let (short, called_off) = (format!("run-{round}1"), format!("run-{round}2"));
-            assert_eq!(w.submit(first, &array(&short, 6), runs(3_000)), 201);
-            assert_eq!(w.submit(leader, &array(&called_off, 6), runs(LONG_MS)), 201);
+            let [first, second] = other_nodes(leader);
+            let (short_job, cancelled_job) = (format!("run-{round}1"), format!("run-{round}2"));
+            assert_eq!(w.submit(first, &array(&short_job, 6), runs(3_000)), 201);
+            assert_eq!(
+                w.submit(leader, &array(&cancelled_job, 6), runs(LONG_RUN_MS)),
+                201
+            );
             w.run(150 + 900 * round);
             freeze(&mut w, leader, freeze_ms);
             w.run(1_000);
-            assert!(w.until(5_000, |w| w.abort(second, &called_off)
+            assert!(w.until(5_000, |w| w.abort(second, &cancelled_job)
                 == Some(Phase::Aborted)));
-            assert!(w.until(25_000, |w| w.phase(first, &short) == Some(Phase::Done)));
+            assert!(w.until(25_000, |w| w.phase(first, &short_job) == Some(Phase::Done)));
             w.run(4_000);
-            assert!(w.until(70_000, |w| w.phase(leader, &short) == Some(Phase::Done)));
-            assert_eq!(w.phase(leader, &called_off), Some(Phase::Aborted));
+            assert!(w.until(70_000, |w| w.phase(leader, &short_job) == Some(Phase::Done)));
+            assert_eq!(w.phase(leader, &cancelled_job), Some(Phase::Aborted));
         }
         w.run(32_000);
-        let mut after = w.on_machines("run-1");
-        after.sort();
-        assert_eq!(after, before, "healthy tasks went on, {freeze_ms}");
+        let mut placed_after = w.on_machines("run-1");
+        placed_after.sort();
+        assert_eq!(
+            placed_after, placed_before,
+            "healthy tasks kept running, {freeze_ms}"
+        );
         assert!(w.rules.late_starts.is_empty(), "{:?}", w.rules.late_starts);
         clean(&w);
     }
--- a/crates/control/tests/one_sided_cuts.rs
+++ b/crates/control/tests/one_sided_cuts.rs
@@ -1,46 +1,48 @@
-//! One-sided cuts: a controller lacks the state service, its peers, the workers or the users, in one direction or both,
-//! silently or refused. A leader that can place stands before long, and leadership does not go back and forth.
+//! Partial network partitions: a controller has no connection to the state service, its peers, the workers or the
+//! users, in one direction or in both, with lost messages or refused connections. There must soon be a leader that can
+//! place tasks, and leadership must not alternate between nodes.
 
 mod common;
 
 use common::*;
 use fakes::{array, Cut, Party, World};
 
-/// A connection of one controller that fails.
+/// A connection fault of one controller.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    Lacks(Party, Cut),
-    /// Frames to its peers are lost.
-    PeersOut,
-    /// Frames of its peers are lost.
-    PeersIn,
-    /// Both.
-    Peers,
+    /// The connection to this party fails in this way.
+    Connection(Party, Cut),
+    /// Frames to peers are lost.
+    FramesToPeers,
+    /// Frames from peers are lost.
+    FramesFromPeers,
+    /// Frames to and from peers are lost.
+    AllPeerFrames,
 }
 
 use Fault::*;
 
-/// Brings a fault about for good.
-fn cut(w: &mut World, node: usize, fault: Fault) {
+/// Starts a fault of a node that doesn't end by itself.
+fn start_fault(w: &mut World, node: usize, fault: Fault) {
     for other in [(node + 1) % 3, (node + 2) % 3] {
-        if matches!(fault, PeersOut | Peers) {
+        if matches!(fault, FramesToPeers | AllPeerFrames) {
             w.troubles.lost_frames.insert((node, other), u64::MAX);
         }
-        if matches!(fault, PeersIn | Peers) {
+        if matches!(fault, FramesFromPeers | AllPeerFrames) {
             w.troubles.lost_frames.insert((other, node), u64::MAX);
         }
     }
-    if let Lacks(party, cut) = fault {
-        w.troubles.cuts.insert((node, party, cut));
+    if let Connection(party, connection_fault) = fault {
+        w.troubles.cuts.insert((node, party, connection_fault));
     }
 }
 
-/// Term of the present leader, or of the last one known.
-fn term(w: &World) -> u64 {
+/// Term of the current leader, or 0 without a leader.
+fn leader_term(w: &World) -> u64 {
     (0..3).filter_map(|n| w.term_of(n)).max().unwrap_or(0)
 }
 
-/// Submits a job wherever it is taken, as users do.
+/// Submits a job to one node after another until one accepts it, as users do.
 fn submit_anywhere(w: &mut World, id: &str, run_ms: u64) {
     let accepted = (0..30).any(|n| {
         let status = w.submit(n % 3, &array(id, 2), runs(run_ms));
@@ -50,59 +52,65 @@
     assert!(accepted, "{id}");
 }
 
-/// Milliseconds until work is placed while the leader lacks what it needs: it notices, makes room, and workers find the
-/// next one.
-const PLACED_MS: u64 = 20_000;
-/// The same if every node lacks something.
-const PLACED_LAST_MS: u64 = 60_000;
-/// Milliseconds until work is placed while the leader is whole, or lacks only users or peers, which it can do without.
-const PLACED_AT_ONCE_MS: u64 = 5_000;
+/// Time until tasks are placed when the leader lacks a connection that it needs: it notices the fault and resigns, and
+/// the workers find the next leader.
+const PLACED_WITH_IMPAIRED_LEADER_MS: u64 = 20_000;
+/// Time until tasks are placed when every node lacks a connection.
+const PLACED_WITH_FAULTS_EVERYWHERE_MS: u64 = 60_000;
+/// Time until tasks are placed when the leader has all its connections, or lacks only those to users or peers, which it
+/// doesn't need.
+const PLACED_WITH_HEALTHY_LEADER_MS: u64 = 5_000;
 
 #[test]
-fn a_leader_that_can_place_stands_within_seconds_of_any_cut_of_one_node() {
-    // With the most terms that it may take if the leader is cut.
+fn a_leader_can_place_tasks_within_seconds_of_any_connection_fault_of_one_node() {
+    // Each fault with the largest permitted number of new terms if it affects the leader.
     let faults = [
-        (Lacks(Party::State, Cut::Requests), 1),
-        (Lacks(Party::State, Cut::Answers), 1),
-        (Lacks(Party::State, Cut::Refused), 1),
-        // Its reports come through its peers.
-        (Lacks(Party::Workers, Cut::Requests), 0),
-        (Lacks(Party::Workers, Cut::Answers), 1),
-        (Lacks(Party::Workers, Cut::Refused), 0),
-        (Lacks(Party::Users, Cut::Requests), 0),
-        (Lacks(Party::Users, Cut::Answers), 0),
-        (Lacks(Party::Users, Cut::Refused), 0),
-        (PeersOut, 0),
-        (PeersIn, 0),
-        (Peers, 0),
+        (Connection(Party::State, Cut::Requests), 1),
+        (Connection(Party::State, Cut::Answers), 1),
+        (Connection(Party::State, Cut::Refused), 1),
+        // Workers' reports reach the leader through its peers.
+        (Connection(Party::Workers, Cut::Requests), 0),
+        (Connection(Party::Workers, Cut::Answers), 1),
+        (Connection(Party::Workers, Cut::Refused), 0),
+        (Connection(Party::Users, Cut::Requests), 0),
+        (Connection(Party::Users, Cut::Answers), 0),
+        (Connection(Party::Users, Cut::Refused), 0),
+        (FramesToPeers, 0),
+        (FramesFromPeers, 0),
+        (AllPeerFrames, 0),
     ];
-    for (fault, terms) in faults {
+    for (fault, max_new_terms) in faults {
         for of_leader in [true, false] {
             let mut w = world(3, 4, 0.0);
             let leader = w.leader().expect("leader");
             assert_eq!(w.submit(leader, &array("run-1", 4), runs(150_000)), 201);
             assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 4));
             let node = if of_leader { leader } else { (leader + 1) % 3 };
-            let first_term = term(&w);
-            cut(&mut w, node, fault);
+            let first_term = leader_term(&w);
+            start_fault(&mut w, node, fault);
             w.run(2_000);
             submit_anywhere(&mut w, "run-2", 5_000);
-            let lacking = of_leader && matches!(fault, Lacks(Party::State | Party::Workers, _));
-            let within = if lacking {
-                PLACED_MS
+            let is_leader_impaired =
+                of_leader && matches!(fault, Connection(Party::State | Party::Workers, _));
+            let within_ms = if is_leader_impaired {
+                PLACED_WITH_IMPAIRED_LEADER_MS
             } else {
-                PLACED_AT_ONCE_MS
+                PLACED_WITH_HEALTHY_LEADER_MS
             };
-            let placed = w.until(within, |w| !w.on_machines("run-2").is_empty());
-            let at = format!("{fault:?}, of the leader: {of_leader}");
-            assert!(placed, "{at}");
+            let placed = w.until(within_ms, |w| !w.on_machines("run-2").is_empty());
+            let case = format!("{fault:?}, of the leader: {of_leader}");
+            assert!(placed, "{case}");
             w.run(90_000);
-            let most = if of_leader { terms } else { 0 };
-            assert!(term(&w) - first_term <= most, "{at}: term {}", term(&w));
+            let max_new_terms = if of_leader { max_new_terms } else { 0 };
+            assert!(
+                leader_term(&w) - first_term <= max_new_terms,
+                "{case}: term {}",
+                leader_term(&w)
+            );
             w.heal();
             assert!(
                 done(&mut w, "run-2", 30_000) && done(&mut w, "run-1", 200_000),
-                "{at}"
+                "{case}"
             );
             clean(&w);
         }
@@ -110,76 +118,82 @@
 }
 
 #[test]
-fn leadership_settles_when_every_node_lacks_something_else() {
+fn leadership_settles_when_every_node_lacks_a_different_connection() {
     let (state, workers) = (Party::State, Party::Workers);
-    let sets = [
+    let fault_sets = [
         [
-            Lacks(state, Cut::Requests),
-            Lacks(workers, Cut::Requests),
-            Peers,
+            Connection(state, Cut::Requests),
+            Connection(workers, Cut::Requests),
+            AllPeerFrames,
         ],
         [
-            Lacks(state, Cut::Refused),
-            Lacks(workers, Cut::Refused),
-            PeersOut,
+            Connection(state, Cut::Refused),
+            Connection(workers, Cut::Refused),
+            FramesToPeers,
         ],
         [
-            Lacks(state, Cut::Answers),
-            Lacks(workers, Cut::Answers),
-            PeersIn,
+            Connection(state, Cut::Answers),
+            Connection(workers, Cut::Answers),
+            FramesFromPeers,
         ],
     ];
-    for faults in sets {
-        for turn in 0..3 {
+    for faults in fault_sets {
+        for rotation in 0..3 {
             let mut w = world(3, 4, 0.0);
             let leader = w.leader().expect("leader");
-            let first_term = term(&w);
+            let first_term = leader_term(&w);
             for (n, fault) in faults.into_iter().enumerate() {
-                cut(&mut w, (leader + turn + n) % 3, fault);
+                start_fault(&mut w, (leader + rotation + n) % 3, fault);
             }
             w.run(2_000);
             submit_anywhere(&mut w, "run-1", 5_000);
-            let placed = w.until(PLACED_LAST_MS, |w| !w.on_machines("run-1").is_empty());
-            let at = format!("{faults:?}, turn {turn}");
-            assert!(placed, "{at}: {} terms", term(&w) - first_term);
-            let settled = term(&w);
+            let placed = w.until(PLACED_WITH_FAULTS_EVERYWHERE_MS, |w| {
+                !w.on_machines("run-1").is_empty()
+            });
+            let case = format!("{faults:?}, rotation {rotation}");
+            assert!(placed, "{case}: {} terms", leader_term(&w) - first_term);
+            let settled_term = leader_term(&w);
             assert!(
-                settled - first_term <= 2,
-                "{at}: {} terms",
-                settled - first_term
+                settled_term - first_term <= 2,
+                "{case}: {} terms",
+                settled_term - first_term
             );
             w.run(240_000);
-            assert_eq!(term(&w), settled, "{at}: back and forth");
+            assert_eq!(
+                leader_term(&w),
+                settled_term,
+                "{case}: leadership changed again"
+            );
             w.heal();
-            assert!(done(&mut w, "run-1", 30_000), "{at}");
+            assert!(done(&mut w, "run-1", 30_000), "{case}");
             clean(&w);
         }
     }
 }
 
-/// When no worker reaches any node, each of them makes room once in a long time, and not at all while there are no
-/// machines.
+/// While no worker reaches any node, each node resigns as leader only once in a long time, and not at all while there
+/// are no machines.
 #[test]
-fn leaders_do_not_take_turns_while_no_worker_reaches_any_node() {
-    for lost in [Cut::Requests, Cut::Answers, Cut::Refused] {
+fn leaders_do_not_alternate_while_no_worker_reaches_any_node() {
+    for fault in [Cut::Requests, Cut::Answers, Cut::Refused] {
         let mut w = world(3, 4, 0.0);
-        let first_term = term(&w);
+        let first_term = leader_term(&w);
         for node in 0..3 {
-            cut(&mut w, node, Lacks(Party::Workers, lost));
+            start_fault(&mut w, node, Connection(Party::Workers, fault));
         }
-        // Machines are rented for it again and again.
+        // Machines are rented for the job again and again.
         w.capacity = 60;
         submit_anywhere(&mut w, "run-0", 5_000);
         w.run(300_000);
-        let terms = term(&w) - first_term;
-        assert!(terms <= 3, "{lost:?}: {terms} terms");
+        let new_terms = leader_term(&w) - first_term;
+        assert!(new_terms <= 3, "{fault:?}: {new_terms} terms");
         w.heal();
         submit_anywhere(&mut w, "run-1", 5_000);
-        assert!(done(&mut w, "run-1", 30_000), "{lost:?}");
+        assert!(done(&mut w, "run-1", 30_000), "{fault:?}");
         clean(&w);
     }
     let mut w = world(3, 0, 0.0);
-    let first_term = term(&w);
+    let first_term = leader_term(&w);
     w.run(300_000);
-    assert_eq!(term(&w), first_term, "without machines");
+    assert_eq!(leader_term(&w), first_term, "without machines");
 }
--- a/crates/control/tests/operations.rs
+++ b/crates/control/tests/operations.rs
@@ -1,4 +1,5 @@
-//! What people on call met: guests, floods of questions, jobs that always fail, nodes that wake.
+//! Faults seen in operation: guest work that delays work with deadlines, a missing wake-up after a backoff, reports
+//! that arrive after the end of their session, and nodes that report ready although they can serve nobody.
 
 mod common;
 
@@ -7,10 +8,10 @@
 use wire::users::{Phase, Submission};
 use wire::workers::HeartbeatResponse;
 
-/// Work without any aim was taken for urgent at all times, went before everything with a deadline, and kept the whole
+/// Work without any objective was always considered urgent, went before all work with a deadline and occupied the whole
 /// fleet for minutes.
 #[test]
-fn a_guests_idle_time_work_begins_but_does_not_go_before_work_with_deadlines() {
+fn a_guests_idle_time_work_begins_but_does_not_precede_work_with_deadlines() {
     let mut w = world(3, 4, 0.0);
     let guest = Submission {
         guess_s: 30.0,
@@ -27,22 +28,25 @@
         assert_eq!(w.submit(n % 3, &job, runs(4_000)), 201);
         w.run(4_000);
     }
-    // All machines are full of the guest's tasks when they come; what becomes free is theirs.
+    // The guest's tasks fill all machines when the jobs with deadlines arrive; freed capacity goes to these jobs.
     w.run(30_000);
     let ids: Vec<String> = (0..8).map(|n| format!("run-{n}")).collect();
     let phases = w.phases(0, &ids);
-    let over = phases.iter().filter(|p| **p == Some(Phase::Done)).count();
-    assert!(over >= 7, "{phases:?}");
-    assert!(done(&mut w, "run-900", 400_000), "nor does it starve");
+    let done_count = phases.iter().filter(|p| **p == Some(Phase::Done)).count();
+    assert!(done_count >= 7, "{phases:?}");
+    assert!(
+        done(&mut w, "run-900", 400_000),
+        "the guest's job does not starve"
+    );
     clean(&w);
 }
 
-/// Nothing asked for a round when a job's pause was over: in a quiet world it waited until something else happened.
+/// No scheduling round was requested at the end of a job's backoff: without other events, the job kept waiting.
 #[test]
-fn a_job_goes_on_when_its_pause_is_over_though_nothing_else_happens() {
+fn a_job_resumes_at_the_end_of_its_backoff_without_other_events() {
     let mut w = world(3, 2, 0.0);
     let job = array("run-1", 1);
-    // Its description has not been uploaded yet: the worker refuses the start.
+    // The job's description has not been uploaded yet, so that the worker refuses the start.
     let body = wire::encode(&job);
     assert_eq!(w.ask(0, "POST", "/submissions", body).0, 201);
     w.run(2_000);
@@ -51,63 +55,80 @@
     clean(&w);
 }
 
-/// A cut that outlasts a lease delivers, at its end, what was sent before the lease ran out. By its number such a report
-/// is newer than all others: its tasks, long started elsewhere, were taken for orphans and stopped, and the machine for
-/// one that is reached.
+/// When a network interruption that lasts longer than a lease ends, it delivers reports that were sent before the lease
+/// expired. By its sequence number such a report is newer than all others: its tasks, which had long been started
+/// elsewhere, were taken for orphans and stopped, and the machine was taken for reachable.
 #[test]
-fn a_report_held_back_until_its_session_has_ended_changes_nothing() {
+fn a_report_delayed_until_its_session_has_ended_changes_nothing() {
     let mut w = world(3, 2, 0.0);
     assert_eq!(w.submit(0, &array("run-1", 8), runs(120_000)), 201);
     w.run(6_000);
-    let cut_machine = "vm-000000";
+    let disconnected_machine = "vm-000000";
     let now = w.now;
-    let worker = w.workers.get_mut(cut_machine).expect("worker");
+    let worker = w.workers.get_mut(disconnected_machine).expect("worker");
     worker.cut_until = now + 60_000;
-    let held_back = worker.report(KIND, now);
-    assert!(!held_back.tasks.is_empty(), "it runs something");
-    let places = |w: &fakes::World| {
-        let all = parts(w).into_iter().flat_map(|part| part.chunk.at);
-        all.filter(|(_, _, machine)| machine == cut_machine).count()
+    let delayed_report = worker.report(KIND, now);
+    assert!(!delayed_report.tasks.is_empty(), "the machine runs tasks");
+    let assignments_there = |w: &fakes::World| {
+        let assignments = parts(w).into_iter().flat_map(|part| part.chunk.at);
+        assignments
+            .filter(|(_, _, machine)| machine == disconnected_machine)
+            .count()
     };
-    assert!(w.until(30_000, |w| places(w) == 0), "freed by the lapse");
+    assert!(
+        w.until(30_000, |w| assignments_there(w) == 0),
+        "released when the lease expired"
+    );
 
     let leader = w.leader().expect("leader");
-    let (status, body) = w.ask(leader, "POST", "/v1/report", wire::encode(&held_back));
+    let (status, body) = w.ask(leader, "POST", "/v1/report", wire::encode(&delayed_report));
     assert_eq!(status, 200);
     let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
-    assert_eq!(answer.orders, vec![], "nothing to stop");
-    // The other machine is full of what was started again.
+    assert_eq!(answer.orders, vec![], "no stop orders");
+    // The restarted tasks fill the other machine.
     assert_eq!(w.submit(0, &array("run-2", 1), runs(1_000)), 201);
     w.run(2_000);
-    assert_eq!(places(&w), 0, "no work for a machine that is cut off");
+    assert_eq!(
+        assignments_there(&w),
+        0,
+        "no tasks for a disconnected machine"
+    );
     w.heal();
     assert!(done(&mut w, "run-2", 60_000));
     clean(&w);
 }
 
-/// A node that could serve nobody went on telling the load balancer that it was ready.
+/// A node that could serve nobody kept reporting to the load balancer that it was ready.
 #[test]
-fn a_node_cut_off_from_state_service_and_peers_is_not_ready_and_an_outage_takes_nobody_away() {
+fn a_node_isolated_from_state_service_and_peers_is_not_ready_but_all_stay_ready_in_an_outage() {
     let mut w = world(3, 2, 0.0);
-    let ready = |w: &mut fakes::World| -> Vec<u16> {
-        let ask = |node| w.ask(node, "GET", "/ready", vec![]).0;
-        (0..3).map(ask).collect()
+    let ready_statuses = |w: &mut fakes::World| -> Vec<u16> {
+        let status_of = |node| w.ask(node, "GET", "/ready", vec![]).0;
+        (0..3).map(status_of).collect()
     };
-    let cut = w.leader().expect("leader");
-    w.refused.insert(cut);
+    let isolated_node = w.leader().expect("leader");
+    w.refused.insert(isolated_node);
     w.run(8_000);
-    assert_eq!(ready(&mut w), [200; 3], "served through a peer");
-    w.silent_peers.insert(cut);
+    assert_eq!(
+        ready_statuses(&mut w),
+        [200; 3],
+        "requests are served through a peer"
+    );
+    w.silent_peers.insert(isolated_node);
     w.run(6_000);
-    let statuses = ready(&mut w);
-    assert_eq!(statuses[cut], 503);
+    let statuses = ready_statuses(&mut w);
+    assert_eq!(statuses[isolated_node], 503);
     assert_eq!(statuses.iter().filter(|s| **s == 200).count(), 2);
     w.heal();
     w.run(2_000);
-    assert_eq!(ready(&mut w), [200; 3]);
+    assert_eq!(ready_statuses(&mut w), [200; 3]);
     w.state_down = true;
     w.run(20_000);
-    assert_eq!(ready(&mut w), [200; 3], "an outage for all");
+    assert_eq!(
+        ready_statuses(&mut w),
+        [200; 3],
+        "ready in an outage that affects all nodes"
+    );
     w.state_down = false;
     w.run(5_000);
     clean(&w);
--- a/crates/control/tests/scenarios.rs
+++ b/crates/control/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Short scenarios: a whole small world in memory, with something going wrong in each.
+//! Short scenarios on a small simulated cluster in memory, most of them with a fault.
 
 mod common;
 
@@ -32,27 +32,30 @@
 #[test]
 fn answers_follow_the_protocol_before_and_after_a_job_is_known() {
     let mut w = world(1, 1, 4.0);
-    let bad = |w: &mut World, body: Vec<u8>| w.ask(0, "POST", "/submissions", body).0;
-    assert_eq!(bad(&mut w, b"not cbor".to_vec()), 400);
-    let mut nan = array("run-2", 1);
-    nan.cpus = f64::NAN;
-    assert_eq!(bad(&mut w, wire::encode(&nan)), 400);
-    let mut none = array("run-2", 0);
-    assert_eq!(bad(&mut w, wire::encode(&none)), 400);
-    none.tasks = 100_001;
-    assert_eq!(bad(&mut w, wire::encode(&none)), 400);
-    let mut huge = array("run-3", 1);
-    huge.gpus = 5.0;
-    assert_eq!(bad(&mut w, wire::encode(&huge)), 422);
-    let mut stranger = array("run-3", 1);
-    stranger.team = "nobody".into();
-    assert_eq!(bad(&mut w, wire::encode(&stranger)), 422);
-    assert_eq!(bad(&mut w, wire::encode(&gang("run-3", 2))), 422);
+    let post_submission = |w: &mut World, body: Vec<u8>| w.ask(0, "POST", "/submissions", body).0;
+    assert_eq!(post_submission(&mut w, b"not cbor".to_vec()), 400);
+    let mut nan_cpus = array("run-2", 1);
+    nan_cpus.cpus = f64::NAN;
+    assert_eq!(post_submission(&mut w, wire::encode(&nan_cpus)), 400);
+    let mut no_tasks = array("run-2", 0);
+    assert_eq!(post_submission(&mut w, wire::encode(&no_tasks)), 400);
+    no_tasks.tasks = 100_001;
+    assert_eq!(post_submission(&mut w, wire::encode(&no_tasks)), 400);
+    let mut too_many_gpus = array("run-3", 1);
+    too_many_gpus.gpus = 5.0;
+    assert_eq!(post_submission(&mut w, wire::encode(&too_many_gpus)), 422);
+    let mut unknown_team = array("run-3", 1);
+    unknown_team.team = "nobody".into();
+    assert_eq!(post_submission(&mut w, wire::encode(&unknown_team)), 422);
+    assert_eq!(
+        post_submission(&mut w, wire::encode(&gang("run-3", 2))),
+        422
+    );
     assert_eq!(w.phase(0, "run-3"), None);
     assert_eq!(w.ask(0, "GET", "/submissions/run-3", vec![]).0, 404);
-    // Once an id is known, whatever comes under it is answered 200 and changes nothing.
+    // Once an id is known, every submission under it is answered with 200 and changes nothing.
     assert_eq!(w.submit(0, &array("run-2", 2), runs(60_000)), 201);
-    for body in [wire::encode(&nan), wire::encode(&array("run-2", 9))] {
+    for body in [wire::encode(&nan_cpus), wire::encode(&array("run-2", 9))] {
         assert_eq!(w.ask(0, "POST", "/submissions", body).0, 200);
     }
     let record: JobRecord = w.state.read(&job_key("run-2")).expect("recorded");
@@ -62,62 +65,64 @@
 #[test]
 fn without_the_state_service_users_are_refused_at_once_or_served_through_a_peer() {
     let mut w = world(3, 1, 0.0);
-    let lonely = follower(&w);
-    w.refused.insert(lonely);
+    let refused_node = follower(&w);
+    w.refused.insert(refused_node);
     w.run(3_000);
-    let before = w.now;
-    assert_eq!(w.submit(lonely, &array("run-4", 1), runs(1_000)), 201);
-    assert!(w.now - before < 500, "through a peer, at once");
+    let sent_at = w.now;
+    assert_eq!(w.submit(refused_node, &array("run-4", 1), runs(1_000)), 201);
+    assert!(w.now - sent_at < 500, "answered promptly through a peer");
     w.refused.clear();
     w.state_down = true;
     w.run(3_000);
-    let before = w.now;
+    let sent_at = w.now;
     assert_eq!(w.submit(0, &array("run-5", 1), runs(1_000)), 503);
-    assert!(w.now - before < 100, "refused at once");
+    assert!(w.now - sent_at < 100, "refused without delay");
     clean(&w);
 }
 
 #[test]
-fn a_crashed_leader_is_replaced_and_the_term_grows() {
+fn a_crashed_leader_is_replaced_and_the_term_increases() {
     let mut w = world(3, 2, 0.0);
-    let (old, term) = (
+    let (old_leader, term) = (
         w.leader().expect("leader"),
         w.leader().and_then(|l| w.term_of(l)),
     );
-    assert_eq!(w.submit(old, &array("run-6", 2), runs(20_000)), 201);
+    assert_eq!(w.submit(old_leader, &array("run-6", 2), runs(20_000)), 201);
     w.run(4_000);
     let placed = w.on_machines("run-6");
     assert_eq!(placed.len(), 2);
-    w.crash(old);
-    // Its peers see its connections refused and do not wait for its lease of 3 s.
-    assert!(w.until(1_500, |w| w.leader().is_some_and(|l| l != old)));
+    w.crash(old_leader);
+    // The peers see their connections to it refused and do not wait for the end of its 3 s lease.
+    assert!(w.until(1_500, |w| w.leader().is_some_and(|l| l != old_leader)));
     assert!(w.leader().and_then(|l| w.term_of(l)) > term);
     w.run(5_000);
-    assert_eq!(w.on_machines("run-6"), placed, "its tasks run on");
-    let other = w.leader().expect("leader");
-    assert!(w.until(30_000, |w| w.phase(other, "run-6") == Some(Phase::Done)));
+    assert_eq!(w.on_machines("run-6"), placed, "its tasks keep running");
+    let new_leader = w.leader().expect("leader");
+    assert!(w.until(30_000, |w| w.phase(new_leader, "run-6")
+        == Some(Phase::Done)));
     clean(&w);
 }
 
 #[test]
 fn late_transactions_of_a_former_leader_are_fenced() {
     let mut w = world(3, 2, 0.0);
-    let old = w.leader().expect("leader");
-    // Its transactions reach the state service only after somebody else leads.
-    w.late_txns.insert(old, 12_000);
-    let other = follower(&w);
-    assert_eq!(w.submit(other, &array("run-7", 2), runs(3_000)), 201);
+    let old_leader = w.leader().expect("leader");
+    // The old leader's transactions reach the state service only after another node has been elected.
+    w.late_txns.insert(old_leader, 12_000);
+    let other_node = follower(&w);
+    assert_eq!(w.submit(other_node, &array("run-7", 2), runs(3_000)), 201);
     w.run(1_000);
-    w.refused.insert(old);
-    assert!(w.until(10_000, |w| w.leader().is_some_and(|l| l != old)));
-    assert!(w.until(20_000, |w| w.phase(other, "run-7") == Some(Phase::Done)));
+    w.refused.insert(old_leader);
+    assert!(w.until(10_000, |w| w.leader().is_some_and(|l| l != old_leader)));
+    assert!(w.until(20_000, |w| w.phase(other_node, "run-7")
+        == Some(Phase::Done)));
     w.run(15_000);
     assert_eq!(
         w.state.keys(JOBS),
         Vec::<String>::new(),
-        "nothing came back"
+        "no job record was written again"
     );
-    assert_eq!(w.phase(other, "run-7"), Some(Phase::Done));
+    assert_eq!(w.phase(other_node, "run-7"), Some(Phase::Done));
     clean(&w);
 }
 
@@ -133,7 +138,7 @@
 }
 
 #[test]
-fn an_abort_holds_against_running_tasks_and_later_completions() {
+fn an_abort_stops_running_tasks_and_is_not_overridden_by_later_completions() {
     let mut w = world(3, 1, 0.0);
     assert_eq!(w.submit(0, &array("run-9", 4), runs(6_000)), 201);
     w.run(4_000);
@@ -144,29 +149,29 @@
         assert_eq!(w.phase(i, "run-9"), Some(Phase::Aborted));
         assert_eq!(w.abort(i, "run-9"), Some(Phase::Aborted));
     }
-    // The other way round: done first, then cancelled.
+    // The reverse order: the job is done before it is cancelled.
     assert_eq!(w.submit(0, &array("run-10", 1), runs(500)), 201);
     assert!(done(&mut w, "run-10", 10_000));
     assert_eq!(w.abort(2, "run-10"), Some(Phase::Done));
     clean(&w);
 }
 
-/// Found on a simulated day: a job cancelled while nobody led kept its tasks under the next leader.
+/// A job that was cancelled while there was no leader kept its tasks under the next leader.
 #[test]
-fn an_abort_while_nobody_leads_is_carried_out_by_the_next_leader() {
+fn an_abort_without_a_leader_is_carried_out_by_the_next_leader() {
     let mut w = world(3, 1, 0.0);
-    let (old, other) = (w.leader().expect("leader"), follower(&w));
-    assert_eq!(w.submit(other, &array("run-11", 2), runs(60_000)), 201);
+    let (old_leader, other_node) = (w.leader().expect("leader"), follower(&w));
+    assert_eq!(w.submit(other_node, &array("run-11", 2), runs(60_000)), 201);
     w.run(4_000);
-    w.crash(old);
-    assert!(w.leader().is_none(), "nobody leads yet");
-    assert_eq!(w.abort(other, "run-11"), Some(Phase::Aborted));
+    w.crash(old_leader);
+    assert!(w.leader().is_none(), "there is no leader yet");
+    assert_eq!(w.abort(other_node, "run-11"), Some(Phase::Aborted));
     assert!(w.until(20_000, |w| w.on_machines("run-11").is_empty()));
     clean(&w);
 }
 
 #[test]
-fn all_nodes_restart_and_tasks_run_on_without_a_second_start() {
+fn tasks_keep_running_without_a_second_start_when_all_nodes_restart() {
     let mut w = world(3, 2, 0.0);
     assert_eq!(w.submit(0, &array("run-12", 6), runs(15_000)), 201);
     w.run(4_000);
@@ -185,16 +190,16 @@
 }
 
 #[test]
-fn an_outage_of_the_state_service_longer_than_a_lease_costs_no_task() {
+fn an_outage_of_the_state_service_longer_than_a_lease_ends_no_task() {
     let mut w = world(3, 1, 0.0);
     assert_eq!(w.submit(0, &array("run-13", 3), runs(80_000)), 201);
     w.run(4_000);
     let placed = w.on_machines("run-13");
     assert_eq!(placed.len(), 3);
     w.state_down = true;
-    // Longer than `cancel_s`: peers vouch that no cancellation was confirmed meanwhile.
+    // Longer than `cancel_s`: the peers report that no cancellation was confirmed meanwhile.
     w.run(60_000);
-    assert_eq!(w.on_machines("run-13"), placed, "kept alive");
+    assert_eq!(w.on_machines("run-13"), placed, "leases are renewed");
     w.state_down = false;
     w.state.refresh_leases(w.now);
     assert!(done(&mut w, "run-13", 40_000));
@@ -204,39 +209,43 @@
 }
 
 #[test]
-fn a_crash_between_the_record_and_the_start_loses_and_doubles_nothing() {
+fn a_crash_between_recording_and_starting_tasks_neither_loses_nor_duplicates_any() {
     let mut w = world(3, 2, 0.0);
-    let (old, other) = (w.leader().expect("leader"), follower(&w));
-    for m in w.workers.values_mut() {
-        m.lose_answers = 1;
+    let (old_leader, other_node) = (w.leader().expect("leader"), follower(&w));
+    for worker in w.workers.values_mut() {
+        worker.lose_answers = 1;
     }
-    assert_eq!(w.submit(other, &array("run-26", 3), runs(5_000)), 201);
+    assert_eq!(w.submit(other_node, &array("run-26", 3), runs(5_000)), 201);
     let recorded = |w: &mut World| {
         let parts = parts(w);
-        let mine = parts.iter().filter(|e| e.job == "run-26");
-        mine.map(|e| e.chunk.at.len()).max() == Some(3)
+        let of_job = parts.iter().filter(|entry| entry.job == "run-26");
+        of_job.map(|entry| entry.chunk.at.len()).max() == Some(3)
     };
     assert!(w.until(2_000, recorded));
-    assert!(w.on_machines("run-26").is_empty(), "recorded, not started");
-    w.crash(old);
-    assert!(w.until(40_000, |w| w.phase(other, "run-26") == Some(Phase::Done)));
-    let started: usize = w.workers.values().map(|m| m.started.len()).sum();
+    assert!(
+        w.on_machines("run-26").is_empty(),
+        "recorded but not started"
+    );
+    w.crash(old_leader);
+    assert!(w.until(40_000, |w| w.phase(other_node, "run-26")
+        == Some(Phase::Done)));
+    let started: usize = w.workers.values().map(|worker| worker.started.len()).sum();
     assert_eq!(started, 3);
     clean(&w);
 }
 
 #[test]
-fn a_late_report_proves_nothing() {
+fn a_stale_report_neither_completes_nor_loses_a_task() {
     let mut w = world(1, 1, 0.0);
     assert_eq!(w.submit(0, &array("run-27", 1), runs(8_000)), 201);
     w.run(4_000);
     let (machine, task, attempt) = w.on_machines("run-27")[0].clone();
     let now = w.now;
     let worker = w.workers.get_mut(&machine).expect("worker");
-    let mut old = worker.report(fakes::KIND, now);
-    old.seq = 1;
+    let mut stale_report = worker.report(fakes::KIND, now);
+    stale_report.seq = 1;
     for (tasks, cause) in [(1, EndCause::Done), (0, EndCause::Error)] {
-        old.tasks = vec![
+        stale_report.tasks = vec![
             TaskStatus {
                 task: task.clone(),
                 attempt,
@@ -246,7 +255,7 @@
             };
             tasks
         ];
-        let (status, body) = w.ask(0, "POST", "/v1/report", wire::encode(&old));
+        let (status, body) = w.ask(0, "POST", "/v1/report", wire::encode(&stale_report));
         let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
         assert_eq!((status, answer.orders.len()), (200, 0));
     }
@@ -259,64 +268,66 @@
 }
 
 #[test]
-fn a_gang_under_notice_stops_in_order_and_starts_anew() {
+fn a_gang_under_reclaim_notice_saves_its_checkpoints_together_and_restarts() {
     let mut w = world(1, 6, 0.0);
-    let b = Behaviour {
+    let behaviour = Behaviour {
         gang: 2,
         save_ms: 1_000,
         ..runs(20_000)
     };
     let mut job = gang("run-28", 2);
     (job.checkpoint_s, job.save_s) = (5.0, 1.0);
-    assert_eq!(w.submit(0, &job, b), 201);
+    assert_eq!(w.submit(0, &job, behaviour), 201);
     w.run(6_000);
-    let first = w.on_machines("run-28");
-    assert_eq!(first.len(), 2);
-    let until = w.now + 12_000;
-    let machine = w.workers.get_mut(&first[0].0).expect("worker");
-    machine.taken_at = Some(until);
-    let saving = |w: &World, place: &(String, String, u64)| {
+    let first_attempt = w.on_machines("run-28");
+    assert_eq!(first_attempt.len(), 2);
+    let reclaim_at = w.now + 12_000;
+    let worker = w.workers.get_mut(&first_attempt[0].0).expect("worker");
+    worker.taken_at = Some(reclaim_at);
+    let saving = |w: &World, placed: &(String, String, u64)| {
         let task = w
             .workers
-            .get(&place.0)
-            .and_then(|m| m.tasks.get(&(place.1.clone(), place.2)));
+            .get(&placed.0)
+            .and_then(|m| m.tasks.get(&(placed.1.clone(), placed.2)));
         task.is_some_and(|t| t.phase == TaskPhase::Saving)
     };
-    let mut answered = [None, None];
+    let mut saving_since = [None, None];
     for _ in 0..600 {
         w.run(10);
         for i in 0..2 {
-            if answered[i].is_none() && saving(&w, &first[i]) {
-                answered[i] = Some(w.now);
+            if saving_since[i].is_none() && saving(&w, &first_attempt[i]) {
+                saving_since[i] = Some(w.now);
             }
         }
     }
-    let (Some(a), Some(b)) = (answered[0], answered[1]) else {
-        panic!("both were told to save: {answered:?}");
+    let (Some(first_ms), Some(second_ms)) = (saving_since[0], saving_since[1]) else {
+        panic!("both were told to save: {saving_since:?}");
     };
-    assert!(a.abs_diff(b) < 8_000, "within gang_peer_s");
+    assert!(first_ms.abs_diff(second_ms) < 8_000, "within gang_peer_s");
     assert!(done(&mut w, "run-28", 90_000));
     let attempts = w.workers.values().flat_map(|m| m.started.iter());
     assert!(
-        attempts.clone().any(|(_, a)| *a > first[0].2),
+        attempts
+            .clone()
+            .any(|(_, attempt)| *attempt > first_attempt[0].2),
         "a new attempt"
     );
     clean(&w);
 }
 
 #[test]
-fn a_gang_that_still_gathers_gets_a_lost_task_replaced_under_its_attempt() {
+fn a_lost_task_of_an_incomplete_gang_is_replaced_within_the_same_attempt() {
     let mut w = world(1, 6, 0.0);
-    let b = Behaviour {
+    let behaviour = Behaviour {
         gang: 2,
         fetch_ms: 9_000,
         ..runs(5_000)
     };
-    assert_eq!(w.submit(0, &gang("run-31", 2), b), 201);
+    assert_eq!(w.submit(0, &gang("run-31", 2), behaviour), 201);
     w.run(4_000);
-    let first = w.on_machines("run-31");
-    assert_eq!(first.len(), 2);
-    w.workers.remove(&first[0].0);
+    let first_placed = w.on_machines("run-31");
+    assert_eq!(first_placed.len(), 2);
+    w.workers.remove(&first_placed[0].0);
     assert!(done(&mut w, "run-31", 60_000));
     let attempts: Vec<u64> = w
         .workers
@@ -325,34 +336,37 @@
         .collect();
     assert_eq!(
         attempts,
-        vec![first[0].2; 2],
+        vec![first_placed[0].2; 2],
         "the survivor and one replacement"
     );
     clean(&w);
 }
 
 #[test]
-fn an_abort_that_races_with_completion_has_one_winner() {
-    let mut winners = Vec::new();
+fn an_abort_that_races_with_a_completion_has_one_outcome() {
+    let mut answers = Vec::new();
     for offset in 0..12 {
         let mut w = world(3, 1, 0.0);
         assert_eq!(w.submit(0, &array("run-29", 1), runs(3_000)), 201);
         w.run(3_000 + 250 * offset);
-        let answered = w.abort(1, "run-29").expect("an answer");
-        winners.push(answered);
+        let answer = w.abort(1, "run-29").expect("an answer");
+        answers.push(answer);
         for _ in 0..10 {
             for i in 0..3 {
-                assert_eq!(w.phase(i, "run-29"), Some(answered), "offset {offset}");
+                assert_eq!(w.phase(i, "run-29"), Some(answer), "offset {offset}");
             }
             w.run(1_000);
         }
         clean(&w);
     }
-    let won = |phase| winners.contains(&phase);
-    assert!(won(Phase::Aborted) && won(Phase::Done), "{winners:?}");
+    let was_answered = |phase| answers.contains(&phase);
+    assert!(
+        was_answered(Phase::Aborted) && was_answered(Phase::Done),
+        "{answers:?}"
+    );
 }
 
-/// Found on an own day: every lease ran out while a leader that no worker reached made room for a peer.
+/// All leases expired while a leader that no worker reached resigned in favour of a peer.
 #[test]
 fn a_leader_that_workers_do_not_reach_gets_their_reports_through_its_peers() {
     let mut w = world(3, 2, 0.0);
@@ -363,21 +377,21 @@
     assert_eq!(placed.len(), 4);
     w.unreached.insert(leader);
     w.run(30_000);
-    assert_eq!(w.on_machines("run-25"), placed, "no lease ran out");
+    assert_eq!(w.on_machines("run-25"), placed, "no lease expired");
     assert_eq!(w.leader(), Some(leader));
     assert!(done(&mut w, "run-25", 30_000));
     clean(&w);
 }
 
 #[test]
-fn without_state_and_peers_a_leader_lets_leases_run_out_in_time_for_cancellations() {
+fn a_leader_without_state_service_and_peers_lets_leases_expire_in_time_for_cancellations() {
     let mut w = world(3, 1, 0.0);
     let leader = w.leader().expect("leader");
     let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
     assert_eq!(w.submit(leader, &array("run-24", 2), runs(500_000)), 201);
     w.run(4_000);
     assert_eq!(w.on_machines("run-24").len(), 2);
-    // The workers reach only the leader, which has lost everybody else.
+    // The workers reach only the leader, which reaches neither the state service nor its peers.
     w.refused.insert(leader);
     w.silent_peers.insert(leader);
     w.stuck_workers = Some(leader);
@@ -389,29 +403,32 @@
 }
 
 #[test]
-fn a_cut_machines_tasks_start_elsewhere_only_after_its_lease() {
+fn tasks_of_a_disconnected_machine_start_elsewhere_only_after_its_lease() {
     let mut w = world(1, 1, 0.0);
     assert_eq!(w.submit(0, &array("run-14", 1), runs(20_000)), 201);
     w.run(4_000);
-    let cut_at = w.now;
-    w.workers.get_mut("vm-000000").expect("worker").cut_until = cut_at + 60_000;
+    let disconnected_at = w.now;
+    w.workers.get_mut("vm-000000").expect("worker").cut_until = disconnected_at + 60_000;
     w.add_machine("vm-000001", "a");
     assert!(w.until(40_000, |w| w
         .on_machines("run-14")
         .iter()
         .any(|p| p.0 == "vm-000001")));
-    // The last answered report was sent up to one interval before the cut.
-    assert!(w.now - cut_at >= 10_000, "not before the lease ran out");
+    // The last answered report was sent up to one interval before the machine was disconnected.
+    assert!(
+        w.now - disconnected_at >= 10_000,
+        "not before the lease expired"
+    );
     assert!(done(&mut w, "run-14", 40_000));
     clean(&w);
 }
 
-/// A world whose machines stand ready: an idle one stays.
-fn ready_world(names: &[&str]) -> World {
+/// A cluster with a guarantee objective, under which idle machines are kept.
+fn world_keeping_idle_machines(names: &[&str]) -> World {
     let mut w = World::new(1, |i| {
-        let mut s = settings(i, 1, 0.0);
-        s.deployment.objectives[0].kind = "guarantee".into();
-        s
+        let mut settings = settings(i, 1, 0.0);
+        settings.deployment.objectives[0].kind = "guarantee".into();
+        settings
     });
     for name in names {
         w.add_machine(name, "a");
@@ -420,80 +437,86 @@
     w
 }
 
-/// Hundreds of machines behind a cut were given back a second after their leases, and missed when it healed.
+/// Hundreds of disconnected machines were returned one second after their leases had expired, and were lacking when
+/// the connection was restored.
 #[test]
-fn a_machine_cut_off_for_two_leases_is_kept_and_used_again() {
-    let mut w = ready_world(&["vm-000000", "vm-000001"]);
-    let until = w.now + 24_000;
-    w.workers.get_mut("vm-000001").expect("machine").cut_until = until;
+fn a_machine_disconnected_for_two_leases_is_kept_and_used_again() {
+    let mut w = world_keeping_idle_machines(&["vm-000000", "vm-000001"]);
+    let cut_until = w.now + 24_000;
+    w.workers.get_mut("vm-000001").expect("machine").cut_until = cut_until;
     w.run(26_000);
-    assert!(w.workers.contains_key("vm-000001"), "not given back");
+    assert!(w.workers.contains_key("vm-000001"), "not returned");
     assert_eq!(w.submit(0, &array("run-36", 8), runs(5_000)), 201);
     assert!(w.until(6_000, |w| w.on_machines("run-36").len() == 8));
-    let until = w.now + 60_000;
-    w.workers.get_mut("vm-000001").expect("machine").cut_until = until;
+    let cut_until = w.now + 60_000;
+    w.workers.get_mut("vm-000001").expect("machine").cut_until = cut_until;
     assert!(
         w.until(45_000, |w| !w.workers.contains_key("vm-000001")),
-        "gone for good"
+        "a machine that stays disconnected is returned"
     );
     clean(&w);
 }
 
 #[test]
-fn a_gang_starts_whole_under_one_attempt_and_anew_after_a_loss() {
+fn a_gang_starts_complete_in_one_attempt_and_restarts_after_a_loss() {
     let mut w = world(1, 4, 0.0);
-    let b = Behaviour {
+    let behaviour = Behaviour {
         gang: 2,
         ..runs(15_000)
     };
-    assert_eq!(w.submit(0, &gang("run-15", 2), b), 201);
+    assert_eq!(w.submit(0, &gang("run-15", 2), behaviour), 201);
     w.run(5_000);
-    let first = w.on_machines("run-15");
-    assert_eq!(first.len(), 2);
-    assert_eq!(first[0].2, first[1].2, "one attempt");
-    let zones: Vec<&str> = first
+    let first_attempt = w.on_machines("run-15");
+    assert_eq!(first_attempt.len(), 2);
+    assert_eq!(
+        first_attempt[0].2, first_attempt[1].2,
+        "both tasks in one attempt"
+    );
+    let zones: Vec<&str> = first_attempt
         .iter()
         .map(|p| w.workers[&p.0].zone.as_str())
         .collect();
-    assert_eq!(zones[0], zones[1], "one zone");
-    // One machine stops for good: the rest is stopped and all start anew, with a new attempt.
-    w.workers.remove(&first[0].0);
+    assert_eq!(zones[0], zones[1], "both tasks in one zone");
+    // One machine is lost: the remaining task is stopped, and all tasks start again under a new attempt.
+    w.workers.remove(&first_attempt[0].0);
     assert!(done(&mut w, "run-15", 90_000));
-    let last = w.workers.values().flat_map(|m| m.started.iter());
-    assert!(last.clone().any(|(_, attempt)| *attempt > first[0].2));
+    let started = w.workers.values().flat_map(|m| m.started.iter());
+    assert!(started
+        .clone()
+        .any(|(_, attempt)| *attempt > first_attempt[0].2));
     clean(&w);
 }
 
 #[test]
-fn under_notice_tasks_move_on_and_the_machine_goes_back() {
+fn tasks_move_on_and_the_machine_is_returned_under_reclaim_notice() {
     let mut w = world(1, 2, 0.0);
     let mut job = array("run-16", 2);
     (job.checkpoint_s, job.save_s) = (5.0, 1.0);
-    let b = Behaviour {
+    let behaviour = Behaviour {
         save_ms: 1_000,
         ..runs(20_000)
     };
-    assert_eq!(w.submit(0, &job, b), 201);
+    assert_eq!(w.submit(0, &job, behaviour), 201);
     w.run(5_000);
     let machine = w.on_machines("run-16")[0].0.clone();
-    let until = w.now + 9_000;
-    w.workers.get_mut(&machine).expect("worker").taken_at = Some(until);
+    let reclaim_at = w.now + 9_000;
+    w.workers.get_mut(&machine).expect("worker").taken_at = Some(reclaim_at);
     w.run(8_000);
     assert!(w.on_machines("run-16").iter().all(|p| p.0 != machine));
     assert!(done(&mut w, "run-16", 60_000));
     clean(&w);
 }
 
-/// Each attempt gave up the fetches that the last one had nearly done, for as long as the day lasted.
-/// What can't save was placed again only once the list had lacked its machine twice, half a minute later.
+/// Tasks that can't save a checkpoint were placed again only after two machine lists without their machine, half a
+/// minute later.
 #[test]
-fn when_a_notice_is_over_what_ran_there_starts_elsewhere_at_once() {
+fn tasks_of_a_reclaimed_machine_start_elsewhere_at_once_when_its_notice_ends() {
     let mut w = world(1, 2, 0.0);
     assert_eq!(w.submit(0, &array("run-16", 5), runs(20_000)), 201);
     w.run(4_000);
     let machine = w.on_machines("run-16")[0].0.clone();
-    let until = w.now + 6_000;
-    w.workers.get_mut(&machine).expect("worker").taken_at = Some(until);
+    let reclaim_at = w.now + 6_000;
+    w.workers.get_mut(&machine).expect("worker").taken_at = Some(reclaim_at);
     w.run(6_000 + 4_500);
     assert_eq!(
         w.on_machines("run-16").len(),
@@ -504,49 +527,54 @@
     clean(&w);
 }
 
+/// Each attempt abandoned image fetches that the previous one had nearly completed, again and again without end.
 #[test]
-fn a_gang_whose_image_takes_longer_than_its_tasks_wait_begins_with_its_second_attempt() {
+fn a_gang_whose_image_fetch_exceeds_the_gang_wait_begins_with_its_second_attempt() {
     let mut w = world(1, 4, 0.0);
     w.capacity = 0;
-    let slow = Behaviour {
+    let slow_fetch = Behaviour {
         gang: 2,
         fetch_ms: 45_000,
         ..runs(5_000)
     };
-    let has = w.workers.get_mut("vm-000000").expect("machine");
-    has.images.insert("run-38".into());
-    assert_eq!(w.submit(0, &gang("run-38", 2), slow), 201);
+    let worker_with_image = w.workers.get_mut("vm-000000").expect("machine");
+    worker_with_image.images.insert("run-38".into());
+    assert_eq!(w.submit(0, &gang("run-38", 2), slow_fetch), 201);
     assert!(done(&mut w, "run-38", 75_000));
     clean(&w);
 }
 
-/// A round was due all the time, and never made: the process turned as fast as it could.
+/// A scheduling round was always due and never run, so that the process kept waking up without a pause.
 #[test]
-fn a_leader_that_is_cut_off_does_not_spin() {
+fn a_leader_without_the_state_service_does_not_busy_loop() {
     let mut w = world(1, 2, 0.0);
     assert_eq!(w.submit(0, &array("run-45", 12), runs(5_000)), 201);
     w.run(1_000);
     w.state_down = true;
     w.run(4_000);
-    let before = w.ticks;
+    let ticks_before = w.ticks;
     w.run(5_000);
-    let ticks = w.ticks - before;
-    assert!(ticks < 250, "{ticks} turns in 5 s, of 500 steps");
+    let ticks = w.ticks - ticks_before;
+    assert!(
+        ticks < 250,
+        "{ticks} wake-ups in 5 s, which are 500 simulation steps"
+    );
     w.state_down = false;
     w.state.refresh_leases(w.now);
     assert!(done(&mut w, "run-45", 20_000));
     clean(&w);
 }
 
-/// A watch has no size limit: one that can't be read would be asked for again for ever.
+/// The answer to a watch has no size limit: one that can't be read would be requested again without end.
 #[test]
-fn jobs_are_seen_though_every_watch_fails() {
+fn jobs_are_discovered_although_every_watch_fails() {
     let mut w = world(2, 2, 0.0);
     w.break_watches = true;
     w.run(5_000);
-    let other = follower(&w);
-    assert_eq!(w.submit(other, &array("run-39", 2), runs(2_000)), 201);
-    assert!(w.until(20_000, |w| w.phase(other, "run-39") == Some(Phase::Done)));
+    let other_node = follower(&w);
+    assert_eq!(w.submit(other_node, &array("run-39", 2), runs(2_000)), 201);
+    assert!(w.until(20_000, |w| w.phase(other_node, "run-39")
+        == Some(Phase::Done)));
     clean(&w);
 }
 
@@ -567,29 +595,32 @@
 }
 
 #[test]
-fn a_failing_job_backs_off_while_others_go_on_and_its_machines_stay() {
+fn a_failing_job_backs_off_while_others_run_and_its_machines_are_kept() {
     let mut w = world(1, 3, 0.0);
-    let b = Behaviour {
+    let failing = Behaviour {
         fails: true,
         ..runs(1_000)
     };
-    // One long task on each machine, so that none is given back for being idle.
-    let mut long = array("run-30", 3);
-    long.cpus = 20.0;
-    assert_eq!(w.submit(0, &long, runs(100_000)), 201);
+    // One long task on each machine, so that no machine is returned as idle.
+    let mut long_tasks = array("run-30", 3);
+    long_tasks.cpus = 20.0;
+    assert_eq!(w.submit(0, &long_tasks, runs(100_000)), 201);
     w.run(2_000);
-    assert_eq!(w.submit(0, &array("run-18", 6), b), 201);
+    assert_eq!(w.submit(0, &array("run-18", 6), failing), 201);
     assert_eq!(w.submit(0, &array("run-19", 4), runs(3_000)), 201);
     assert!(done(&mut w, "run-19", 20_000));
     w.run(60_000);
     let starts: usize = w.workers.values().map(|m| m.started.len()).sum();
     assert!(starts < 80, "{starts} starts");
-    assert!(w.workers.len() >= 3, "no machine is blamed for it");
+    assert!(
+        w.workers.len() >= 3,
+        "no machine is taken for faulty because of the job"
+    );
     clean(&w);
 }
 
 #[test]
-fn machines_are_rented_by_need_named_once_and_given_back_when_idle() {
+fn machines_are_rented_on_demand_under_unique_names_and_returned_when_idle() {
     let mut w = world(3, 0, 0.0);
     w.capacity = 8;
     assert_eq!(w.submit(0, &array("run-20", 6), runs(4_000)), 201);
@@ -600,49 +631,52 @@
     w.start(leader);
     assert!(done(&mut w, "run-20", 60_000));
     assert!(w.workers.len() <= 3, "no more than the work needs");
-    assert!(w.until(120_000, |w| w.workers.is_empty()), "all given back");
+    assert!(
+        w.until(120_000, |w| w.workers.is_empty()),
+        "all machines are returned"
+    );
     let mut names = w.rentals.clone();
     names.sort();
     names.dedup();
     assert_eq!(names.len(), w.rentals.len());
     assert_eq!(w.capacity, 8);
-    assert!(
-        w.state.keys(RENTALS).is_empty(),
-        "no request is kept for ever"
-    );
+    assert!(w.state.keys(RENTALS).is_empty(), "no rental record remains");
     clean(&w);
 }
 
-/// A few waiting tasks kept every idle machine that they could have used, a fifth of a large fleet.
+/// A few waiting tasks kept every idle machine that they could have used: a fifth of a large fleet.
 #[test]
-fn waiting_work_keeps_as_many_idle_machines_as_it_fills() {
+fn waiting_tasks_keep_only_as_many_idle_machines_as_they_fill() {
     let mut w = World::new(1, |i| settings(i, 1, 0.0));
     w.capacity = 0;
     for m in 0..24 {
         w.add_machine(&format!("vm-{m:06}"), "a");
     }
     w.run(6_000);
-    // Half of it must be in the other zone, where there is nothing to be had.
-    let mut apart = gang("run-37", 4);
-    (apart.one_zone, apart.spread) = (false, true);
-    assert_eq!(w.submit(0, &apart, runs(5_000)), 201);
+    // Half of the gang must be in the other zone, where no machine is available.
+    let mut spread_gang = gang("run-37", 4);
+    (spread_gang.one_zone, spread_gang.spread) = (false, true);
+    assert_eq!(w.submit(0, &spread_gang, runs(5_000)), 201);
     for _ in 0..400 {
         w.run(100);
         w.capacity = 0;
     }
-    let left = w.workers.len();
-    assert!((4..=8).contains(&left), "{left} machines are kept");
+    let machines_left = w.workers.len();
+    assert!(
+        (4..=8).contains(&machines_left),
+        "{machines_left} machines are kept"
+    );
     assert_eq!(w.phase(0, "run-37"), Some(Phase::Queued));
     clean(&w);
 }
 
 #[test]
-fn rounds_cut_short_by_their_budget_go_on_where_they_stopped() {
+fn rounds_that_exhaust_their_time_budget_resume_where_they_stopped() {
     use std::sync::atomic::{AtomicU64, Ordering};
-    static TICKS: AtomicU64 = AtomicU64::new(0);
+    static STOPWATCH_US: AtomicU64 = AtomicU64::new(0);
     let mut w = world(1, 8, 0.0);
-    // Each look at the clock takes 8 ms, so a round gets through two decisions.
-    w.stopwatch = || TICKS.fetch_add(8_000, Ordering::Relaxed);
+    // Each stopwatch reading advances it by 8 ms, so that a round has time for two decisions.
+    w.stopwatch = || STOPWATCH_US.fetch_add(8_000, Ordering::Relaxed);
     w.crash(0);
     w.start(0);
     w.run(4_000);
@@ -652,7 +686,7 @@
 }
 
 #[test]
-fn a_service_runs_on_until_it_is_cancelled() {
+fn a_service_runs_until_it_is_cancelled() {
     let mut w = world(1, 1, 0.0);
     let mut service = array("run-22", 2);
     service.shape = Shape::Service;
@@ -667,7 +701,7 @@
 }
 
 #[test]
-fn a_very_wide_array_is_kept_in_split_records_of_bounded_size() {
+fn a_very_large_array_is_stored_in_several_records_of_bounded_size() {
     let mut w = world(1, 2, 0.0);
     assert_eq!(w.submit(0, &array("run-21", 100_000), runs(5_000)), 201);
     w.run(20_000);
@@ -682,29 +716,33 @@
     clean(&w);
 }
 
-/// With a record a job, a burst of starts on a large fleet waited half a minute for its records.
+/// With one record for each job, a burst of starts on a large fleet waited half a minute for its records.
 #[test]
-fn places_of_many_jobs_share_few_records() {
+fn assignments_of_many_jobs_share_few_records() {
     let mut w = world(1, 40, 0.0);
-    let before = w.state.writes;
+    let writes_before = w.state.writes;
     for n in 0..40 {
         let id = format!("run-{}", 400 + n);
         assert_eq!(w.submit(0, &array(&id, 4), runs(20_000)), 201);
     }
-    let all = |w: &mut World| (400..440).all(|n| w.on_machines(&format!("run-{n}")).len() == 4);
-    assert!(w.until(10_000, all));
-    let placing = w.state.writes - before - 40;
-    assert!(placing <= 30, "{placing} changes to place 160 tasks");
+    let all_placed =
+        |w: &mut World| (400..440).all(|n| w.on_machines(&format!("run-{n}")).len() == 4);
+    assert!(w.until(10_000, all_placed));
+    let placement_writes = w.state.writes - writes_before - 40;
+    assert!(
+        placement_writes <= 30,
+        "{placement_writes} writes to place 160 tasks"
+    );
     assert!(w.until(60_000, |w| w.state.keys(JOBS).is_empty()));
-    let changes = w.state.writes - before;
-    assert!(changes < 40 * 4, "{changes} changes for 40 jobs");
-    assert!(w.state.keys(PAGES).len() <= 4, "empty pages go");
+    let writes = w.state.writes - writes_before;
+    assert!(writes < 40 * 4, "{writes} writes for 40 jobs");
+    assert!(w.state.keys(PAGES).len() <= 4, "empty pages are deleted");
     clean(&w);
 }
 
-/// Copies of a part stand in several pages, and it is often unknown which of them was written.
+/// Copies of a chunk are stored in several pages, and it is often unknown which of them was written.
 #[test]
-fn nothing_is_lost_or_doubled_though_transactions_go_unanswered_and_leaders_crash() {
+fn nothing_is_lost_or_duplicated_when_transactions_go_unanswered_and_leaders_crash() {
     let mut w = world(3, 12, 0.0);
     w.lose_txns = 7;
     let ids: Vec<String> = (500..560).map(|n| format!("run-{n}")).collect();
@@ -713,7 +751,7 @@
             4 => gang(id, 2),
             _ => array(id, 1 + n as u64 % 9),
         };
-        // The first try may go unanswered, or come before the node is ready.
+        // The first attempt may go unanswered or arrive before the node is ready.
         let accepted = |w: &mut World| {
             w.run(100);
             matches!(w.submit(n % 3, &job, runs(6_000)), 200 | 201)
@@ -731,71 +769,81 @@
         }
     }
     w.lose_txns = 0;
-    let over = |w: &mut World| {
-        let end = |w: &mut World, id: &str| w.phase(0, id);
+    let all_final = |w: &mut World| {
+        let phase = |w: &mut World, id: &str| w.phase(0, id);
         ids.iter()
-            .all(|id| matches!(end(w, id), Some(Phase::Done | Phase::Aborted)))
+            .all(|id| matches!(phase(w, id), Some(Phase::Done | Phase::Aborted)))
     };
-    assert!(w.until(200_000, over));
+    assert!(w.until(200_000, all_final));
     clean(&w);
 }
 
-/// A machine whose reports arrive while no answer reaches it was placed on again and again.
+/// Tasks were placed again and again on a machine whose reports arrived but which received no answers.
 #[test]
-fn a_machine_that_hears_nothing_gets_no_work_until_a_session_outlives_a_lease() {
-    let mut w = ready_world(&["vm-000000", "vm-000001"]);
+fn a_machine_that_receives_no_answers_gets_no_tasks_until_a_session_outlasts_a_lease() {
+    let mut w = world_keeping_idle_machines(&["vm-000000", "vm-000001"]);
     w.workers.get_mut("vm-000000").expect("worker").one_way = true;
     assert_eq!(w.submit(0, &array("run-40", 8), runs(6_000)), 201);
     assert!(
         done(&mut w, "run-40", 60_000),
-        "nothing waits for it for ever"
+        "no task waits for the machine forever"
     );
     assert_eq!(w.submit(0, &array("run-41", 4), runs(3_000)), 201);
     assert!(
         done(&mut w, "run-41", 8_000),
-        "new work does not go there at all"
+        "new tasks are not placed there"
     );
-    let started = |w: &World| w.workers["vm-000000"].started.len();
-    assert_eq!(started(&w), 0);
+    let starts_there = |w: &World| w.workers["vm-000000"].started.len();
+    assert_eq!(starts_there(&w), 0);
     w.workers.get_mut("vm-000000").expect("worker").one_way = false;
     w.run(30_000);
     assert_eq!(w.submit(0, &array("run-42", 8), runs(4_000)), 201);
-    assert!(w.until(8_000, |w| started(w) > 0), "tried again once heard");
+    assert!(
+        w.until(8_000, |w| starts_there(w) > 0),
+        "used again once it receives answers"
+    );
     clean(&w);
 }
 
-/// Copies of reports that come late prove nothing, neither to who saw the newer one nor to a successor.
+/// A late duplicate of a report has no effect, neither on a leader that saw a newer report nor on its successor.
 #[test]
-fn a_late_copy_brings_no_machine_back_and_tells_a_successor_nothing() {
+fn a_late_duplicate_report_neither_restores_a_machine_nor_affects_a_new_leader() {
     let mut w = world(3, 2, 0.0);
-    let (old, other) = (w.leader().expect("leader"), follower(&w));
-    assert_eq!(w.submit(other, &array("run-43", 8), runs(14_000)), 201);
+    let (old_leader, other_node) = (w.leader().expect("leader"), follower(&w));
+    assert_eq!(w.submit(other_node, &array("run-43", 8), runs(14_000)), 201);
     w.run(4_000);
     let now = w.now;
-    let ghost = w.workers.get_mut("vm-000001").expect("worker");
-    let copy = wire::encode(&ghost.report(fakes::KIND, now));
-    let tasks = ghost.tasks.len();
+    let removed_worker = w.workers.get_mut("vm-000001").expect("worker");
+    let duplicate_report = wire::encode(&removed_worker.report(fakes::KIND, now));
+    let tasks = removed_worker.tasks.len();
     assert!(tasks > 0);
-    // The machine goes with all that is on it; its leader crashes too.
+    // The machine is removed with all its tasks, and the leader crashes.
     w.workers.remove("vm-000001");
-    w.crash(old);
+    w.crash(old_leader);
     assert!(w.until(6_000, |w| w.leader().is_some()));
     let leader = w.leader().expect("leader");
     for _ in 0..40 {
         w.run(1_000);
-        let (status, body) = w.ask(leader, "POST", "/v1/report", copy.clone());
+        let (status, body) = w.ask(leader, "POST", "/v1/report", duplicate_report.clone());
         let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
-        assert_eq!((status, answer.orders.len()), (200, 0), "no work for it");
+        assert_eq!(
+            (status, answer.orders.len()),
+            (200, 0),
+            "no orders for the removed machine"
+        );
     }
     assert!(w.until(60_000, |w| w.phase(leader, "run-43") == Some(Phase::Done)));
-    let last = w.workers["vm-000000"].started.len();
-    assert_eq!(last, 8, "what the ghost held was started elsewhere, once");
+    let starts_on_remaining = w.workers["vm-000000"].started.len();
+    assert_eq!(
+        starts_on_remaining, 8,
+        "the tasks of the removed machine were started elsewhere, once each"
+    );
     clean(&w);
 }
 
-/// Found on a simulated day: reading one record for each poll used up the state service's rate.
+/// Reading one record for each status query used up the rate limit of the state service.
 #[test]
-fn questions_about_many_jobs_cost_few_requests_and_are_never_out_of_date() {
+fn status_queries_about_many_jobs_take_few_requests_and_are_never_stale() {
     let mut w = world(3, 1, 0.0);
     let ids: Vec<String> = (0..40).map(|n| format!("run-5{n:02}")).collect();
     for id in &ids {
@@ -803,124 +851,135 @@
     }
     w.run(3_000);
     for node in 0..3 {
-        let before = w.state.requests;
-        let answered = w.phases(node, &ids);
-        assert!(answered.iter().all(|p| p.is_some()), "{answered:?}");
-        let spent = w.state.requests - before;
-        assert!(spent < 30, "{spent} requests in 2 s, renewals included");
+        let requests_before = w.state.requests;
+        let phases = w.phases(node, &ids);
+        assert!(phases.iter().all(|p| p.is_some()), "{phases:?}");
+        let requests = w.state.requests - requests_before;
+        assert!(
+            requests < 30,
+            "{requests} requests in 2 s, including lease renewals"
+        );
     }
-    // Cancelled through one node, the others must say so at once.
+    // After a cancellation through one node, the other nodes must answer with it at once.
     assert_eq!(w.abort(0, &ids[7]), Some(Phase::Aborted));
     for node in [1, 2, 0] {
-        let answered = w.phases(node, &ids);
-        assert_eq!(answered[7], Some(Phase::Aborted), "node {node}");
-        assert!(answered.iter().all(|p| p.is_some()));
+        let phases = w.phases(node, &ids);
+        assert_eq!(phases[7], Some(Phase::Aborted), "node {node}");
+        assert!(phases.iter().all(|p| p.is_some()));
     }
     clean(&w);
 }
 
-/// A gang of whole machines must not starve behind small work that keeps coming.
+/// A gang that needs whole machines must not starve behind small jobs that keep arriving.
 #[test]
-fn a_large_gang_begins_though_small_work_never_ends() {
+fn a_large_gang_begins_although_small_jobs_keep_arriving() {
     let mut w = world(1, 12, 0.0);
-    let small = |n: u64| (array(&format!("run-6{n:03}"), 6), runs(7_000));
+    let small_job = |n: u64| (array(&format!("run-6{n:03}"), 6), runs(7_000));
     for n in 0..14 {
-        let (job, b) = small(n);
-        assert_eq!(w.submit(0, &job, b), 201);
+        let (job, behaviour) = small_job(n);
+        assert_eq!(w.submit(0, &job, behaviour), 201);
     }
-    let b = Behaviour {
+    let behaviour = Behaviour {
         gang: 6,
         ..runs(20_000)
     };
-    let mut big = gang("run-70", 6);
-    big.guess_s = 2_000.0;
-    assert_eq!(w.submit(0, &big, b), 201);
-    let began = (14..130).any(|n| {
-        let (job, b) = small(n);
-        assert_eq!(w.submit(0, &job, b), 201);
+    let mut large_gang = gang("run-70", 6);
+    large_gang.guess_s = 2_000.0;
+    assert_eq!(w.submit(0, &large_gang, behaviour), 201);
+    let has_begun = (14..130).any(|n| {
+        let (job, behaviour) = small_job(n);
+        assert_eq!(w.submit(0, &job, behaviour), 201);
         w.run(1_000);
         w.phase(0, "run-70") == Some(Phase::Running)
     });
     assert!(
-        began,
-        "within some two minutes, not behind all that came later"
+        has_begun,
+        "within about two minutes, not after all later jobs"
     );
     clean(&w);
 }
 
-/// A process is back before its own lease is over, while what it had sent still arrives.
+/// A leader process restarts before its own lease has expired, while transactions of its former run still arrive.
 #[test]
-fn a_leader_back_at_once_takes_a_new_term_and_its_late_transactions_count_for_nothing() {
+fn a_leader_that_restarts_at_once_takes_a_new_term_and_its_late_transactions_have_no_effect() {
     let mut w = world(3, 2, 0.0);
-    let old = w.leader().expect("leader");
-    let term = w.term_of(old);
-    w.late_txns.insert(old, 3_000);
+    let old_leader = w.leader().expect("leader");
+    let old_term = w.term_of(old_leader);
+    w.late_txns.insert(old_leader, 3_000);
     assert_eq!(
         w.submit(follower(&w), &array("run-44", 4), runs(6_000)),
         201
     );
     w.run(300);
-    w.crash(old);
+    w.crash(old_leader);
     w.late_txns.clear();
     w.run(100);
-    w.start(old);
-    assert!(w.until(2_000, |w| w.leader().is_some()), "no long vacancy");
+    w.start(old_leader);
+    assert!(
+        w.until(2_000, |w| w.leader().is_some()),
+        "a leader is elected soon"
+    );
     let leader = w.leader().expect("leader");
-    assert!(w.term_of(leader) > term);
+    assert!(w.term_of(leader) > old_term);
     assert!(w.until(30_000, |w| w.phase(leader, "run-44") == Some(Phase::Done)));
     let started: usize = w.workers.values().map(|m| m.started.len()).sum();
-    assert_eq!(started, 4, "each task once");
+    assert_eq!(started, 4, "each task started once");
     clean(&w);
 }
 
-/// A gang that needs more machines than there will ever be must not hold what others need for ever.
+/// A gang that needs more machines than there will ever be must not hold machines indefinitely that other jobs need.
 #[test]
-fn an_impossible_gang_neither_holds_machines_for_ever_nor_stops_others() {
+fn a_gang_beyond_the_cloud_capacity_neither_holds_machines_forever_nor_blocks_other_jobs() {
     let mut w = world(1, 0, 0.0);
     w.capacity = 4;
-    let b = Behaviour {
+    let behaviour = Behaviour {
         gang: 6,
         ..runs(5_000)
     };
-    assert_eq!(w.submit(0, &gang("run-80", 6), b), 201);
+    assert_eq!(w.submit(0, &gang("run-80", 6), behaviour), 201);
     w.run(60_000);
     assert_eq!(w.submit(0, &array("run-81", 8), runs(4_000)), 201);
-    assert!(done(&mut w, "run-81", 60_000), "others go on");
+    assert!(done(&mut w, "run-81", 60_000), "other jobs run");
     assert!(
         w.until(400_000, |w| w.workers.is_empty()),
-        "idle machines go back in the end"
+        "idle machines are returned eventually"
+    );
+    assert_eq!(
+        w.phase(0, "run-80"),
+        Some(Phase::Queued),
+        "the gang is still queued"
     );
-    assert_eq!(w.phase(0, "run-80"), Some(Phase::Queued), "and it is known");
     w.capacity = 8;
     assert!(
         w.until(700_000, |w| w.phase(0, "run-80") == Some(Phase::Done)),
-        "tried again"
+        "retried once there is capacity"
     );
     clean(&w);
 }
 
-/// Found in a recorded day: a gang that a dead machine had ended waited behind jobs that had not begun.
+/// A gang whose attempt had ended with the loss of a machine waited behind jobs that had not begun.
 #[test]
-fn a_gang_that_lost_a_machine_goes_on_before_others_begin() {
-    // An aim that the others can still meet and this gang can't: its order alone would put it last.
+fn a_gang_that_lost_a_machine_restarts_before_waiting_jobs_begin() {
+    // The other jobs can still meet this objective and the gang can't: ordered by the objective alone, it would come
+    // last.
     let mut w = World::new(1, |i| {
-        let mut s = settings(i, 1, 0.0);
-        let aim = &mut s.deployment.objectives[0];
-        aim.kind = "finished".into();
-        (aim.class, aim.within_s) = (Some("c".into()), Some(150.0));
-        s
+        let mut settings = settings(i, 1, 0.0);
+        let objective = &mut settings.deployment.objectives[0];
+        objective.kind = "finished".into();
+        (objective.class, objective.within_s) = (Some("c".into()), Some(150.0));
+        settings
     });
     for m in 0..4 {
         w.add_machine(&format!("vm-{m:06}"), "a");
     }
     w.run(6_000);
-    let b = Behaviour {
+    let behaviour = Behaviour {
         gang: 2,
         ..runs(60_000)
     };
-    let mut first = gang("run-90", 2);
-    first.guess_s = 290.0;
-    assert_eq!(w.submit(0, &first, b), 201);
+    let mut slow_gang = gang("run-90", 2);
+    slow_gang.guess_s = 290.0;
+    assert_eq!(w.submit(0, &slow_gang, behaviour), 201);
     assert!(w.until(8_000, |w| w.on_machines("run-90").len() == 2));
     for n in 0..40 {
         assert_eq!(
@@ -929,32 +988,44 @@
         );
     }
     w.run(3_000);
-    let lost = w.on_machines("run-90")[0].0.clone();
-    w.workers.remove(&lost);
-    let again = |w: &mut World| w.on_machines("run-90").iter().filter(|p| p.2 > 1).count() == 2;
-    assert!(w.until(70_000, again), "a second attempt");
+    let lost_machine = w.on_machines("run-90")[0].0.clone();
+    w.workers.remove(&lost_machine);
+    let is_restarted =
+        |w: &mut World| w.on_machines("run-90").iter().filter(|p| p.2 > 1).count() == 2;
+    assert!(w.until(70_000, is_restarted), "a second attempt");
     let begun = (0..40).filter(|n| w.phase(0, &format!("run-91{n:02}")) != Some(Phase::Queued));
     let begun = begun.count();
-    assert!(begun < 6, "ahead of those that have not begun, {begun}");
+    assert!(
+        begun < 6,
+        "{begun} jobs that had not begun went ahead of the gang"
+    );
     clean(&w);
 }
 
-/// Machines of a large fleet, in two zones.
-const FLEET: usize = 2_230;
+/// Number of machines of the large fleet, which are spread over two zones.
+const FLEET_MACHINES: usize = 2_230;
 
-/// Five nodes and a fleet as large as any day may bring, with most of its room taken.
-fn fleet() -> World {
+/// Five nodes and a fleet of the largest expected size, most of whose capacity is in use.
+fn large_fleet() -> World {
     let mut w = World::new(5, |i| {
-        let mut s = settings(i, 5, 0.0);
-        let d = &mut s.deployment;
-        // Machines stand ready.
-        d.objectives[0].kind = "guarantee".into();
-        (d.workers.report_s, d.workers.lease_s, d.workers.cancel_s) = (8.0, 36.0, 66.0);
-        (d.state.rps, d.state.write_rps, d.state.txn_ops) = (90.0, 25.0, 20);
-        s
+        let mut settings = settings(i, 5, 0.0);
+        let deployment = &mut settings.deployment;
+        // Under a guarantee objective idle machines are kept.
+        deployment.objectives[0].kind = "guarantee".into();
+        (
+            deployment.workers.report_s,
+            deployment.workers.lease_s,
+            deployment.workers.cancel_s,
+        ) = (8.0, 36.0, 66.0);
+        (
+            deployment.state.rps,
+            deployment.state.write_rps,
+            deployment.state.txn_ops,
+        ) = (90.0, 25.0, 20);
+        settings
     });
     w.capacity = 0;
-    for m in 0..FLEET {
+    for m in 0..FLEET_MACHINES {
         w.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
     }
     w.run(12_000);
@@ -962,21 +1033,22 @@
         let job = array(&format!("run-{}", 1_000 + n), 18);
         assert_eq!(w.submit(n % 5, &job, runs(150_000)), 201);
     }
-    assert!(w.until(20_000, |w| tasks_on(w) == 5_400));
+    assert!(w.until(20_000, |w| tasks_on_machines(w) == 5_400));
     w
 }
 
-fn tasks_on(w: &World) -> usize {
+fn tasks_on_machines(w: &World) -> usize {
     w.workers.values().map(|m| m.tasks.len()).sum()
 }
 
-/// What a takeover costs must not grow with the fleet: the records of 5,400 tasks fit a few hundred requests.
+/// The cost of a leader's takeover must not grow with the fleet: the records of 5,400 tasks are read with a few hundred
+/// requests.
 #[test]
-fn a_large_fleet_goes_on_after_a_crash_of_all_without_a_second_start() {
-    let mut w = fleet();
-    let started = |w: &World| -> usize { w.workers.values().map(|m| m.started.len()).sum() };
+fn tasks_of_a_large_fleet_keep_running_without_a_second_start_when_all_nodes_crash() {
+    let mut w = large_fleet();
+    let start_count = |w: &World| -> usize { w.workers.values().map(|m| m.started.len()).sum() };
     let pages = w.state.keys(PAGES).len();
-    assert!(pages < 90, "{pages} pages for 5,400 places");
+    assert!(pages < 90, "{pages} pages for 5,400 assignments");
     (0..5).for_each(|i| w.crash(i));
     w.run(3_000);
     let (requests, writes) = (w.state.requests, w.state.writes);
@@ -988,36 +1060,40 @@
     let (requests, writes) = (w.state.requests - requests, w.state.writes - writes);
     assert!(
         requests < 300 && writes < 40,
-        "{requests} requests, {writes} changes"
+        "{requests} requests, {writes} writes"
     );
     w.run(20_000);
-    assert_eq!(started(&w), 5_400 + 40, "each task started once");
+    assert_eq!(start_count(&w), 5_400 + 40, "each task started once");
     clean(&w);
 }
 
-/// Half of the fleet is cut off for twice its workers' lease, and the packets held meanwhile come late.
+/// Half of the fleet is disconnected for twice the duration of a worker's lease, and packets held back meanwhile arrive
+/// late.
 #[test]
 fn a_large_fleet_loses_a_zone_and_uses_it_again() {
-    let mut w = fleet();
-    let until = w.now + 72_000;
+    let mut w = large_fleet();
+    let cut_until = w.now + 72_000;
     for m in w.workers.values_mut().filter(|m| m.zone == "b") {
-        m.cut_until = until;
+        m.cut_until = cut_until;
     }
-    let in_b = |w: &World| -> usize {
-        let there = w.workers.values().filter(|m| m.zone == "b");
-        there.map(|m| m.tasks.len()).sum()
+    let tasks_in_zone_b = |w: &World| -> usize {
+        let workers_in_b = w.workers.values().filter(|m| m.zone == "b");
+        workers_in_b.map(|m| m.tasks.len()).sum()
     };
-    let lost = in_b(&w);
+    let tasks_lost = tasks_in_zone_b(&w);
     w.run(60_000);
-    assert_eq!(in_b(&w), 0, "leases have run out");
-    let moved = tasks_on(&w);
-    assert!(moved > 5_400 - lost, "{moved} tasks run, {lost} were lost");
+    assert_eq!(tasks_in_zone_b(&w), 0, "leases have expired");
+    let tasks_running = tasks_on_machines(&w);
+    assert!(
+        tasks_running > 5_400 - tasks_lost,
+        "{tasks_running} tasks run, {tasks_lost} were lost"
+    );
     w.run(20_000);
-    assert_eq!(w.workers.len(), FLEET, "none was given back");
+    assert_eq!(w.workers.len(), FLEET_MACHINES, "no machine was returned");
     assert!(
-        w.until(30_000, |w| tasks_on(w) == 5_400),
+        w.until(30_000, |w| tasks_on_machines(w) == 5_400),
         "{}",
-        tasks_on(&w)
+        tasks_on_machines(&w)
     );
     clean(&w);
 }
