--- a/crates/control/src/leader/fleet/listing.rs
+++ b/crates/control/src/leader/fleet/listing.rs
@@ -50,13 +50,7 @@
         match (page.has_more, last) {
             (true, Some(from)) => {
                 let op = CloudOp::List { from };
-                self.send_cloud_request(
-                    op,
-                    CloudPurpose::List {
-                        requested_at: requested_at,
-                    },
-                    effects,
-                );
+                self.send_cloud_request(op, CloudPurpose::List { requested_at }, effects);
             }
             _ => self.on_listing_complete(requested_at),
         }
