--- a/crates/control/tests/bad_input.rs
+++ b/crates/control/tests/bad_input.rs
@@ -4,7 +4,7 @@
 
 use ciborium::Value;
 use common::*;
-use fakes::{array, gang, World};
+use fakes::{array_job, gang_job, World};
 use wire::records::*;
 use wire::users::{Phase, Submission};
 
@@ -13,10 +13,10 @@
 /// A submission in which no field is omitted.
 fn complete() -> Submission {
     Submission {
-        types: Some(vec![fakes::KIND.into()]),
+        types: Some(vec![fakes::MACHINE_TYPE.into()]),
         zone: Some("a".into()),
         due_s: Some(900.0),
-        ..array(ID, 2)
+        ..array_job(ID, 2)
     }
 }
 
@@ -41,12 +41,12 @@
 }
 
 fn submit(w: &mut World, body: Vec<u8>) -> u16 {
-    let (status, _) = w.ask(0, "POST", "/submissions", body);
+    let (status, _) = w.send_and_wait(0, "POST", "/submissions", body);
     status
 }
 
 fn is_unknown(w: &mut World, id: &str) -> bool {
-    let (status, _) = w.ask(0, "GET", &format!("/submissions/{id}"), vec![]);
+    let (status, _) = w.send_and_wait(0, "GET", &format!("/submissions/{id}"), vec![]);
     status == 404
 }
 
@@ -102,7 +102,7 @@
         ("shards", text("2")),
         ("bundle", text("")),
         ("bundle", Value::Bool(true)),
-        ("breeds", text(fakes::KIND)),
+        ("breeds", text(fakes::MACHINE_TYPE)),
         ("breeds", Value::Array(vec![text("")])),
         ("breeds", Value::Array(vec![text("g4"); 100])),
         ("valley", text("")),
@@ -159,7 +159,7 @@
     }
     // A class that no objective names, and a type that the cloud does not have beside one that it has.
     bodies.push(with_field("cohort", Some(text("never seen"))));
-    let types = vec![text("never seen"), text(fakes::KIND)];
+    let types = vec![text("never seen"), text(fakes::MACHINE_TYPE)];
     bodies.push(with_field("breeds", Some(Value::Array(types))));
     for (n, body) in bodies.into_iter().enumerate() {
         let id = format!("run-{}", 100 + n);
@@ -169,7 +169,7 @@
         };
         map.retain(|(name, _)| *name != text("id"));
         map.push((text("id"), text(&id)));
-        w.describe(&array(&id, 2), runs(500));
+        w.upload_job(&array_job(&id, 2), runs(500));
         let status = submit(&mut w, wire::encode(&Value::Map(map)));
         assert_eq!(status, 201, "{id}");
     }
@@ -182,7 +182,7 @@
 #[test]
 fn what_can_never_run_is_refused_as_such_and_stays_unknown() {
     let mut w = world(1, 1, 8.0);
-    let job = || array(ID, 1);
+    let job = || array_job(ID, 1);
     let one = |change: fn(&mut Submission)| {
         let mut job = job();
         change(&mut job);
@@ -200,7 +200,7 @@
         ("more GPUs than any type", one(|j| j.gpus = 5.0)),
         ("more memory than any type", one(|j| j.mem_gb = 257.0)),
         ("a task over its team's limit", one(|j| j.gpus = 9.0)),
-        ("a gang over its team's limit", gang(ID, 3)),
+        ("a gang over its team's limit", gang_job(ID, 3)),
         (
             "a job that nobody has submitted",
             after(job(), &["run-999"]),
@@ -212,13 +212,13 @@
     }
     assert!(is_unknown(&mut w, ID));
     // An array of which not all tasks fit into the limit at once can run, and so can a gang that just fits.
-    for job in [array("run-2", 9), gang("run-3", 2)] {
+    for job in [array_job("run-2", 9), gang_job("run-3", 2)] {
         assert_eq!(submit(&mut w, wire::encode(&job)), 201, "{}", job.id);
     }
     // What is known is answered before anything is looked at.
     let known = Submission {
         team: "never seen".into(),
-        ..array("run-2", 9)
+        ..array_job("run-2", 9)
     };
     assert_eq!(submit(&mut w, wire::encode(&known)), 200);
     clean(&w);
@@ -227,15 +227,15 @@
 #[test]
 fn a_cancellation_of_what_is_done_answers_done_and_of_what_is_unknown_404() {
     let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array(ID, 2), runs(500)), 201);
+    assert_eq!(w.submit(0, &array_job(ID, 2), runs(500)), 201);
     assert!(done(&mut w, ID, 20_000));
     for node in 0..3 {
         assert_eq!(w.abort(node, ID), Some(Phase::Done), "node {node}");
-        let (status, _) = w.ask(node, "POST", "/submissions/run-2/abort", vec![]);
+        let (status, _) = w.send_and_wait(node, "POST", "/submissions/run-2/abort", vec![]);
         assert_eq!(status, 404, "node {node}");
         w.crash(node);
         w.start(node);
-        w.run(5_000);
+        w.run_for(5_000);
         assert_eq!(w.abort(node, ID), Some(Phase::Done), "node {node} anew");
     }
     for target in [
@@ -244,10 +244,14 @@
         "/submissions/run-1/x",
         "/x",
     ] {
-        assert_eq!(w.ask(0, "GET", target, vec![]).0, 404, "{target}");
+        assert_eq!(w.send_and_wait(0, "GET", target, vec![]).0, 404, "{target}");
     }
     for (method, target) in [("PUT", "/submissions"), ("DELETE", "/submissions/run-1")] {
-        assert_eq!(w.ask(0, method, target, vec![]).0, 405, "{method} {target}");
+        assert_eq!(
+            w.send_and_wait(0, method, target, vec![]).0,
+            405,
+            "{method} {target}"
+        );
     }
     clean(&w);
 }
@@ -257,30 +261,31 @@
 fn unreadable_records_are_survived_and_stop_nothing_else() {
     let mut w = world(3, 2, 0.0);
     let junk = "not a record";
-    w.state.write(&job_key("run-7"), &junk, None);
-    w.state.write(&final_key("run-8"), &junk, None);
-    w.state.write("j/not-an-id", &7, None);
-    w.run(1_000);
+    w.state_service.write(&job_key("run-7"), &junk, None);
+    w.state_service.write(&final_key("run-8"), &junk, None);
+    w.state_service.write("j/not-an-id", &7, None);
+    w.run_for(1_000);
     for round in 0..2 {
         let leader = w.leader().expect("leader");
         for node in 0..3 {
             for id in ["run-7", "run-8"] {
-                let (status, _) = w.ask(node, "GET", &format!("/submissions/{id}"), vec![]);
+                let (status, _) =
+                    w.send_and_wait(node, "GET", &format!("/submissions/{id}"), vec![]);
                 assert_eq!(status, 503, "{id} exists, and nothing can be said of it");
             }
         }
         let id = format!("run-1{round}");
-        assert_eq!(w.submit(leader, &array(&id, 4), runs(500)), 201);
+        assert_eq!(w.submit(leader, &array_job(&id, 4), runs(500)), 201);
         assert!(done(&mut w, &id, 20_000), "round {round}");
         // The next leader has to read all of it.
         w.crash(leader);
-        assert!(w.until(6_000, |w| w.leader().is_some()));
+        assert!(w.run_until(6_000, |w| w.leader().is_some()));
         w.start(leader);
-        w.run(2_000);
+        w.run_for(2_000);
     }
     // Reports, direct answers and frames that mean nothing.
     for body in [vec![], vec![0xff; 40], wire::encode(&junk)] {
-        assert_eq!(w.ask(0, "POST", "/v1/report", body).0, 400);
+        assert_eq!(w.send_and_wait(0, "POST", "/v1/report", body).0, 400);
     }
     assert!(w.leader().is_some());
     clean(&w);
@@ -306,12 +311,12 @@
     };
     let mut w = cluster(5, 9, settings);
     for n in 0..10 {
-        let job = array(&format!("run-{n}"), 6);
+        let job = array_job(&format!("run-{n}"), 6);
         assert_eq!(w.submit(n % 5, &job, runs(2_000)), 201);
     }
     for n in 0..10 {
         assert!(done(&mut w, &format!("run-{n}"), 30_000), "job {n}");
     }
-    assert_eq!(w.state.too_frequent, 0);
+    assert_eq!(w.state_service.throttled_requests, 0);
     clean(&w);
 }
--- a/crates/control/tests/cancellations.rs
+++ b/crates/control/tests/cancellations.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, World};
+use fakes::{array_job, World};
 use wire::users::Phase;
 
 /// Milliseconds within which a cancelled job's tasks are to be gone in these worlds, and some more.
@@ -11,8 +11,11 @@
 
 /// A job with a task on each machine, which run for minutes.
 fn long_job(w: &mut World, id: &str, tasks: u64) {
-    assert_eq!(w.submit(follower(w), &array(id, tasks), runs(600_000)), 201);
-    assert!(w.until(10_000, |w| w.on_machines(id).len() as u64 == tasks));
+    assert_eq!(
+        w.submit(follower(w), &array_job(id, tasks), runs(600_000)),
+        201
+    );
+    assert!(w.run_until(10_000, |w| w.placed_tasks(id).len() as u64 == tasks));
 }
 
 /// A job was cancelled through another node while the leader, the second one given, can't read what is open, though all
@@ -23,9 +26,9 @@
     let other = follower(&w);
     long_job(&mut w, "run-1", 2);
     // What is open is not read any more, and all else is answered.
-    (w.break_watches, w.break_lists) = (true, true);
-    w.run(3_500);
-    w.silent_peers.insert(old);
+    (w.fail_watches, w.fail_lists) = (true, true);
+    w.run_for(3_500);
+    w.isolated_from_peers.insert(old);
     assert_eq!(w.abort(other, "run-1"), Some(Phase::Aborted));
     (w, old)
 }
@@ -35,7 +38,7 @@
     for _ in 0..1_000 {
         match w.leader().filter(|l| *l != old) {
             Some(new) => return new,
-            None => w.run(10),
+            None => w.run_for(10),
         }
     }
     panic!("nobody was elected");
@@ -50,20 +53,20 @@
         for id in ["run-1", "run-2", "run-3"] {
             long_job(&mut w, id, 3);
         }
-        w.refused.insert(old);
-        w.run(wait / 2);
+        w.refused_by_state_service.insert(old);
+        w.run_for(wait / 2);
         for id in ["run-1", "run-2"] {
             assert_eq!(w.abort(other, id), Some(Phase::Aborted));
         }
-        w.run(wait / 2);
-        w.state_down = true;
-        w.run(14_000);
-        w.refused.clear();
-        w.run(CANCEL_MS + 20_000);
+        w.run_for(wait / 2);
+        w.state_service_down = true;
+        w.run_for(14_000);
+        w.refused_by_state_service.clear();
+        w.run_for(CANCEL_MS + 20_000);
         for id in ["run-1", "run-2"] {
-            assert!(w.on_machines(id).is_empty(), "{id} after {wait}");
+            assert!(w.placed_tasks(id).is_empty(), "{id} after {wait}");
         }
-        assert_eq!(w.on_machines("run-3").len(), 3, "kept alive after {wait}");
+        assert_eq!(w.placed_tasks("run-3").len(), 3, "kept alive after {wait}");
         clean(&w);
     }
 }
@@ -73,12 +76,12 @@
 #[test]
 fn a_good_answer_to_something_else_does_not_vouch_for_a_lost_notice() {
     let (mut w, old) = cancelled_unread();
-    w.silent_peers.clear();
-    w.run(4_000);
+    w.isolated_from_peers.clear();
+    w.run_for(4_000);
     assert_eq!(w.leader(), Some(old), "its lease is renewed all the time");
-    w.state_down = true;
-    w.run(CANCEL_MS);
-    assert!(w.on_machines("run-1").is_empty());
+    w.state_service_down = true;
+    w.run_for(CANCEL_MS);
+    assert!(w.placed_tasks("run-1").is_empty());
     clean(&w);
 }
 
@@ -86,11 +89,11 @@
 #[test]
 fn a_leader_that_can_not_read_what_is_open_stops_answering_in_time() {
     let (mut w, old) = cancelled_unread();
-    w.run(CANCEL_MS);
-    assert!(w.on_machines("run-1").is_empty());
-    w.silent_peers.clear();
-    (w.break_watches, w.break_lists) = (false, false);
-    assert!(w.until(20_000, |w| w.phase(old, "run-1") == Some(Phase::Aborted)));
+    w.run_for(CANCEL_MS);
+    assert!(w.placed_tasks("run-1").is_empty());
+    w.isolated_from_peers.clear();
+    (w.fail_watches, w.fail_lists) = (false, false);
+    assert!(w.run_until(20_000, |w| w.phase(old, "run-1") == Some(Phase::Aborted)));
     clean(&w);
 }
 
@@ -102,18 +105,18 @@
         let old = w.leader().expect("leader");
         let other = follower(&w);
         long_job(&mut w, "run-1", 3);
-        w.refused.insert(old);
-        w.silent_peers.insert(old);
+        w.refused_by_state_service.insert(old);
+        w.isolated_from_peers.insert(old);
         assert_eq!(w.abort(other, "run-1"), Some(Phase::Aborted));
         elected(&mut w, old);
-        w.silent_peers.clear();
-        w.run(10 * steps);
-        w.state_down = true;
-        w.run(CANCEL_MS);
-        assert!(w.on_machines("run-1").is_empty(), "after {steps} steps");
-        w.state_down = false;
-        w.refused.clear();
-        w.run(20_000);
+        w.isolated_from_peers.clear();
+        w.run_for(10 * steps);
+        w.state_service_down = true;
+        w.run_for(CANCEL_MS);
+        assert!(w.placed_tasks("run-1").is_empty(), "after {steps} steps");
+        w.state_service_down = false;
+        w.refused_by_state_service.clear();
+        w.run_for(20_000);
         assert_eq!(w.phase(other, "run-1"), Some(Phase::Aborted));
         clean(&w);
     }
@@ -126,17 +129,17 @@
         let mut w = world(3, 3, 0.0);
         let old = w.leader().expect("leader");
         long_job(&mut w, "run-1", 3);
-        w.refused.insert(old);
+        w.refused_by_state_service.insert(old);
         let new = elected(&mut w, old);
         let other = (0..3).find(|n| *n != old && *n != new).expect("third");
-        w.run(10 * steps);
+        w.run_for(10 * steps);
         // No watch will tell of it, and the reading comes to its end.
-        w.break_watches = true;
+        w.fail_watches = true;
         assert_eq!(w.abort(other, "run-1"), Some(Phase::Aborted));
-        w.run(150);
-        w.state_down = true;
-        w.run(CANCEL_MS);
-        assert!(w.on_machines("run-1").is_empty(), "after {steps} steps");
+        w.run_for(150);
+        w.state_service_down = true;
+        w.run_for(CANCEL_MS);
+        assert!(w.placed_tasks("run-1").is_empty(), "after {steps} steps");
         clean(&w);
     }
 }
@@ -150,24 +153,27 @@
         settings
     });
     w.add_machine("vm-000000", "a");
-    assert!(w.until(6_000, |w| w.leader().is_some()), "a leader");
-    w.run(4_000);
+    assert!(w.run_until(6_000, |w| w.leader().is_some()), "a leader");
+    w.run_for(4_000);
     long_job(&mut w, "run-1", 1);
     let old = w.leader().expect("leader");
     let other = follower(&w);
     // Nobody leads for most of a lease after the cancellation.
-    w.silent_peers.insert(old);
-    w.refused.insert(old);
+    w.isolated_from_peers.insert(old);
+    w.refused_by_state_service.insert(old);
     assert_eq!(w.abort(other, "run-1"), Some(Phase::Aborted));
     w.crash(old);
-    w.state_down = true;
-    w.run(5_000);
-    w.state_down = false;
+    w.state_service_down = true;
+    w.run_for(5_000);
+    w.state_service_down = false;
     // It hears one answer of the next leader, and nothing more.
-    assert!(w.until(8_000, |w| w.workers["vm-000000"].term > 1));
-    w.workers.get_mut("vm-000000").expect("worker").one_way = true;
-    w.run(20_000);
-    assert!(w.on_machines("run-1").is_empty());
+    assert!(w.run_until(8_000, |w| w.workers["vm-000000"].term > 1));
+    w.workers
+        .get_mut("vm-000000")
+        .expect("worker")
+        .receives_nothing = true;
+    w.run_for(20_000);
+    assert!(w.placed_tasks("run-1").is_empty());
     clean(&w);
 }
 
@@ -177,12 +183,12 @@
     let mut w = world(3, 2, 0.0);
     long_job(&mut w, "run-1", 2);
     assert_eq!(w.abort(1, "run-1"), Some(Phase::Aborted));
-    w.run(20);
-    w.state_down = true;
+    w.run_for(20);
+    w.state_service_down = true;
     for node in 0..3 {
         assert_eq!(w.phase(node, "run-1"), Some(Phase::Aborted));
         assert_eq!(w.abort(node, "run-1"), Some(Phase::Aborted));
-        assert_eq!(w.submit(node, &array("run-1", 2), runs(1)), 200);
+        assert_eq!(w.submit(node, &array_job("run-1", 2), runs(1)), 200);
     }
     clean(&w);
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)] // Each file of scenarios uses some of it.
 
-use fakes::{Behaviour, World};
+use fakes::{TaskBehaviour, World};
 use vetchmount_control::settings::{NextLimits, Team};
 use vetchmount_control::Settings;
 use wire::records::*;
@@ -66,8 +66,8 @@
     for m in 0..machines {
         w.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
     }
-    assert!(w.until(6_000, |w| w.leader().is_some()), "a leader");
-    w.run(4_000);
+    assert!(w.run_until(6_000, |w| w.leader().is_some()), "a leader");
+    w.run_for(4_000);
     w
 }
 
@@ -89,28 +89,28 @@
     }
 }
 
-pub fn runs(run_ms: u64) -> Behaviour {
-    Behaviour {
-        fetch_ms: 300,
+pub fn runs(run_ms: u64) -> TaskBehaviour {
+    TaskBehaviour {
+        image_fetch_ms: 300,
         run_ms,
-        save_ms: 0,
-        gang: 0,
-        fails: false,
+        checkpoint_write_ms: 0,
+        gang_size: 0,
+        fails_after_run: false,
     }
 }
 
 pub fn clean(w: &World) {
-    assert!(w.broken.is_empty(), "rules broken: {:?}", &w.broken);
+    assert!(w.violations.is_empty(), "rules broken: {:?}", &w.violations);
 }
 
 pub fn done(w: &mut World, id: &str, ms: u64) -> bool {
-    w.until(ms, |w| w.phase(0, id) == Some(Phase::Done))
+    w.run_until(ms, |w| w.phase(0, id) == Some(Phase::Done))
 }
 
 /// All copies of parts of jobs in the records, in either form.
 pub fn parts(w: &World) -> Vec<PageEntry> {
-    let pages = w.state.keys(PAGES).into_iter();
-    let read = pages.filter_map(|key| w.state.read::<PageRecord>(&key));
+    let pages = w.state_service.keys(PAGES).into_iter();
+    let read = pages.filter_map(|key| w.state_service.read::<PageRecord>(&key));
     let plain = |e: SmallEntry| PageEntry {
         job: e.job,
         part: e.part,
@@ -130,7 +130,7 @@
 pub fn record_open_job(w: &mut World, spec: Submission) {
     let key = job_key(&spec.id);
     let record = JobRecord::new(spec, 1_700_000_000_000);
-    w.state.write(&key, &record, None);
+    w.state_service.write(&key, &record, None);
 }
 
 /// A job behind others.
--- a/crates/control/tests/failing_jobs.rs
+++ b/crates/control/tests/failing_jobs.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, Behaviour, World};
+use fakes::{array_job, gang_job, TaskBehaviour, World};
 use wire::users::{Phase, Submission};
 
 const MACHINES: usize = 8;
@@ -23,16 +23,16 @@
 }
 
 /// Tasks that run for two seconds and exit with `error`.
-fn failing() -> Behaviour {
-    Behaviour {
-        fails: true,
+fn failing() -> TaskBehaviour {
+    TaskBehaviour {
+        fails_after_run: true,
         ..runs(2_000)
     }
 }
 
 /// Starts of tasks of a job so far, on the machines that are there.
 fn starts(w: &World, job: &str) -> usize {
-    let started = w.workers.values().flat_map(|m| m.started.iter());
+    let started = w.workers.values().flat_map(|m| m.started_attempts.iter());
     started
         .filter(|(task, _)| task.split('/').next() == Some(job))
         .count()
@@ -46,18 +46,18 @@
 
 /// Changes in the state service while time passes.
 fn changes(w: &mut World, ms: u64) -> u64 {
-    let before = w.state.writes;
-    w.run(ms);
-    w.state.writes - before
+    let before = w.state_service.write_count;
+    w.run_for(ms);
+    w.state_service.write_count - before
 }
 
 /// Runs one task on each GPU of the cluster that is not busy: every machine is there and is given work.
 fn assert_all_machines_are_used(w: &mut World, id: &str, busy: usize) {
     assert_eq!(given_back(w), Vec::<String>::new());
-    let job = of_team("u", array(id, (GPUS - busy) as u64));
+    let job = of_team("u", array_job(id, (GPUS - busy) as u64));
     assert_eq!(w.submit(0, &job, runs(20_000)), 201);
-    let whole = |w: &mut World| w.on_machines(id).len() == GPUS - busy;
-    assert!(w.until(15_000, whole), "{}", w.on_machines(id).len());
+    let whole = |w: &mut World| w.placed_tasks(id).len() == GPUS - busy;
+    assert!(w.run_until(15_000, whole), "{}", w.placed_tasks(id).len());
     assert!(done(w, id, 60_000));
 }
 
@@ -65,8 +65,8 @@
 fn failing_jobs_of_each_shape_back_off_and_leave_room_to_others() {
     let mut w = two_teams(1);
     let ids = ["run-1", "run-2", "run-3"];
-    let shape = Behaviour {
-        gang: 3,
+    let shape = TaskBehaviour {
+        gang_size: 3,
         ..failing()
     };
     // Expected to run long: taken for samples, the failed tasks would make them the smallest of all.
@@ -74,9 +74,9 @@
         guess_s: 2_000.0,
         ..job
     };
-    assert_eq!(w.submit(0, &long(array("run-1", 1)), failing()), 201);
-    assert_eq!(w.submit(0, &long(array("run-2", 400)), failing()), 201);
-    assert_eq!(w.submit(0, &long(gang("run-3", 3)), shape), 201);
+    assert_eq!(w.submit(0, &long(array_job("run-1", 1)), failing()), 201);
+    assert_eq!(w.submit(0, &long(array_job("run-2", 400)), failing()), 201);
+    assert_eq!(w.submit(0, &long(gang_job("run-3", 3)), shape), 201);
     let mut most_on_machines = 0;
     for minute in 0..5 {
         let array_before = starts(&w, "run-2");
@@ -85,13 +85,13 @@
                 // Small work of both teams is done within seconds all the while.
                 let team = ["t", "u"][second / 10 % 2];
                 let id = format!("run-{}", 100 + 10 * minute + second / 10);
-                let job = of_team(team, array(&id, 2));
+                let job = of_team(team, array_job(&id, 2));
                 assert_eq!(w.submit(0, &job, runs(1_000)), 201);
                 assert!(done(&mut w, &id, 9_000), "minute {minute}, second {second}");
             }
-            w.run(1_000);
+            w.run_for(1_000);
             if minute > 0 {
-                most_on_machines = most_on_machines.max(w.on_machines("run-2").len());
+                most_on_machines = most_on_machines.max(w.placed_tasks("run-2").len());
             }
         }
         if minute > 0 {
@@ -119,9 +119,9 @@
     for id in ids {
         assert_eq!(w.abort(0, id), Some(Phase::Aborted));
     }
-    let gone = |w: &mut World| ids.iter().all(|id| w.on_machines(id).is_empty());
-    assert!(w.until(4_000, gone), "gone at once");
-    w.run(5_000);
+    let gone = |w: &mut World| ids.iter().all(|id| w.placed_tasks(id).is_empty());
+    assert!(w.run_until(4_000, gone), "gone at once");
+    w.run_for(5_000);
     let without = changes(&mut w, 120_000);
     // Two attempts of each, and a change for its places before and after.
     let theirs = with_them.saturating_sub(without);
@@ -138,12 +138,12 @@
     let mut w = two_teams(1);
     for n in 0..20 {
         let id = format!("run-{}", 100 + n);
-        assert_eq!(w.submit(0, &array(&id, 1), failing()), 201);
+        assert_eq!(w.submit(0, &array_job(&id, 1), failing()), 201);
     }
     for n in 0..12 {
         let team = ["t", "u"][n % 2];
         let id = format!("run-{}", 200 + n);
-        let job = of_team(team, array(&id, 2));
+        let job = of_team(team, array_job(&id, 2));
         assert_eq!(w.submit(0, &job, runs(1_000)), 201);
         assert!(done(&mut w, &id, 9_000), "{id}");
     }
@@ -158,29 +158,29 @@
     let mut w = two_teams(3);
     let mut ids: Vec<String> = (100..110).map(|n| format!("run-{n}")).collect();
     for id in &ids {
-        assert_eq!(w.submit(0, &array(id, 1), failing()), 201);
+        assert_eq!(w.submit(0, &array_job(id, 1), failing()), 201);
     }
     for id in ["run-1", "run-2"] {
-        assert_eq!(w.submit(0, &array(id, 300), failing()), 201);
+        assert_eq!(w.submit(0, &array_job(id, 300), failing()), 201);
         ids.push(id.into());
     }
     // A job whose tasks run on; it is no worse off with the new leader.
-    let sound = of_team("u", array("run-3", 8));
+    let sound = of_team("u", array_job("run-3", 8));
     assert_eq!(w.submit(0, &sound, runs(600_000)), 201);
-    w.run(200_000);
-    let placed = w.on_machines("run-3");
+    w.run_for(200_000);
+    let placed = w.placed_tasks("run-3");
     let count = |w: &World| ids.iter().map(|id| starts(w, id)).collect::<Vec<usize>>();
     let before = count(&w);
     let leader = w.leader().expect("leader");
     w.crash(leader);
-    w.run(60_000);
+    w.run_for(60_000);
     let after = count(&w);
     let fresh: Vec<usize> = after.iter().zip(&before).map(|(a, b)| a - b).collect();
     assert!(fresh.iter().all(|n| *n <= 1), "{fresh:?} starts of {ids:?}");
     assert!(fresh.contains(&1), "they are still tried");
-    assert_eq!(w.on_machines("run-3"), placed);
+    assert_eq!(w.placed_tasks("run-3"), placed);
     w.start(leader);
-    w.run(4_000);
+    w.run_for(4_000);
     assert_all_machines_are_used(&mut w, "run-50", 8);
     clean(&w);
 }
@@ -189,17 +189,20 @@
 #[test]
 fn a_machine_on_which_every_job_fails_is_kept_free_and_given_back() {
     let mut w = two_teams(1);
-    w.workers.get_mut("vm-000003").expect("worker").faulty = true;
+    w.workers
+        .get_mut("vm-000003")
+        .expect("worker")
+        .fails_all_tasks = true;
     for n in 0..3 {
         let id = format!("run-{}", 100 + n);
-        assert_eq!(w.submit(0, &array(&id, 1), failing()), 201);
+        assert_eq!(w.submit(0, &array_job(&id, 1), failing()), 201);
     }
     let mut starts_there = 0;
     for n in 0..40 {
-        let job = of_team("u", array(&format!("run-{}", 200 + n), 4));
+        let job = of_team("u", array_job(&format!("run-{}", 200 + n), 4));
         assert_eq!(w.submit(0, &job, runs(8_000)), 201);
-        w.run(2_000);
-        let there = w.workers.get("vm-000003").map(|m| m.started.len());
+        w.run_for(2_000);
+        let there = w.workers.get("vm-000003").map(|m| m.started_attempts.len());
         starts_there = there.unwrap_or(starts_there);
     }
     assert_eq!(given_back(&w), ["vm-000003"], "and no other");
--- a/crates/control/tests/four_thousand_machines.rs
+++ b/crates/control/tests/four_thousand_machines.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, World};
+use fakes::{array_job, World};
 use std::collections::BTreeSet;
 use wire::records::*;
 use wire::users::Phase;
@@ -39,21 +39,21 @@
         let zone = if machine % 2 == 0 { "a" } else { "b" };
         w.add_machine(&format!("vm-{machine:06}"), zone);
     }
-    w.run(12_000);
+    w.run_for(12_000);
     for number in 0..RUNNING_JOBS {
-        let job = array(&running_id(number), TASKS_A_JOB);
-        w.describe(&job, runs(600_000));
+        let job = array_job(&running_id(number), TASKS_A_JOB);
+        w.upload_job(&job, runs(600_000));
         record_open_job(&mut w, job);
     }
     for number in 0..WAITING_JOBS {
-        let mut job = array(&waiting_id(number), 1);
+        let mut job = array_job(&waiting_id(number), 1);
         job.zone = Some("c".into());
-        w.describe(&job, runs(1_000));
+        w.upload_job(&job, runs(1_000));
         record_open_job(&mut w, job);
     }
     let all = RUNNING_JOBS * TASKS_A_JOB as usize;
     assert!(
-        w.until(120_000, |w| tasks_on(w) == all),
+        w.run_until(120_000, |w| tasks_on(w) == all),
         "{} tasks run",
         tasks_on(&w)
     );
@@ -65,13 +65,13 @@
 }
 
 fn starts(w: &World) -> usize {
-    w.workers.values().map(|m| m.started.len()).sum()
+    w.workers.values().map(|m| m.started_attempts.len()).sum()
 }
 
 #[test]
 fn a_change_of_leader_at_4_000_machines_ends_no_lease_and_starts_no_task_again() {
     let mut w = full_cluster();
-    let pages_of_records = w.state.keys(PAGES).len();
+    let pages_of_records = w.state_service.keys(PAGES).len();
     assert!(
         pages_of_records < 120,
         "{pages_of_records} pages of records"
@@ -80,17 +80,17 @@
     let started = starts(&w);
     // All workers find their connection broken at once, and report to whoever is there.
     for m in w.workers.values_mut() {
-        m.report_at = w.now;
+        m.next_report_at = w.now;
     }
     let old_leader = w.leader().expect("leader");
     w.crash(old_leader);
-    let (requests, crashed_at) = (w.state.requests, w.now);
+    let (requests, crashed_at) = (w.state_service.request_count, w.now);
     let new_leader = |w: &World| w.leader().is_some_and(|l| l != old_leader);
-    assert!(w.until(6_000, |w| new_leader(w)), "a new leader");
+    assert!(w.run_until(6_000, |w| new_leader(w)), "a new leader");
     let term = w.leader().and_then(|l| w.term_of(l)).expect("term");
     let answered = |w: &World| w.workers.values().filter(|m| m.term == term).count();
     assert!(
-        w.until(30_000, |w| answered(w) == MACHINES),
+        w.run_until(30_000, |w| answered(w) == MACHINES),
         "{} workers have seen the new term {} ms after the crash",
         answered(&w),
         w.now - crashed_at
@@ -99,12 +99,12 @@
     assert_eq!(after, incarnations, "no lease has ended");
     assert_eq!(starts(&w), started, "no task was started again");
     assert_eq!(tasks_on(&w), RUNNING_JOBS * TASKS_A_JOB as usize);
-    let requests = w.state.requests - requests;
+    let requests = w.state_service.request_count - requests;
     assert!(requests < 400, "{requests} requests to the state service");
     // The list is read in pages, all of them.
-    let pages = w.listed_pages;
+    let pages = w.served_list_pages;
     let enough = (MACHINES / 500) as u64;
-    assert!(w.until(60_000, |w| w.listed_pages >= pages + enough));
+    assert!(w.run_until(60_000, |w| w.served_list_pages >= pages + enough));
     assert_eq!(w.workers.len(), MACHINES, "none was given back");
     clean(&w);
 }
@@ -113,13 +113,13 @@
 fn counts_of_2_000_open_jobs_reach_every_node_and_questions_need_no_reading_each() {
     let mut w = full_cluster();
     // Two messages tell of all.
-    w.run(4_000);
+    w.run_for(4_000);
     let ids: BTreeSet<String> = (0..RUNNING_JOBS)
         .map(running_id)
         .chain((0..WAITING_JOBS).map(waiting_id))
         .collect();
     let ids: Vec<String> = ids.into_iter().collect();
-    let before = w.state.counts;
+    let before = w.state_service.request_counts;
     for node in 0..NODES {
         // As many as one node takes at a time, from all over the range.
         let some: Vec<String> = ids.iter().skip(node).step_by(20).cloned().collect();
@@ -132,7 +132,7 @@
             assert_eq!(phase, Some(expected), "{id} at node {node}");
         }
     }
-    let cost = w.state.counts.since(&before);
-    assert!(cost.questions() < 60, "{cost:?}");
+    let cost = w.state_service.request_counts.since(&before);
+    assert!(cost.reads_and_comparisons() < 60, "{cost:?}");
     clean(&w);
 }
--- a/crates/control/tests/guest_teams.rs
+++ b/crates/control/tests/guest_teams.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, Behaviour, World};
+use fakes::{array_job, gang_job, TaskBehaviour, World};
 use vetchmount_control::settings::Team;
 use wire::records::JOBS;
 use wire::users::{Phase, Submission};
@@ -32,12 +32,12 @@
 /// Tasks of a team on machines.
 fn tasks_of(w: &World, team: &str) -> usize {
     let jobs = w.jobs.values().filter(|j| j.team == team);
-    jobs.map(|j| w.on_machines(&j.id).len()).sum()
+    jobs.map(|j| w.placed_tasks(&j.id).len()).sum()
 }
 
 /// Starts of a team's tasks so far.
 fn starts(w: &World, team: &str) -> usize {
-    let started = w.workers.values().flat_map(|m| m.started.iter());
+    let started = w.workers.values().flat_map(|m| m.started_attempts.iter());
     let of_team = |task: &str| {
         let job = task.split('/').next().and_then(|id| w.jobs.get(id));
         job.is_some_and(|j| j.team == team)
@@ -48,33 +48,33 @@
 #[test]
 fn guest_tasks_are_stopped_for_a_guarantee_and_not_the_other_way_round() {
     let mut w = cluster_with_guest();
-    let guest = of_team("guest", array("run-1", 64));
+    let guest = of_team("guest", array_job("run-1", 64));
     assert_eq!(w.submit(0, &guest, runs(300_000)), 201);
-    assert!(w.until(10_000, |w| w.on_machines("run-1").len() == 32));
+    assert!(w.run_until(10_000, |w| w.placed_tasks("run-1").len() == 32));
     // The guest has the whole cluster. Each team gets what is guaranteed to it within seconds, and no more.
     // (Arrays of more than seven tasks would wait for their pilots first, which stop nothing.)
     for n in 0..3 {
         for (first, name) in [(10, "t"), (20, "u")] {
-            let job = of_team(name, array(&format!("run-{}", first + n), 6));
+            let job = of_team(name, array_job(&format!("run-{}", first + n), 6));
             assert_eq!(w.submit(0, &job, runs(120_000)), 201);
         }
     }
     let served = |w: &mut World| ["t", "u"].map(|team| tasks_of(w, team)) == [12, 12];
-    assert!(w.until(10_000, served));
-    assert_eq!(w.on_machines("run-1").len(), 8);
+    assert!(w.run_until(10_000, served));
+    assert_eq!(w.placed_tasks("run-1").len(), 8);
     // More work of the guest, of a class with a deadline or a gang, stops none of theirs.
     let due = Submission {
         due_s: Some(30.0),
-        ..of_team("guest", array("run-4", 8))
+        ..of_team("guest", array_job("run-4", 8))
     };
     assert_eq!(w.submit(0, &due, runs(5_000)), 201);
-    let b = Behaviour {
-        gang: 2,
+    let b = TaskBehaviour {
+        gang_size: 2,
         ..runs(5_000)
     };
-    let large = of_team("guest", gang("run-5", 2));
+    let large = of_team("guest", gang_job("run-5", 2));
     assert_eq!(w.submit(0, &large, b), 201);
-    w.run(60_000);
+    w.run_for(60_000);
     assert!(served(&mut w));
     assert_eq!(
         [starts(&w, "t"), starts(&w, "u")],
@@ -86,7 +86,7 @@
 
 /// Jobs of a team that are not over.
 fn open_jobs(w: &World, team: &str) -> usize {
-    let open = w.state.keys(JOBS);
+    let open = w.state_service.keys(JOBS);
     let ids = open.iter().filter_map(|key| key.strip_prefix(JOBS));
     ids.filter(|id| w.jobs[*id].team == team).count()
 }
@@ -103,7 +103,7 @@
     let mut w = cluster_with_guest();
     // Idle-time arrays, one huge array, single tasks and gangs of two whole machines.
     let mut jobs: Vec<GuestJob> = Vec::new();
-    let mut submit = |w: &mut World, job: Submission, behaviour: Behaviour| {
+    let mut submit = |w: &mut World, job: Submission, behaviour: TaskBehaviour| {
         let job = of_team("guest", job);
         assert_eq!(w.submit(0, &job, behaviour), 201);
         jobs.push(GuestJob {
@@ -115,7 +115,7 @@
     for n in 0..6 {
         let job = Submission {
             guess_s: 30.0,
-            ..array(&format!("run-{}", 100 + n), 6)
+            ..array_job(&format!("run-{}", 100 + n), 6)
         };
         submit(&mut w, job, runs(30_000));
     }
@@ -124,15 +124,15 @@
         gpus: 0.0,
         mem_gb: 0.5,
         guess_s: 5.0,
-        ..array(id, tasks)
+        ..array_job(id, tasks)
     };
     submit(&mut w, tiny("run-200", 5_000), runs(5_000));
     for n in 0..4 {
-        let shape = Behaviour {
-            gang: 2,
+        let shape = TaskBehaviour {
+            gang_size: 2,
             ..runs(15_000)
         };
-        let job = gang(&format!("run-{}", 300 + n), 2);
+        let job = gang_job(&format!("run-{}", 300 + n), 2);
         submit(&mut w, job, shape);
     }
     for n in 0..60 {
@@ -143,17 +143,17 @@
     for _ in 0..80 {
         for name in ["t", "u"] {
             while open_jobs(&w, name) < 3 {
-                let job = of_team(name, array(&format!("run-{load}"), 8));
+                let job = of_team(name, array_job(&format!("run-{load}"), 8));
                 assert_eq!(w.submit(0, &job, runs(10_000)), 201);
                 load += 1;
             }
         }
         for job in &mut jobs {
-            if job.began_at.is_none() && !w.on_machines(&job.id).is_empty() {
+            if job.began_at.is_none() && !w.placed_tasks(&job.id).is_empty() {
                 job.began_at = Some(w.now);
             }
         }
-        w.run(3_000);
+        w.run_for(3_000);
     }
     let ids: Vec<String> = jobs.iter().map(|j| j.id.clone()).collect();
     let phases = w.phases(0, &ids);
--- a/crates/control/tests/large_arrays.rs
+++ b/crates/control/tests/large_arrays.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, World};
+use fakes::{array_job, World};
 use std::sync::atomic::{AtomicU64, Ordering};
 use wire::records::*;
 use wire::users::Submission;
@@ -27,7 +27,7 @@
     w.stopwatch = looks;
     w.crash(0);
     w.start(0);
-    w.run(6_000);
+    w.run_for(6_000);
     w
 }
 
@@ -38,7 +38,7 @@
         gpus: 0.0,
         mem_gb: 0.5,
         guess_s: 5.0,
-        ..array(id, tasks)
+        ..array_job(id, tasks)
     }
 }
 
@@ -53,20 +53,20 @@
 fn an_array_of_25_000_tasks_takes_bounded_records_and_rounds_and_holds_up_nobody() {
     static LOOKS: AtomicU64 = AtomicU64::new(0);
     let mut w = counted_cluster(|| LOOKS.fetch_add(1, Ordering::Relaxed));
-    let (submitted, bytes) = (w.state.writes, w.state.bytes_written);
+    let (submitted, bytes) = (w.state_service.write_count, w.state_service.written_bytes);
     assert_eq!(w.submit(0, &small_tasks("run-1", TASKS), runs(5_000)), 201);
-    w.run(3_000);
+    w.run_for(3_000);
     let mut most_looks = 0;
     for n in 0..10 {
         let looks = LOOKS.load(Ordering::Relaxed);
         // The first one waits until the array's pilots, a twentieth of its tasks, have been placed.
         let within_ms = if n == 0 { 12_000 } else { 5_000 };
         small_task_is_done(&mut w, &format!("run-{}", 100 + n), within_ms);
-        w.run(5_000);
+        w.run_for(5_000);
         most_looks = most_looks.max(LOOKS.load(Ordering::Relaxed) - looks);
-        let pages = w.state.largest(PAGES);
+        let pages = w.state_service.largest_value_bytes(PAGES);
         assert!(pages <= 8 * 1024, "a page of {pages} bytes");
-        assert!(w.on_machines("run-1").len() <= MACHINES * 128);
+        assert!(w.placed_tasks("run-1").len() <= MACHINES * 128);
     }
     let tasks_done: u64 = parts(&w)
         .iter()
@@ -76,7 +76,10 @@
     assert!(tasks_done >= 6_000, "{tasks_done} tasks done");
     // A look for each decision, some 100 tasks a second, and two for each round.
     assert!(most_looks <= 3_000, "{most_looks} looks in ten seconds");
-    let (writes, bytes) = (w.state.writes - submitted, w.state.bytes_written - bytes);
+    let (writes, bytes) = (
+        w.state_service.write_count - submitted,
+        w.state_service.written_bytes - bytes,
+    );
     assert!(writes <= 300, "{writes} changes");
     let each = bytes as u64 / writes;
     assert!(each <= 2_048, "{each} bytes a change");
@@ -86,24 +89,27 @@
 #[test]
 fn a_swarm_of_one_task_jobs_stays_within_the_state_services_write_rate() {
     let mut w = counted_cluster(|| 0);
-    let writes = w.state.writes;
+    let writes = w.state_service.write_count;
     // Eight a second for forty seconds; the state service takes 50 changes a second.
     for n in 0..SWARM {
         let id = format!("run-{}", 1_000 + n);
         let body = wire::encode(&small_tasks(&id, 1));
-        w.describe(&small_tasks(&id, 1), runs(3_000));
-        w.send(0, "POST", "/submissions", body);
-        w.run(120);
+        w.upload_job(&small_tasks(&id, 1), runs(3_000));
+        w.send_user_request(0, "POST", "/submissions", body);
+        w.run_for(120);
         if n % 80 == 40 {
             small_task_is_done(&mut w, &format!("run-{}", 100 + n), 5_000);
         }
     }
     assert!(
-        w.until(20_000, |w| w.state.keys(JOBS).is_empty()),
+        w.run_until(20_000, |w| w.state_service.keys(JOBS).is_empty()),
         "all are over"
     );
-    assert_eq!(w.state.too_many, 0, "no change was refused for its rate");
-    let writes = w.state.writes - writes;
+    assert_eq!(
+        w.state_service.throttled_txns, 0,
+        "no change was refused for its rate"
+    );
+    let writes = w.state_service.write_count - writes;
     assert!(writes <= 1_600, "{writes} changes for {SWARM} jobs");
     clean(&w);
 }
--- a/crates/control/tests/meetings.rs
+++ b/crates/control/tests/meetings.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, Behaviour, CopyTo, World};
+use fakes::{array_job, gang_job, DuplicateTarget, TaskBehaviour, World};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use vetchmount_control::settings::Team;
@@ -88,13 +88,13 @@
             s
         });
         w.seed(seed);
-        w.capacity = rng.u32(4..=12);
+        w.cloud_capacity = rng.u32(4..=12);
         w.boot_ms = 0..=2_000;
         for m in 0..machines {
             w.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
         }
-        assert!(w.until(6_000, |w| w.leader().is_some()), "a leader");
-        w.run(4_000);
+        assert!(w.run_until(6_000, |w| w.leader().is_some()), "a leader");
+        w.run_for(4_000);
         Scenario {
             w,
             rng,
@@ -181,7 +181,7 @@
             4 | 5 => {
                 let (node, ms) = (self.victim(), self.between(2_000, 20_000));
                 self.note(&format!("node {node} refused for {ms} ms"));
-                self.w.refused.insert(node);
+                self.w.refused_by_state_service.insert(node);
                 self.end_in(ms, End::Refused(node));
                 if self.rng.bool() {
                     self.cancel_some();
@@ -190,29 +190,29 @@
             6 => {
                 let ms = self.between(1_000, 45_000);
                 self.note(&format!("outage for {ms} ms"));
-                self.w.state_down = true;
+                self.w.state_service_down = true;
                 self.end_in(ms, End::Outage);
             }
             7 => {
                 let (node, ms) = (self.victim(), self.between(31_000, 45_000));
                 self.note(&format!("node {node} refused, then an outage for {ms} ms"));
                 self.cancel_some();
-                self.w.refused.insert(node);
+                self.w.refused_by_state_service.insert(node);
                 self.step_users(1_000);
-                self.w.state_down = true;
+                self.w.state_service_down = true;
                 self.end_in(ms, End::Outage);
                 self.end_in(ms, End::Refused(node));
             }
             8 | 9 => {
                 let (share, ms) = (self.rng.f64() * 0.4, self.between(5_000, 30_000));
                 self.note(&format!("{share:.2} of transactions late for {ms} ms"));
-                self.w.troubles.late_txns = share;
+                self.w.faults.late_txn_share = share;
                 self.end_in(ms, End::LateTxns);
             }
             10 => {
                 let (share, ms) = (self.rng.f64() * 0.4, self.between(5_000, 30_000));
                 self.note(&format!("{share:.2} of answers lost for {ms} ms"));
-                self.w.troubles.lost_answers = share;
+                self.w.faults.lost_response_share = share;
                 self.end_in(ms, End::LostAnswers);
             }
             11 | 12 => {
@@ -220,10 +220,10 @@
                 self.note(&format!("state slow by {most} ms for {ms} ms"));
                 for node in 0..self.nodes {
                     if self.rng.u8(..3) > 0 {
-                        self.w.troubles.slow_state.insert(node, most);
+                        self.w.faults.max_state_response_delay_ms.insert(node, most);
                     }
                     if self.rng.u8(..3) == 0 {
-                        self.w.troubles.slow_to_state.insert(node, most);
+                        self.w.faults.max_state_request_delay_ms.insert(node, most);
                     }
                 }
                 self.end_in(ms, End::Slow);
@@ -231,15 +231,15 @@
             13 => {
                 let (node, ms) = (self.victim(), self.between(3_000, 20_000));
                 self.note(&format!("node {node} cut from state and peers for {ms} ms"));
-                self.w.troubles.cut_from_state.insert(node);
-                self.w.silent_peers.insert(node);
+                self.w.faults.isolated_from_state_service.insert(node);
+                self.w.isolated_from_peers.insert(node);
                 self.end_in(ms, End::CutNode(node));
                 self.cancel_some();
             }
             14 => {
                 let (node, ms) = (self.node(), self.between(1_000, 20_000));
                 self.note(&format!("node {node} cut from peers for {ms} ms"));
-                self.w.silent_peers.insert(node);
+                self.w.isolated_from_peers.insert(node);
                 self.end_in(ms, End::Peers(node));
             }
             15 => {
@@ -247,7 +247,7 @@
                 for _ in 0..3 {
                     let link = (self.node(), self.node());
                     let ms = self.between(100, 3_000);
-                    self.w.troubles.lost_frames.insert(link, now + ms);
+                    self.w.faults.frames_lost_until.insert(link, now + ms);
                 }
             }
             16 | 17 => self.machine_trouble(),
@@ -255,18 +255,22 @@
                 let (share, ms) = (self.rng.f64() * 0.5, self.between(5_000, 30_000));
                 let to = *self
                     .rng
-                    .choice(&[CopyTo::Same, CopyTo::Any, CopyTo::NextLeader])
+                    .choice(&[
+                        DuplicateTarget::SameNode,
+                        DuplicateTarget::AnyNode,
+                        DuplicateTarget::NextLeader,
+                    ])
                     .expect("some");
                 self.note(&format!(
                     "{share:.2} of reports copied to {to:?} for {ms} ms"
                 ));
-                self.w.troubles.late_reports = Some((share, to));
+                self.w.faults.duplicate_reports = Some((share, to));
                 self.end_in(ms, End::LateReports);
             }
             19 => {
                 let (node, ms) = (self.victim(), self.between(500, 20_000));
                 self.note(&format!("node {node} frozen for {ms} ms"));
-                self.w.troubles.frozen.insert(node, now + ms);
+                self.w.faults.frozen_until.insert(node, now + ms);
             }
             20 => {
                 let (node, ms) = (self.victim(), self.between(5_000, 25_000));
@@ -274,12 +278,12 @@
                 self.note(&format!("zone {zone} cut off with node {node} for {ms} ms"));
                 let there = self.w.workers.values_mut().filter(|w| w.zone == zone);
                 let names = there.map(|w| {
-                    w.only = Some(node);
+                    w.only_node = Some(node);
                     w.name.clone()
                 });
                 let names = names.collect();
-                self.w.troubles.cut_from_state.insert(node);
-                self.w.silent_peers.insert(node);
+                self.w.faults.isolated_from_state_service.insert(node);
+                self.w.isolated_from_peers.insert(node);
                 self.end_in(ms, End::CutNode(node));
                 self.end_in(ms, End::Machines(names));
             }
@@ -289,9 +293,9 @@
                     if self.rng.bool() {
                         self.w.workers.remove(&name);
                     } else if let Some(w) = self.w.workers.get_mut(&name) {
-                        w.taken_at = Some(now + 15_000);
+                        w.reclaim_at = Some(now + 15_000);
                     }
-                    self.w.capacity += 1;
+                    self.w.cloud_capacity += 1;
                 }
             }
             22 => self.cancel_some(),
@@ -312,12 +316,12 @@
                 continue;
             };
             match kind {
-                0 => w.one_way = true,
-                1 => w.mute = true,
+                0 => w.receives_nothing = true,
+                1 => w.reports_lost = true,
                 2 => w.hung_until = now + ms,
-                3 => w.cut_until = now + ms,
+                3 => w.disconnected_until = now + ms,
                 _ => {
-                    let held = &mut self.w.troubles.delayed_orders;
+                    let held = &mut self.w.faults.messages_delayed_until;
                     held.insert(name.clone(), now + ms / 2);
                 }
             }
@@ -348,13 +352,13 @@
                     self.w.start(node);
                 }
             }
-            End::Outage => self.w.state_down = false,
+            End::Outage => self.w.state_service_down = false,
             End::Refused(node) => {
-                self.w.refused.remove(&node);
+                self.w.refused_by_state_service.remove(&node);
             }
             End::CutNode(node) => {
-                self.w.troubles.cut_from_state.remove(&node);
-                self.w.silent_peers.remove(&node);
+                self.w.faults.isolated_from_state_service.remove(&node);
+                self.w.isolated_from_peers.remove(&node);
             }
             End::Leader => {
                 let (node, pause) = (self.victim(), self.between(0, 4_000));
@@ -362,19 +366,19 @@
                 self.end_in(pause, End::Start(node));
             }
             End::Peers(node) => {
-                self.w.silent_peers.remove(&node);
+                self.w.isolated_from_peers.remove(&node);
             }
-            End::LateTxns => self.w.troubles.late_txns = 0.0,
-            End::LostAnswers => self.w.troubles.lost_answers = 0.0,
+            End::LateTxns => self.w.faults.late_txn_share = 0.0,
+            End::LostAnswers => self.w.faults.lost_response_share = 0.0,
             End::Slow => {
-                self.w.troubles.slow_state.clear();
-                self.w.troubles.slow_to_state.clear();
+                self.w.faults.max_state_response_delay_ms.clear();
+                self.w.faults.max_state_request_delay_ms.clear();
             }
-            End::LateReports => self.w.troubles.late_reports = None,
+            End::LateReports => self.w.faults.duplicate_reports = None,
             End::Machines(names) => {
                 for name in names {
                     if let Some(w) = self.w.workers.get_mut(&name) {
-                        (w.one_way, w.mute, w.only) = (false, false, None);
+                        (w.receives_nothing, w.reports_lost, w.only_node) = (false, false, None);
                     }
                 }
             }
@@ -387,18 +391,18 @@
         let rng = &mut self.rng;
         let mut tasks = 1;
         let mut spec = match rng.u8(..6) {
-            _ if burst => array(&id, 1),
-            0 | 1 => array(&id, 1),
-            2 => array(&id, rng.u64(2..=3)),
-            3 => array(&id, rng.u64(4..=16)),
+            _ if burst => array_job(&id, 1),
+            0 | 1 => array_job(&id, 1),
+            2 => array_job(&id, rng.u64(2..=3)),
+            3 => array_job(&id, rng.u64(4..=16)),
             4 => Submission {
                 one_zone: rng.bool(),
-                ..gang(&id, rng.u64(2..=3))
+                ..gang_job(&id, rng.u64(2..=3))
             },
             _ => Submission {
                 zone: rng.bool().then(|| "a".to_string()),
                 one_zone: rng.bool(),
-                ..array(&id, rng.u64(2..=6))
+                ..array_job(&id, rng.u64(2..=6))
             },
         };
         let is_gang = spec.shape == wire::users::Shape::Gang;
@@ -424,12 +428,12 @@
             1 | 2 => rng.u64(2_000..15_000),
             _ => rng.u64(15_000..60_000),
         };
-        let behaviour = Behaviour {
-            fetch_ms: rng.u64(0..2_000),
+        let behaviour = TaskBehaviour {
+            image_fetch_ms: rng.u64(0..2_000),
             run_ms,
-            save_ms: if saves { 500 } else { 0 },
-            gang: if is_gang { tasks as u32 } else { 0 },
-            fails: false,
+            checkpoint_write_ms: if saves { 500 } else { 0 },
+            gang_size: if is_gang { tasks as u32 } else { 0 },
+            fails_after_run: false,
         };
         spec.guess_s = run_ms as f64 / 1000.0;
         let now = self.w.now;
@@ -439,7 +443,7 @@
             2 => now + rng.u64(..30_000),
             _ => u64::MAX,
         };
-        self.w.describe(&spec, behaviour);
+        self.w.upload_job(&spec, behaviour);
         self.jobs.push(Job {
             spec,
             next_submit: now,
@@ -460,30 +464,30 @@
             0 => self.look(node, &id),
             1 => {
                 let abort = format!("/submissions/{id}/abort");
-                self.w.send(node, "POST", &abort, vec![]);
+                self.w.send_user_request(node, "POST", &abort, vec![]);
             }
             2 => {
                 let unfit = match self.rng.u8(..3) {
                     0 => Submission {
                         gpus: 5.0,
-                        ..array(&id, 1)
+                        ..array_job(&id, 1)
                     },
                     1 => Submission {
                         team: "nobody".into(),
-                        ..array(&id, 1)
+                        ..array_job(&id, 1)
                     },
-                    _ => array(&id, 0),
+                    _ => array_job(&id, 0),
                 };
                 let body = wire::encode(&unfit);
-                let request = self.w.send(node, "POST", "/submissions", body);
+                let request = self.w.send_user_request(node, "POST", "/submissions", body);
                 self.unfit.push(request);
             }
             _ => {
-                let done = |j: &&Job| self.w.rules.end(&j.spec.id) == Some(Phase::Done);
+                let done = |j: &&Job| self.w.rules.final_phase(&j.spec.id) == Some(Phase::Done);
                 let done: Vec<&Job> = self.jobs.iter().filter(done).collect();
                 if let Some(job) = self.rng.choice(done) {
                     let abort = format!("/submissions/{}/abort", job.spec.id);
-                    self.w.send(node, "POST", &abort, vec![]);
+                    self.w.send_user_request(node, "POST", &abort, vec![]);
                 }
             }
         }
@@ -491,7 +495,7 @@
 
     fn look(&mut self, node: usize, id: &str) {
         self.w
-            .send(node, "GET", &format!("/submissions/{id}"), vec![]);
+            .send_user_request(node, "GET", &format!("/submissions/{id}"), vec![]);
     }
 
     /// Users ask at all nodes at once, and repeat the submission.
@@ -503,7 +507,8 @@
         for node in 0..self.nodes {
             self.look(node, &id);
             if self.rng.u8(..3) == 0 {
-                self.w.send(node, "POST", "/submissions", body.clone());
+                self.w
+                    .send_user_request(node, "POST", "/submissions", body.clone());
             }
         }
     }
@@ -513,14 +518,14 @@
         let now = self.w.now;
         let answered: Vec<(u64, usize)> = self.submits.iter().map(|(r, j)| (*r, *j)).collect();
         for (request, j) in answered {
-            if let Some((status, _)) = self.w.answer(request) {
+            if let Some((status, _)) = self.w.take_response(request) {
                 self.submits.remove(&request);
                 self.jobs[j].refused |= matches!(status, 400 | 422);
             }
         }
         for request in std::mem::take(&mut self.unfit) {
-            match self.w.answer(request) {
-                Some((200..=299, _)) => self.w.broken.push(format!("accepted_unfit at {now}")),
+            match self.w.take_response(request) {
+                Some((200..=299, _)) => self.w.violations.push(format!("accepted_unfit at {now}")),
                 Some(_) => {}
                 None => self.unfit.push(request),
             }
@@ -528,7 +533,7 @@
         for j in 0..self.jobs.len() {
             let id = self.jobs[j].spec.id.clone();
             let accepted = self.w.rules.is_accepted(&id);
-            let end = self.w.rules.end(&id);
+            let end = self.w.rules.final_phase(&id);
             let job = &self.jobs[j];
             if job.refused {
                 continue;
@@ -543,7 +548,7 @@
             if !accepted && now >= job.next_submit && now < job.gives_up {
                 let body = wire::encode(&job.spec);
                 let node = self.node();
-                let request = self.w.send(node, "POST", "/submissions", body);
+                let request = self.w.send_user_request(node, "POST", "/submissions", body);
                 self.submits.insert(request, j);
                 self.jobs[j].next_submit = now + self.between(1_000, 3_000);
             }
@@ -556,7 +561,7 @@
             if now >= self.jobs[j].cancel_at {
                 let node = self.node();
                 self.w
-                    .send(node, "POST", &format!("/submissions/{id}/abort"), vec![]);
+                    .send_user_request(node, "POST", &format!("/submissions/{id}/abort"), vec![]);
                 self.jobs[j].cancel_at = now + self.between(1_000, 3_000);
                 if self.rng.bool() {
                     self.look_closely(j);
@@ -581,7 +586,7 @@
     fn step_users(&mut self, ms: u64) {
         let until = self.w.now + ms;
         while self.w.now < until {
-            self.w.run(20);
+            self.w.run_for(20);
             self.users();
         }
     }
@@ -613,7 +618,7 @@
             }
         }
         self.note("all troubles are over");
-        self.w.heal();
+        self.w.end_faults();
         let healed = self.w.now;
         for job in &mut self.jobs {
             job.gives_up = 0;
@@ -621,7 +626,7 @@
         let mut progress = (0, healed);
         while self.w.now < progress.1 + STUCK_MS {
             self.step_users(500);
-            let completions = self.w.rules.completions();
+            let completions = self.w.rules.completed_task_count();
             if completions > progress.0 {
                 progress = (completions, self.w.now);
             }
@@ -633,9 +638,9 @@
             if self.w.rules.is_accepted(&self.jobs[j].spec.id) {
                 self.look_closely(j);
             }
-            self.w.run(100);
+            self.w.run_for(100);
         }
-        self.w.run(2_000);
+        self.w.run_for(2_000);
     }
 
     /// Accepted jobs that nobody called off and that are not done.
@@ -643,7 +648,9 @@
         let ids = self.jobs.iter().map(|j| &j.spec.id);
         let open = |id: &&String| {
             let r = &self.w.rules;
-            r.is_accepted(id) && !r.is_called_off(id) && r.end(id) != Some(Phase::Done)
+            r.is_accepted(id)
+                && !r.is_cancel_requested(id)
+                && r.final_phase(id) != Some(Phase::Done)
         };
         ids.filter(open).cloned().collect()
     }
@@ -651,7 +658,12 @@
     /// Something that differs as soon as anything went differently.
     fn fingerprint(&self) -> (u64, u64, u64, u64) {
         let w = &self.w;
-        (w.now, w.ticks, w.state.requests, w.state.writes)
+        (
+            w.now,
+            w.node_wakeups,
+            w.state_service.request_count,
+            w.state_service.write_count,
+        )
     }
 }
 
@@ -660,7 +672,7 @@
     let mut scenario = Scenario::new(seed);
     scenario.play();
     let unfinished = scenario.unfinished();
-    let (broken, late) = (&scenario.w.broken, &scenario.w.rules.late_starts);
+    let (broken, late) = (&scenario.w.violations, &scenario.w.rules.late_starts);
     if std::env::var("SEED").is_ok() {
         let count = |is: &dyn Fn(&str) -> bool| {
             let ids = scenario.jobs.iter().map(|j| j.spec.id.as_str());
@@ -672,8 +684,8 @@
             scenario.log,
             scenario.jobs.len(),
             count(&|id| r.is_accepted(id)),
-            count(&|id| r.end(id) == Some(Phase::Done)),
-            count(&|id| r.end(id) == Some(Phase::Aborted)),
+            count(&|id| r.final_phase(id) == Some(Phase::Done)),
+            count(&|id| r.final_phase(id) == Some(Phase::Aborted)),
         );
     }
     if broken.is_empty() && unfinished.is_empty() {
@@ -713,7 +725,7 @@
     let prints = [(); 2].map(|()| {
         let mut scenario = Scenario::new(5);
         scenario.play();
-        (scenario.fingerprint(), scenario.log, scenario.w.broken)
+        (scenario.fingerprint(), scenario.log, scenario.w.violations)
     });
     assert_eq!(prints[0], prints[1]);
 }
--- a/crates/control/tests/node_wakeup.rs
+++ b/crates/control/tests/node_wakeup.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, FakeWorker, World, KIND};
+use fakes::{array_job, FakeWorker, World, MACHINE_TYPE};
 use wire::users::{JobStatus, Phase, Submission};
 use wire::workers::Redirect;
 
@@ -22,7 +22,7 @@
 
 /// From now on the node neither receives anything nor acts until this much time has passed.
 fn freeze(w: &mut World, node: usize, ms: u64) {
-    w.troubles.frozen.insert(node, w.now + ms);
+    w.faults.frozen_until.insert(node, w.now + ms);
 }
 
 /// The nodes of a cluster of three other than this one.
@@ -34,7 +34,7 @@
 fn whole_machines(id: &str, tasks: u64) -> Submission {
     Submission {
         gpus: 4.0,
-        ..array(id, tasks)
+        ..array_job(id, tasks)
     }
 }
 
@@ -55,24 +55,24 @@
             // Renewals are answered late too.
             w.seed(offset);
             let slow_ms = if offset < 10 { 0 } else { 400 };
-            w.troubles.slow_state.insert(leader, slow_ms);
+            w.faults.max_state_response_delay_ms.insert(leader, slow_ms);
             assert_eq!(
                 w.submit(first, &whole_machines("run-1", 4), runs(LONG_MS)),
                 201
             );
-            w.run(10 * (offset % 12));
+            w.run_for(10 * (offset % 12));
             freeze(&mut w, leader, freeze_ms);
-            w.run(20);
-            let started = w.on_machines("run-1").len();
+            w.run_for(20);
+            let started = w.placed_tasks("run-1").len();
             assert_eq!(w.abort(second, "run-1"), Some(Phase::Aborted));
-            w.run(freeze_ms + 3_000);
+            w.run_for(freeze_ms + 3_000);
             let late = &w.rules.late_starts;
             assert!(
                 late.is_empty(),
                 "{freeze_ms} ms, {offset}, {started}: {late:?}"
             );
-            w.run(15_000);
-            assert!(w.on_machines("run-1").is_empty());
+            w.run_for(15_000);
+            assert!(w.placed_tasks("run-1").is_empty());
             clean(&w);
         }
     }
@@ -82,8 +82,8 @@
 fn bind_workers(w: &mut World, node: usize) {
     let now = w.now;
     for worker in w.workers.values_mut() {
-        (worker.only, worker.node) = (Some(node), node);
-        (worker.in_flight, worker.report_at) = (None, now);
+        (worker.only_node, worker.node) = (Some(node), node);
+        (worker.report_in_flight, worker.next_report_at) = (None, now);
     }
 }
 
@@ -95,24 +95,24 @@
         let mut w = world(3, 2, 0.0);
         let leader = w.leader().expect("leader");
         let [first, second] = others(leader);
-        assert_eq!(w.submit(first, &array("run-1", 8), runs(LONG_MS)), 201);
-        assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 8));
+        assert_eq!(w.submit(first, &array_job("run-1", 8), runs(LONG_MS)), 201);
+        assert!(w.run_until(8_000, |w| w.placed_tasks("run-1").len() == 8));
         bind_workers(&mut w, leader);
-        w.run(2_200 + offset);
+        w.run_for(2_200 + offset);
         freeze(&mut w, leader, freeze_ms);
         // Long enough for some beats and mostly for the watch to time out, but not for another to be elected.
-        w.run(2_000);
-        w.silent_peers.insert(leader);
-        w.troubles.cut_from_state.insert(leader);
+        w.run_for(2_000);
+        w.isolated_from_peers.insert(leader);
+        w.faults.isolated_from_state_service.insert(leader);
         assert_eq!(w.abort(second, "run-1"), Some(Phase::Aborted));
-        w.run(freeze_ms - 2_500);
+        w.run_for(freeze_ms - 2_500);
         // Its machines report as it wakes, while their leases hold.
         bind_workers(&mut w, leader);
-        w.run(7_000);
+        w.run_for(7_000);
         let at = format!("{freeze_ms} ms, offset {offset}");
-        assert_eq!(w.on_machines("run-1").len(), 8, "not ended so far, {at}");
-        w.run(40_000);
-        assert!(w.on_machines("run-1").is_empty(), "{at}");
+        assert_eq!(w.placed_tasks("run-1").len(), 8, "not ended so far, {at}");
+        w.run_for(40_000);
+        assert!(w.placed_tasks("run-1").is_empty(), "{at}");
         clean(&w);
     }
 }
@@ -127,19 +127,19 @@
         let [first, _] = others(old);
         // The answer takes some time, so that it is on its way when the freeze begins.
         w.seed(offset);
-        w.troubles.slow_state.insert(first, 600);
-        w.run(80 * offset);
+        w.faults.max_state_response_delay_ms.insert(first, 600);
+        w.run_for(80 * offset);
         freeze(&mut w, first, 20_000);
-        w.run(100);
-        w.refused.insert(old);
-        w.run(17_000);
+        w.run_for(100);
+        w.refused_by_state_service.insert(old);
+        w.run_for(17_000);
         assert_ne!(w.leader(), Some(old));
-        w.state_down = true;
-        w.run(2_700);
-        let report = FakeWorker::new("vm-000000", "a", false, 0).report(KIND, 0);
-        let sent = w.send(first, "POST", "/v1/report", wire::encode(&report));
-        w.run(2_500);
-        let (status, body) = w.answer(sent).expect("an answer");
+        w.state_service_down = true;
+        w.run_for(2_700);
+        let report = FakeWorker::new("vm-000000", "a", false, 0).report(MACHINE_TYPE, 0);
+        let sent = w.send_user_request(first, "POST", "/v1/report", wire::encode(&report));
+        w.run_for(2_500);
+        let (status, body) = w.take_response(sent).expect("an answer");
         let named = wire::decode::<Redirect>(&body).ok().and_then(|e| e.leader);
         assert_eq!((status, named), (421, None), "offset {offset}");
         clean(&w);
@@ -166,23 +166,23 @@
                 Frozen::Leader => leader,
                 Frozen::Follower | Frozen::Forwarding => first,
             };
-            assert_eq!(w.submit(second, &array("run-1", 1), runs(LONG_MS)), 201);
+            assert_eq!(w.submit(second, &array_job("run-1", 1), runs(LONG_MS)), 201);
             if frozen == Frozen::Forwarding {
-                w.refused.insert(node);
+                w.refused_by_state_service.insert(node);
             }
-            w.run(4_000);
-            w.describe(&array("run-2", 1), runs(LONG_MS));
-            let body = wire::encode(&array("run-2", 1));
-            let poll = w.send(node, "GET", "/submissions/run-1", vec![]);
-            let creation = w.send(node, "POST", "/submissions", body);
-            w.run(10 * offset);
+            w.run_for(4_000);
+            w.upload_job(&array_job("run-2", 1), runs(LONG_MS));
+            let body = wire::encode(&array_job("run-2", 1));
+            let poll = w.send_user_request(node, "GET", "/submissions/run-1", vec![]);
+            let creation = w.send_user_request(node, "POST", "/submissions", body);
+            w.run_for(10 * offset);
             freeze(&mut w, node, freeze_ms);
-            w.run(50);
-            let waits = [poll, creation].map(|request| w.answer(request).is_none());
+            w.run_for(50);
+            let waits = [poll, creation].map(|request| w.take_response(request).is_none());
             assert_eq!(w.abort(second, "run-1"), Some(Phase::Aborted));
-            w.run(freeze_ms + 100);
+            w.run_for(freeze_ms + 100);
             let mut heard = |request| {
-                let (status, body) = w.answer(request).expect("an answer");
+                let (status, body) = w.take_response(request).expect("an answer");
                 (
                     status,
                     wire::decode::<JobStatus>(&body).map(|s| s.phase).ok(),
@@ -198,10 +198,10 @@
                 let status = heard(creation).0;
                 assert_eq!(status, if offset == 0 { 201 } else { 503 }, "{at}");
             }
-            w.refused.clear();
-            w.run(2_000);
+            w.refused_by_state_service.clear();
+            w.run_for(2_000);
             assert_eq!(w.phase(node, "run-1"), Some(Phase::Aborted), "{at}");
-            let again = w.submit(node, &array("run-2", 1), runs(LONG_MS));
+            let again = w.submit(node, &array_job("run-2", 1), runs(LONG_MS));
             assert!(matches!(again, 200 | 201), "{at}: {again}");
             clean(&w);
         }
@@ -220,32 +220,35 @@
         (65_000, false, true),
     ] {
         let mut w = world(3, 6, 0.0);
-        w.capacity = 6;
+        w.cloud_capacity = 6;
         let leader = w.leader().expect("leader");
-        assert_eq!(w.submit(leader, &array("run-1", 24), runs(LONG_MS)), 201);
-        assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 24));
+        assert_eq!(
+            w.submit(leader, &array_job("run-1", 24), runs(LONG_MS)),
+            201
+        );
+        assert!(w.run_until(8_000, |w| w.placed_tasks("run-1").len() == 24));
         let before = machine_names(&w);
-        w.state_down = true;
+        w.state_service_down = true;
         freeze(&mut w, leader, freeze_ms);
         if peers_cut {
-            w.silent_peers.insert(leader);
+            w.isolated_from_peers.insert(leader);
         }
         if workers_cut {
-            w.unreached.insert(leader);
+            w.isolated_from_workers.insert(leader);
         }
-        w.run(64_500);
-        w.state_down = false;
-        w.run(3_500);
-        w.silent_peers.clear();
-        w.unreached.clear();
-        w.run(20_000);
+        w.run_for(64_500);
+        w.state_service_down = false;
+        w.run_for(3_500);
+        w.isolated_from_peers.clear();
+        w.isolated_from_workers.clear();
+        w.run_for(20_000);
         let at = format!("{freeze_ms} ms, {peers_cut} {workers_cut}");
         assert_eq!(machine_names(&w), before, "{at}");
-        assert!(w.until(20_000, |w| w.on_machines("run-1").len() == 24));
+        assert!(w.run_until(20_000, |w| w.placed_tasks("run-1").len() == 24));
         // A machine that is gone is told from the others as ever.
         let gone = w.workers.get_mut("vm-000000").expect("worker");
-        gone.cut_until = u64::MAX;
-        assert!(w.until(60_000, |w| !w.workers.contains_key("vm-000000")));
+        gone.disconnected_until = u64::MAX;
+        assert!(w.run_until(60_000, |w| !w.workers.contains_key("vm-000000")));
         clean(&w);
     }
 }
@@ -256,28 +259,31 @@
 fn freezes_that_straddle_elections_cancellations_and_completions_break_no_rule() {
     for freeze_ms in [2_000, 3_200, 20_000, 61_000] {
         let mut w = world(3, 12, 0.0);
-        assert_eq!(w.submit(0, &array("run-1", 12), runs(LONG_MS)), 201);
-        assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 12));
-        let mut before = w.on_machines("run-1");
+        assert_eq!(w.submit(0, &array_job("run-1", 12), runs(LONG_MS)), 201);
+        assert!(w.run_until(8_000, |w| w.placed_tasks("run-1").len() == 12));
+        let mut before = w.placed_tasks("run-1");
         before.sort();
         for round in 0..4 {
             let leader = w.leader().expect("leader");
             let [first, second] = others(leader);
             let (short, called_off) = (format!("run-{round}1"), format!("run-{round}2"));
-            assert_eq!(w.submit(first, &array(&short, 6), runs(3_000)), 201);
-            assert_eq!(w.submit(leader, &array(&called_off, 6), runs(LONG_MS)), 201);
-            w.run(150 + 900 * round);
+            assert_eq!(w.submit(first, &array_job(&short, 6), runs(3_000)), 201);
+            assert_eq!(
+                w.submit(leader, &array_job(&called_off, 6), runs(LONG_MS)),
+                201
+            );
+            w.run_for(150 + 900 * round);
             freeze(&mut w, leader, freeze_ms);
-            w.run(1_000);
-            assert!(w.until(5_000, |w| w.abort(second, &called_off)
+            w.run_for(1_000);
+            assert!(w.run_until(5_000, |w| w.abort(second, &called_off)
                 == Some(Phase::Aborted)));
-            assert!(w.until(25_000, |w| w.phase(first, &short) == Some(Phase::Done)));
-            w.run(4_000);
-            assert!(w.until(70_000, |w| w.phase(leader, &short) == Some(Phase::Done)));
+            assert!(w.run_until(25_000, |w| w.phase(first, &short) == Some(Phase::Done)));
+            w.run_for(4_000);
+            assert!(w.run_until(70_000, |w| w.phase(leader, &short) == Some(Phase::Done)));
             assert_eq!(w.phase(leader, &called_off), Some(Phase::Aborted));
         }
-        w.run(32_000);
-        let mut after = w.on_machines("run-1");
+        w.run_for(32_000);
+        let mut after = w.placed_tasks("run-1");
         after.sort();
         assert_eq!(after, before, "healthy tasks went on, {freeze_ms}");
         assert!(w.rules.late_starts.is_empty(), "{:?}", w.rules.late_starts);
--- a/crates/control/tests/one_sided_cuts.rs
+++ b/crates/control/tests/one_sided_cuts.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::*;
-use fakes::{array, Cut, Party, World};
+use fakes::{array_job, ConnectionFault, Party, World};
 
 /// A connection of one controller that fails.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    Lacks(Party, Cut),
+    Lacks(Party, ConnectionFault),
     /// Frames to its peers are lost.
     PeersOut,
     /// Frames of its peers are lost.
@@ -24,14 +24,14 @@
 fn cut(w: &mut World, node: usize, fault: Fault) {
     for other in [(node + 1) % 3, (node + 2) % 3] {
         if matches!(fault, PeersOut | Peers) {
-            w.troubles.lost_frames.insert((node, other), u64::MAX);
+            w.faults.frames_lost_until.insert((node, other), u64::MAX);
         }
         if matches!(fault, PeersIn | Peers) {
-            w.troubles.lost_frames.insert((other, node), u64::MAX);
+            w.faults.frames_lost_until.insert((other, node), u64::MAX);
         }
     }
     if let Lacks(party, cut) = fault {
-        w.troubles.cuts.insert((node, party, cut));
+        w.faults.connection_faults.insert((node, party, cut));
     }
 }
 
@@ -43,8 +43,8 @@
 /// Submits a job wherever it is taken, as users do.
 fn submit_anywhere(w: &mut World, id: &str, run_ms: u64) {
     let accepted = (0..30).any(|n| {
-        let status = w.submit(n % 3, &array(id, 2), runs(run_ms));
-        w.run(300);
+        let status = w.submit(n % 3, &array_job(id, 2), runs(run_ms));
+        w.run_for(300);
         matches!(status, 200 | 201)
     });
     assert!(accepted, "{id}");
@@ -62,16 +62,16 @@
 fn a_leader_that_can_place_stands_within_seconds_of_any_cut_of_one_node() {
     // With the most terms that it may take if the leader is cut.
     let faults = [
-        (Lacks(Party::State, Cut::Requests), 1),
-        (Lacks(Party::State, Cut::Answers), 1),
-        (Lacks(Party::State, Cut::Refused), 1),
+        (Lacks(Party::State, ConnectionFault::RequestsLost), 1),
+        (Lacks(Party::State, ConnectionFault::ResponsesLost), 1),
+        (Lacks(Party::State, ConnectionFault::Refused), 1),
         // Its reports come through its peers.
-        (Lacks(Party::Workers, Cut::Requests), 0),
-        (Lacks(Party::Workers, Cut::Answers), 1),
-        (Lacks(Party::Workers, Cut::Refused), 0),
-        (Lacks(Party::Users, Cut::Requests), 0),
-        (Lacks(Party::Users, Cut::Answers), 0),
-        (Lacks(Party::Users, Cut::Refused), 0),
+        (Lacks(Party::Workers, ConnectionFault::RequestsLost), 0),
+        (Lacks(Party::Workers, ConnectionFault::ResponsesLost), 1),
+        (Lacks(Party::Workers, ConnectionFault::Refused), 0),
+        (Lacks(Party::Users, ConnectionFault::RequestsLost), 0),
+        (Lacks(Party::Users, ConnectionFault::ResponsesLost), 0),
+        (Lacks(Party::Users, ConnectionFault::Refused), 0),
         (PeersOut, 0),
         (PeersIn, 0),
         (Peers, 0),
@@ -80,12 +80,12 @@
         for of_leader in [true, false] {
             let mut w = world(3, 4, 0.0);
             let leader = w.leader().expect("leader");
-            assert_eq!(w.submit(leader, &array("run-1", 4), runs(150_000)), 201);
-            assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 4));
+            assert_eq!(w.submit(leader, &array_job("run-1", 4), runs(150_000)), 201);
+            assert!(w.run_until(8_000, |w| w.placed_tasks("run-1").len() == 4));
             let node = if of_leader { leader } else { (leader + 1) % 3 };
             let first_term = term(&w);
             cut(&mut w, node, fault);
-            w.run(2_000);
+            w.run_for(2_000);
             submit_anywhere(&mut w, "run-2", 5_000);
             let lacking = of_leader && matches!(fault, Lacks(Party::State | Party::Workers, _));
             let within = if lacking {
@@ -93,13 +93,13 @@
             } else {
                 PLACED_AT_ONCE_MS
             };
-            let placed = w.until(within, |w| !w.on_machines("run-2").is_empty());
+            let placed = w.run_until(within, |w| !w.placed_tasks("run-2").is_empty());
             let at = format!("{fault:?}, of the leader: {of_leader}");
             assert!(placed, "{at}");
-            w.run(90_000);
+            w.run_for(90_000);
             let most = if of_leader { terms } else { 0 };
             assert!(term(&w) - first_term <= most, "{at}: term {}", term(&w));
-            w.heal();
+            w.end_faults();
             assert!(
                 done(&mut w, "run-2", 30_000) && done(&mut w, "run-1", 200_000),
                 "{at}"
@@ -114,18 +114,18 @@
     let (state, workers) = (Party::State, Party::Workers);
     let sets = [
         [
-            Lacks(state, Cut::Requests),
-            Lacks(workers, Cut::Requests),
+            Lacks(state, ConnectionFault::RequestsLost),
+            Lacks(workers, ConnectionFault::RequestsLost),
             Peers,
         ],
         [
-            Lacks(state, Cut::Refused),
-            Lacks(workers, Cut::Refused),
+            Lacks(state, ConnectionFault::Refused),
+            Lacks(workers, ConnectionFault::Refused),
             PeersOut,
         ],
         [
-            Lacks(state, Cut::Answers),
-            Lacks(workers, Cut::Answers),
+            Lacks(state, ConnectionFault::ResponsesLost),
+            Lacks(workers, ConnectionFault::ResponsesLost),
             PeersIn,
         ],
     ];
@@ -137,9 +137,9 @@
             for (n, fault) in faults.into_iter().enumerate() {
                 cut(&mut w, (leader + turn + n) % 3, fault);
             }
-            w.run(2_000);
+            w.run_for(2_000);
             submit_anywhere(&mut w, "run-1", 5_000);
-            let placed = w.until(PLACED_LAST_MS, |w| !w.on_machines("run-1").is_empty());
+            let placed = w.run_until(PLACED_LAST_MS, |w| !w.placed_tasks("run-1").is_empty());
             let at = format!("{faults:?}, turn {turn}");
             assert!(placed, "{at}: {} terms", term(&w) - first_term);
             let settled = term(&w);
@@ -148,9 +148,9 @@
                 "{at}: {} terms",
                 settled - first_term
             );
-            w.run(240_000);
+            w.run_for(240_000);
             assert_eq!(term(&w), settled, "{at}: back and forth");
-            w.heal();
+            w.end_faults();
             assert!(done(&mut w, "run-1", 30_000), "{at}");
             clean(&w);
         }
@@ -161,25 +161,29 @@
 /// machines.
 #[test]
 fn leaders_do_not_take_turns_while_no_worker_reaches_any_node() {
-    for lost in [Cut::Requests, Cut::Answers, Cut::Refused] {
+    for lost in [
+        ConnectionFault::RequestsLost,
+        ConnectionFault::ResponsesLost,
+        ConnectionFault::Refused,
+    ] {
         let mut w = world(3, 4, 0.0);
         let first_term = term(&w);
         for node in 0..3 {
             cut(&mut w, node, Lacks(Party::Workers, lost));
         }
         // Machines are rented for it again and again.
-        w.capacity = 60;
+        w.cloud_capacity = 60;
         submit_anywhere(&mut w, "run-0", 5_000);
-        w.run(300_000);
+        w.run_for(300_000);
         let terms = term(&w) - first_term;
         assert!(terms <= 3, "{lost:?}: {terms} terms");
-        w.heal();
+        w.end_faults();
         submit_anywhere(&mut w, "run-1", 5_000);
         assert!(done(&mut w, "run-1", 30_000), "{lost:?}");
         clean(&w);
     }
     let mut w = world(3, 0, 0.0);
     let first_term = term(&w);
-    w.run(300_000);
+    w.run_for(300_000);
     assert_eq!(term(&w), first_term, "without machines");
 }
--- a/crates/control/tests/operations.rs
+++ b/crates/control/tests/operations.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, KIND};
+use fakes::{array_job, MACHINE_TYPE};
 use wire::users::{Phase, Submission};
 use wire::workers::HeartbeatResponse;
 
@@ -14,21 +14,21 @@
     let mut w = world(3, 4, 0.0);
     let guest = Submission {
         guess_s: 30.0,
-        ..array("run-900", 96)
+        ..array_job("run-900", 96)
     };
     assert_eq!(w.submit(0, &guest, runs(30_000)), 201);
-    w.run(3_000);
+    w.run_for(3_000);
     for n in 0..8 {
         let job = Submission {
             guess_s: 4.0,
             due_s: Some(45.0),
-            ..array(&format!("run-{n}"), 6)
+            ..array_job(&format!("run-{n}"), 6)
         };
         assert_eq!(w.submit(n % 3, &job, runs(4_000)), 201);
-        w.run(4_000);
+        w.run_for(4_000);
     }
     // All machines are full of the guest's tasks when they come; what becomes free is theirs.
-    w.run(30_000);
+    w.run_for(30_000);
     let ids: Vec<String> = (0..8).map(|n| format!("run-{n}")).collect();
     let phases = w.phases(0, &ids);
     let over = phases.iter().filter(|p| **p == Some(Phase::Done)).count();
@@ -41,12 +41,12 @@
 #[test]
 fn a_job_goes_on_when_its_pause_is_over_though_nothing_else_happens() {
     let mut w = world(3, 2, 0.0);
-    let job = array("run-1", 1);
+    let job = array_job("run-1", 1);
     // Its description has not been uploaded yet: the worker refuses the start.
     let body = wire::encode(&job);
-    assert_eq!(w.ask(0, "POST", "/submissions", body).0, 201);
-    w.run(2_000);
-    w.describe(&job, runs(1_000));
+    assert_eq!(w.send_and_wait(0, "POST", "/submissions", body).0, 201);
+    w.run_for(2_000);
+    w.upload_job(&job, runs(1_000));
     assert!(done(&mut w, "run-1", 8_000));
     clean(&w);
 }
@@ -57,30 +57,33 @@
 #[test]
 fn a_report_held_back_until_its_session_has_ended_changes_nothing() {
     let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-1", 8), runs(120_000)), 201);
-    w.run(6_000);
+    assert_eq!(w.submit(0, &array_job("run-1", 8), runs(120_000)), 201);
+    w.run_for(6_000);
     let cut_machine = "vm-000000";
     let now = w.now;
     let worker = w.workers.get_mut(cut_machine).expect("worker");
-    worker.cut_until = now + 60_000;
-    let held_back = worker.report(KIND, now);
+    worker.disconnected_until = now + 60_000;
+    let held_back = worker.report(MACHINE_TYPE, now);
     assert!(!held_back.tasks.is_empty(), "it runs something");
     let places = |w: &fakes::World| {
         let all = parts(w).into_iter().flat_map(|part| part.chunk.at);
         all.filter(|(_, _, machine)| machine == cut_machine).count()
     };
-    assert!(w.until(30_000, |w| places(w) == 0), "freed by the lapse");
+    assert!(
+        w.run_until(30_000, |w| places(w) == 0),
+        "freed by the lapse"
+    );
 
     let leader = w.leader().expect("leader");
-    let (status, body) = w.ask(leader, "POST", "/v1/report", wire::encode(&held_back));
+    let (status, body) = w.send_and_wait(leader, "POST", "/v1/report", wire::encode(&held_back));
     assert_eq!(status, 200);
     let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
     assert_eq!(answer.orders, vec![], "nothing to stop");
     // The other machine is full of what was started again.
-    assert_eq!(w.submit(0, &array("run-2", 1), runs(1_000)), 201);
-    w.run(2_000);
+    assert_eq!(w.submit(0, &array_job("run-2", 1), runs(1_000)), 201);
+    w.run_for(2_000);
     assert_eq!(places(&w), 0, "no work for a machine that is cut off");
-    w.heal();
+    w.end_faults();
     assert!(done(&mut w, "run-2", 60_000));
     clean(&w);
 }
@@ -90,25 +93,25 @@
 fn a_node_cut_off_from_state_service_and_peers_is_not_ready_and_an_outage_takes_nobody_away() {
     let mut w = world(3, 2, 0.0);
     let ready = |w: &mut fakes::World| -> Vec<u16> {
-        let ask = |node| w.ask(node, "GET", "/ready", vec![]).0;
+        let ask = |node| w.send_and_wait(node, "GET", "/ready", vec![]).0;
         (0..3).map(ask).collect()
     };
     let cut = w.leader().expect("leader");
-    w.refused.insert(cut);
-    w.run(8_000);
+    w.refused_by_state_service.insert(cut);
+    w.run_for(8_000);
     assert_eq!(ready(&mut w), [200; 3], "served through a peer");
-    w.silent_peers.insert(cut);
-    w.run(6_000);
+    w.isolated_from_peers.insert(cut);
+    w.run_for(6_000);
     let statuses = ready(&mut w);
     assert_eq!(statuses[cut], 503);
     assert_eq!(statuses.iter().filter(|s| **s == 200).count(), 2);
-    w.heal();
-    w.run(2_000);
+    w.end_faults();
+    w.run_for(2_000);
     assert_eq!(ready(&mut w), [200; 3]);
-    w.state_down = true;
-    w.run(20_000);
+    w.state_service_down = true;
+    w.run_for(20_000);
     assert_eq!(ready(&mut w), [200; 3], "an outage for all");
-    w.state_down = false;
-    w.run(5_000);
+    w.state_service_down = false;
+    w.run_for(5_000);
     clean(&w);
 }
--- a/crates/control/tests/partitions.rs
+++ b/crates/control/tests/partitions.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, Behaviour, CopyTo, Cut, Party, World};
+use fakes::{array_job, gang_job, ConnectionFault, DuplicateTarget, Party, TaskBehaviour, World};
 use std::collections::{BTreeMap, BTreeSet};
 use vetchmount_control::settings::{Finalization, PartitionSettings, PinSettings, RolloutSettings};
 use vetchmount_control::Operator;
@@ -69,8 +69,8 @@
     for m in 0..MACHINES {
         w.add_machine(&name(m), if m % 2 == 0 { "a" } else { "b" });
     }
-    assert!(w.until(10_000, |w| w.leader().is_some()), "a leader");
-    assert!(w.until(SPREAD_MS, |w| is_spread(w)), "{:?}", shares(&w));
+    assert!(w.run_until(10_000, |w| w.leader().is_some()), "a leader");
+    assert!(w.run_until(SPREAD_MS, |w| is_spread(w)), "{:?}", shares(&w));
     w
 }
 
@@ -85,8 +85,8 @@
 /// Owner and epoch of each partition, as the state service has them.
 fn recorded(w: &World) -> Vec<(String, u64)> {
     let mut rows = Vec::new();
-    for key in w.state.keys(PARTITIONS) {
-        let record: PartitionsRecord = w.state.read(&key).expect("a record of the table");
+    for key in w.state_service.keys(PARTITIONS) {
+        let record: PartitionsRecord = w.state_service.read(&key).expect("a record of the table");
         let row = |row: &PartitionRow| (record.owners[usize::from(row.owner)].clone(), row.epoch);
         rows.extend(record.rows.iter().map(row));
     }
@@ -133,12 +133,12 @@
 
 /// A job that fills every machine for so long.
 fn fill(w: &mut World, id: &str, run_ms: u64) {
-    let job = array(id, 4 * MACHINES as u64);
+    let job = array_job(id, 4 * MACHINES as u64);
     let accepted = |w: &mut World| {
         let node = running(w);
         w.submit(node, &job, runs(run_ms)) == 201
     };
-    assert!(w.until(10_000, accepted), "{id} is accepted");
+    assert!(w.run_until(10_000, accepted), "{id} is accepted");
 }
 
 fn running(w: &World) -> usize {
@@ -156,7 +156,11 @@
     let mut w = partitioned_with(nodes, settings);
     fill(&mut w, "run-1", 240_000);
     let most = |w: &mut World| steady(w) >= MACHINES * 2 / 3;
-    assert!(w.until(60_000, most), "{} machines are steady", steady(&w));
+    assert!(
+        w.run_until(60_000, most),
+        "{} machines are steady",
+        steady(&w)
+    );
     w
 }
 
@@ -188,17 +192,25 @@
 /// Every job ends as it should, all controllers have their shares again, and no rule was broken.
 fn ends_well(w: &mut World, done: &[&str], cancelled: &[&str]) {
     jobs_end_well(w, done, cancelled);
-    assert!(w.until(SPREAD_MS * 8, |w| is_spread(w)), "{:?}", shares(w));
+    assert!(
+        w.run_until(SPREAD_MS * 8, |w| is_spread(w)),
+        "{:?}",
+        shares(w)
+    );
     clean(w);
 }
 
 /// Every job ends as it should, and no rule was broken.
 fn jobs_end_well(w: &mut World, done: &[&str], cancelled: &[&str]) {
-    w.heal();
+    w.end_faults();
     let all: Vec<&str> = done.iter().chain(cancelled).copied().collect();
-    let outcome = |w: &World, id: &str| w.state.read::<Final>(&final_key(id));
+    let outcome = |w: &World, id: &str| w.state_service.read::<Final>(&final_key(id));
     let over = |w: &mut World| all.iter().all(|id| outcome(w, id).is_some());
-    assert!(w.until(900_000, over), "{:?}", w.state.keys(JOBS));
+    assert!(
+        w.run_until(900_000, over),
+        "{:?}",
+        w.state_service.keys(JOBS)
+    );
     for id in done {
         assert_eq!(outcome(w, id), Some(Final::Done), "{id}");
     }
@@ -216,7 +228,7 @@
 /// How often each task was started.
 fn most_starts(w: &World) -> usize {
     let mut starts: BTreeMap<&String, usize> = BTreeMap::new();
-    for (task, _) in w.workers.values().flat_map(|m| &m.started) {
+    for (task, _) in w.workers.values().flat_map(|m| &m.started_attempts) {
         *starts.entry(task).or_default() += 1;
     }
     starts.values().copied().max().unwrap_or(0)
@@ -225,7 +237,7 @@
 #[test]
 fn shares_spread_over_the_controllers_and_the_leader_keeps_the_smallest() {
     let mut w = partitioned(3);
-    w.run(SPREAD_MS);
+    w.run_for(SPREAD_MS);
     let shares = shares(&w);
     let leader = label(w.leader().expect("a leader"));
     assert!(shares.values().all(|count| *count < 32), "{shares:?}");
@@ -237,7 +249,7 @@
     );
     // Once they are spread, nothing moves.
     let before = recorded(&w);
-    w.run(60_000);
+    w.run_for(60_000);
     assert_eq!(recorded(&w), before);
     fill(&mut w, "run-1", 30_000);
     ends_well(&mut w, &["run-1"], &[]);
@@ -249,7 +261,7 @@
     let mut w = busy(3);
     let incarnations: u64 = w.workers.values().map(|m| m.incarnation).sum();
     let leader = w.leader().expect("a leader");
-    w.run(60_000);
+    w.run_for(60_000);
     assert_eq!(
         w.workers.values().map(|m| m.incarnation).sum::<u64>(),
         incarnations
@@ -257,7 +269,7 @@
     assert_eq!(w.leader(), Some(leader));
     let at_leader = w.workers.values().filter(|m| m.node == leader).count();
     assert!(at_leader < MACHINES / 2, "{at_leader} report to the leader");
-    let most = w.workers.values().map(|m| m.most_redirects).max();
+    let most = w.workers.values().map(|m| m.max_redirect_count).max();
     assert!(most <= Some(3), "{most:?} redirects in a row");
     ends_well(&mut w, &["run-1"], &[]);
     assert_eq!(most_starts(&w), 1);
@@ -270,7 +282,7 @@
     for m in 0..MACHINES {
         w.add_machine(&name(m), "a");
     }
-    assert!(w.until(10_000, |w| w.leader().is_some()));
+    assert!(w.run_until(10_000, |w| w.leader().is_some()));
     fill(&mut w, "run-1", 20_000);
     assert!(done(&mut w, "run-1", 120_000));
     assert_eq!(steady(&w), 0);
@@ -282,19 +294,19 @@
 fn a_gang_gathers_while_the_partitions_of_its_machines_move() {
     for offset in [0, 150, 300, 600, 1_200] {
         let mut w = partitioned(3);
-        let job = gang("run-7", 6);
-        let behaviour = Behaviour {
-            gang: 6,
-            fetch_ms: 900,
+        let job = gang_job("run-7", 6);
+        let behaviour = TaskBehaviour {
+            gang_size: 6,
+            image_fetch_ms: 900,
             ..runs(20_000)
         };
         assert_eq!(w.submit(0, &job, behaviour), 201);
-        w.run(offset);
+        w.run_for(offset);
         let machines: Vec<String> = w.workers.keys().cloned().collect();
         for machine in &machines {
             let (partition, _, other) = partition_and_other(&w, machine);
             w.move_partition(partition, other);
-            w.run(50);
+            w.run_for(50);
         }
         ends_well(&mut w, &["run-7"], &[]);
         assert_eq!(most_starts(&w), 1, "offset {offset}");
@@ -322,18 +334,18 @@
             let leader = w.leader().expect("a leader");
             let epoch = recorded(&w)[usize::from(partition)].1;
             let victims: Vec<usize> = who.iter().map(|n| [leader, old, new][*n]).collect();
-            w.counted_keys = PARTITIONS;
+            w.counted_key_prefix = PARTITIONS;
             if delay == 0 && who[0] == 0 {
-                w.crash_at_counted_write = Some((w.counted_writes + 1, executed));
+                w.crash_at_counted_txn = Some((w.counted_txns + 1, executed));
             }
             assert!(w.move_partition(partition, new));
-            w.run(delay.max(10));
+            w.run_for(delay.max(10));
             for victim in &victims {
                 if !w.is_down(*victim) {
                     w.crash(*victim);
                 }
             }
-            w.run(pause.min(20_000));
+            w.run_for(pause.min(20_000));
             if pause <= 20_000 {
                 victims.iter().for_each(|victim| w.start(*victim));
             }
@@ -344,7 +356,7 @@
                 leads || owner.is_some_and(|n| !w.is_down(n) && granted(w, n) > 0)
             };
             assert!(
-                w.until(2 * OWNER_BOUND_MS, owned),
+                w.run_until(2 * OWNER_BOUND_MS, owned),
                 "{who:?} {executed} {pause} {delay}: {:?} without owner",
                 recorded(&w)[usize::from(partition)]
             );
@@ -371,10 +383,12 @@
     let (_, owner, _) = partition_and_other(&w, &machine);
     let leader = w.leader().expect("a leader");
     for (from, to) in [(owner, leader), (leader, owner)] {
-        w.troubles.lost_frames.insert((from, to), w.now + 60_000);
+        w.faults
+            .frames_lost_until
+            .insert((from, to), w.now + 60_000);
     }
     let incarnations: u64 = w.workers.values().map(|m| m.incarnation).sum();
-    w.run(45_000);
+    w.run_for(45_000);
     assert_eq!(granted(&w, owner), 0);
     assert_eq!(
         w.workers.values().map(|m| m.incarnation).sum::<u64>(),
@@ -388,11 +402,11 @@
     let mut w = busy(3);
     let machine = owned_machine(&w);
     let (_, owner, _) = partition_and_other(&w, &machine);
-    w.troubles
-        .cuts
-        .insert((owner, Party::Workers, Cut::Refused));
+    w.faults
+        .connection_faults
+        .insert((owner, Party::Workers, ConnectionFault::Refused));
     let incarnations: u64 = w.workers.values().map(|m| m.incarnation).sum();
-    w.run(60_000);
+    w.run_for(60_000);
     assert_eq!(
         w.workers.values().map(|m| m.incarnation).sum::<u64>(),
         incarnations,
@@ -404,8 +418,8 @@
     let mut w = busy(3);
     let machine = owned_machine(&w);
     let (_, owner, _) = partition_and_other(&w, &machine);
-    w.refused.insert(owner);
-    w.run(30_000);
+    w.refused_by_state_service.insert(owner);
+    w.run_for(30_000);
     assert!(granted(&w, owner) > 0, "the leader's grants suffice");
     ends_well(&mut w, &["run-1"], &[]);
     assert_eq!(most_starts(&w), 1);
@@ -418,9 +432,9 @@
         let mut w = busy(3);
         let machine = owned_machine(&w);
         let (_, owner, _) = partition_and_other(&w, &machine);
-        w.troubles.frozen.insert(owner, w.now + stood_ms);
-        w.run(stood_ms + 100);
-        w.run(20_000);
+        w.faults.frozen_until.insert(owner, w.now + stood_ms);
+        w.run_for(stood_ms + 100);
+        w.run_for(20_000);
         ends_well(&mut w, &["run-1"], &[]);
     }
 }
@@ -432,8 +446,8 @@
         w.seed(seed);
         for from in 0..3 {
             for to in 0..3 {
-                w.troubles
-                    .slow_frames
+                w.faults
+                    .max_frame_delay_ms
                     .insert((from, to), 1_500 + 500 * seed);
             }
         }
@@ -441,9 +455,9 @@
             let machine = name(step % MACHINES);
             let (partition, _, other) = partition_and_other(&w, &machine);
             w.move_partition(partition, other);
-            w.run(1_500);
+            w.run_for(1_500);
             if w.leader().is_none() {
-                w.until(20_000, |w| w.leader().is_some());
+                w.run_until(20_000, |w| w.leader().is_some());
             }
         }
         ends_well(&mut w, &["run-1"], &[]);
@@ -462,8 +476,8 @@
             let leader = w.leader().expect("a leader");
             w.crash(leader);
             ended.push(leader);
-            assert!(w.until(10_000, |w| w.leader().is_some()), "a leader");
-            w.run(600);
+            assert!(w.run_until(10_000, |w| w.leader().is_some()), "a leader");
+            w.run_for(600);
         }
         ended.iter().for_each(|node| w.start(*node));
         ends_well(&mut w, &["run-1"], &[]);
@@ -487,19 +501,21 @@
         let (partition, old, new) = partition_and_other(&w, &machine);
         let leader = w.leader().expect("a leader");
         // Direct orders are held for longer than a job may go on; answers to reports are not: the workers open those connections.
-        w.troubles
-            .cuts
-            .insert((leader, Party::Workers, Cut::Answers));
+        w.faults
+            .connection_faults
+            .insert((leader, Party::Workers, ConnectionFault::ResponsesLost));
         if refused {
-            w.refused.insert(leader);
-            w.troubles.lost_frames.insert((old, leader), w.now + 30_000);
+            w.refused_by_state_service.insert(leader);
+            w.faults
+                .frames_lost_until
+                .insert((old, leader), w.now + 30_000);
         }
         w.move_partition(partition, new);
-        w.run(delay);
+        w.run_for(delay);
         let answered = w.abort(old, "run-1");
         assert_eq!(answered, Some(JobPhase::Aborted));
-        w.run(40_000);
-        assert!(w.on_machines("run-1").is_empty());
+        w.run_for(40_000);
+        assert!(w.placed_tasks("run-1").is_empty());
         ends_well(&mut w, &[], &["run-1"]);
         has_no_late_start(&w);
     }
@@ -511,14 +527,14 @@
     for delay in [0, 700, 1_900, 3_300] {
         let mut w = busy_with(3, rare_reports);
         let leader = w.leader().expect("a leader");
-        w.run(delay);
-        w.troubles
-            .cuts
-            .insert((leader, Party::Workers, Cut::Answers));
+        w.run_for(delay);
+        w.faults
+            .connection_faults
+            .insert((leader, Party::Workers, ConnectionFault::ResponsesLost));
         let answered = w.abort(usize::from(leader == 0), "run-1");
         assert_eq!(answered, Some(JobPhase::Aborted));
-        w.run(40_000);
-        assert!(w.on_machines("run-1").is_empty());
+        w.run_for(40_000);
+        assert!(w.placed_tasks("run-1").is_empty());
         ends_well(&mut w, &[], &["run-1"]);
         has_no_late_start(&w);
     }
@@ -533,18 +549,18 @@
         let machine = owned_machine(&w);
         let (_, _, confirming) = partition_and_other(&w, &machine);
         let leader = w.leader().expect("a leader");
-        w.run(delay);
+        w.run_for(delay);
         let others = (0..4).filter(|n| *n != confirming);
         others.for_each(|n| {
-            w.troubles
-                .lost_frames
+            w.faults
+                .frames_lost_until
                 .insert((confirming, n), w.now + 60_000);
         });
-        w.refused.insert(leader);
+        w.refused_by_state_service.insert(leader);
         let answered = w.abort(confirming, "run-1");
         assert_eq!(answered, Some(JobPhase::Aborted));
-        w.state_down = true;
-        w.run(60_000);
+        w.state_service_down = true;
+        w.run_for(60_000);
         clean(&w);
         ends_well(&mut w, &[], &["run-1"]);
         has_no_late_start(&w);
@@ -561,20 +577,20 @@
     let mut slowest = 0;
     for number in 0..16 {
         let id = format!("run-{}", 100 + number);
-        let mut job = array(&id, 2);
+        let mut job = array_job(&id, 2);
         job.priority = wire::users::Priority::Critical;
         assert_eq!(w.submit(follower, &job, runs(8_000)), 201);
-        w.run(60 + 20 * number);
-        w.refused.insert(leader);
-        w.run(2_200);
-        w.refused.remove(&leader);
+        w.run_for(60 + 20 * number);
+        w.refused_by_state_service.insert(leader);
+        w.run_for(2_200);
+        w.refused_by_state_service.remove(&leader);
         let since = w.now;
-        assert!(w.until(30_000, |w| !w.on_machines(&id).is_empty()));
+        assert!(w.run_until(30_000, |w| !w.placed_tasks(&id).is_empty()));
         slowest = slowest.max(w.now - since);
-        w.run(2_500);
+        w.run_for(2_500);
     }
     assert!(slowest < 7_000, "{slowest} ms until the start");
-    w.heal();
+    w.end_faults();
     clean(&w);
 }
 
@@ -583,32 +599,36 @@
     for seed in 0..6 {
         let mut w = busy(3);
         w.seed(seed);
-        let to = [CopyTo::Same, CopyTo::Any, CopyTo::NextLeader][seed as usize % 3];
-        w.troubles.late_reports = Some((0.4, to));
+        let to = [
+            DuplicateTarget::SameNode,
+            DuplicateTarget::AnyNode,
+            DuplicateTarget::NextLeader,
+        ][seed as usize % 3];
+        w.faults.duplicate_reports = Some((0.4, to));
         // Short jobs of high priority make room, so that starts come all the time.
         let mut ids = vec!["run-1".to_string()];
         for number in 0..10 {
             let id = format!("run-{}", 100 + number);
-            let mut job = array(&id, 3);
+            let mut job = array_job(&id, 3);
             job.priority = wire::users::Priority::Critical;
             let node = running(&w);
             assert_eq!(w.submit(node, &job, runs(2_000)), 201);
             for machine in w.workers.values_mut() {
-                machine.lose_answers = u32::from(number % 3 == 0);
+                machine.responses_to_lose = u32::from(number % 3 == 0);
             }
             let machine = name((number + seed as usize) % MACHINES);
             let (partition, _, other) = partition_and_other(&w, &machine);
             w.move_partition(partition, other);
-            w.run(3_000);
+            w.run_for(3_000);
             if number == 5 {
                 let leader = w.leader().expect("a leader");
                 w.crash(leader);
                 w.start(leader);
-                assert!(w.until(15_000, |w| w.leader().is_some()));
+                assert!(w.run_until(15_000, |w| w.leader().is_some()));
             }
             ids.push(id);
         }
-        w.troubles.late_reports = None;
+        w.faults.duplicate_reports = None;
         let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
         ends_well(&mut w, &ids, &[]);
     }
@@ -623,14 +643,14 @@
     let incarnations: u64 = w.workers.values().map(|m| m.incarnation).sum();
     for turn in 0..40 {
         w.move_partition(partition, if turn % 2 == 0 { b } else { a });
-        w.run(3_000);
+        w.run_for(3_000);
     }
     assert_eq!(
         w.workers.values().map(|m| m.incarnation).sum::<u64>(),
         incarnations,
         "no lease ended"
     );
-    let most = w.workers.values().map(|m| m.most_redirects).max();
+    let most = w.workers.values().map(|m| m.max_redirect_count).max();
     assert!(most <= Some(4), "{most:?} redirects in a row");
     ends_well(&mut w, &["run-1"], &[]);
     assert_eq!(most_starts(&w), 1);
@@ -641,9 +661,9 @@
     let mut epochs = Vec::new();
     for _ in 0..6 {
         w.crash(flapping);
-        w.run(9_000);
+        w.run_for(9_000);
         w.start(flapping);
-        w.run(9_000);
+        w.run_for(9_000);
         epochs.push(recorded(&w).iter().map(|(_, epoch)| epoch).sum::<u64>());
     }
     // The first losses move its share; the pause before it gets one again grows.
@@ -658,7 +678,7 @@
     let leader = w.leader().expect("a leader");
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     others.iter().for_each(|n| w.crash(*n));
-    w.run(60_000);
+    w.run_for(60_000);
     assert_eq!(shares(&w).keys().collect::<Vec<_>>(), [&label(leader)]);
     others.iter().for_each(|n| w.start(*n));
     ends_well(&mut w, &["run-1"], &[]);
@@ -672,7 +692,7 @@
         let machine = owned_machine(&w);
         let (_, owner, _) = partition_and_other(&w, &machine);
         let tasks = |w: &World| {
-            let on = w.on_machines("run-1");
+            let on = w.placed_tasks("run-1");
             let there = on.into_iter().filter(|(m, _, _)| *m == machine);
             there.map(|(_, task, _)| task).collect::<BTreeSet<String>>()
         };
@@ -680,8 +700,8 @@
         assert_eq!(lost.len(), 4);
         let worker = w.workers.get_mut(&machine).expect("the machine");
         match unreached {
-            true => worker.one_way = true,
-            false => worker.cut_until = u64::MAX,
+            true => worker.receives_nothing = true,
+            false => worker.disconnected_until = u64::MAX,
         }
         if owner_goes {
             w.crash(owner);
@@ -690,14 +710,14 @@
         w.add_machine("vm-000500", "a");
         w.add_machine("vm-000501", "b");
         let elsewhere = |w: &mut World| {
-            let on = w.on_machines("run-1");
+            let on = w.placed_tasks("run-1");
             let elsewhere = on.into_iter().filter(|(m, _, _)| *m != machine);
             let there: BTreeSet<String> = elsewhere.map(|(_, task, _)| task).collect();
             lost.is_subset(&there)
         };
         // A lease after the last answer, the grant, and time to place.
         assert!(
-            w.until(32_000, elsewhere),
+            w.run_until(32_000, elsewhere),
             "unreached {unreached}, without owner {owner_goes}"
         );
         ends_well(&mut w, &["run-1"], &[]);
@@ -709,18 +729,18 @@
 #[test]
 fn an_overloaded_controllers_share_goes_to_others_and_near_equal_loads_stay_put() {
     let mut w = busy(4);
-    w.run(SPREAD_MS);
+    w.run_for(SPREAD_MS);
     let leader = w.leader().expect("a leader");
     let crowded = (0..4).find(|n| *n != leader).expect("a follower");
     let before = shares(&w)[&label(crowded)];
     w.set_crowded(crowded, true);
-    w.run(60_000);
+    w.run_for(60_000);
     let after = shares(&w)[&label(crowded)];
     assert!(after * 2 <= before, "{before} partitions, then {after}");
     (0..4).for_each(|n| w.set_crowded(n, true));
-    w.run(15_000);
+    w.run_for(15_000);
     let table = recorded(&w);
-    w.run(120_000);
+    w.run_for(120_000);
     assert_eq!(recorded(&w), table);
     assert_eq!(w.workers.values().filter(|m| m.incarnation > 1).count(), 0);
     jobs_end_well(&mut w, &["run-1"], &[]);
@@ -746,8 +766,8 @@
     for m in 0..MACHINES {
         w.add_machine(&name(m), "a");
     }
-    assert!(w.until(10_000, |w| w.leader().is_some()));
-    w.run(SPREAD_MS);
+    assert!(w.run_until(10_000, |w| w.leader().is_some()));
+    w.run_for(SPREAD_MS);
     let table = recorded(&w);
     for (partition, owner) in [(0, "n1"), (1, "n1"), (63, "n1"), (7, "n2")] {
         assert_eq!(table[partition].0, owner);
@@ -756,10 +776,10 @@
     assert!((31..=35).contains(&share), "{share} partitions at n1");
     // Its controller gone, they go elsewhere, and come back with it.
     w.crash(1);
-    w.run(30_000);
+    w.run_for(30_000);
     assert_ne!(recorded(&w)[0].0, "n1");
     w.start(1);
-    assert!(w.until(120_000, |w| recorded(w)[0].0 == "n1"));
+    assert!(w.run_until(120_000, |w| recorded(w)[0].0 == "n1"));
     clean(&w);
 }
 
@@ -780,8 +800,8 @@
     w.crash(node);
     w.start(node);
     let nobody = |w: &mut World| (0..3).all(|n| granted(w, n) == 0);
-    assert!(w.until(20_000, nobody));
-    w.run(20_000);
+    assert!(w.run_until(20_000, nobody));
+    w.run_for(20_000);
     w.set_operator(node, operator(Vec::new()));
     w.crash(node);
     w.start(node);
@@ -793,13 +813,13 @@
 fn an_unreadable_or_foreign_table_is_left_alone_and_the_leader_answers_everybody() {
     let mut w = busy(3);
     let key = partitions_key(1);
-    let mut record: PartitionsRecord = w.state.read(&key).expect("a record");
+    let mut record: PartitionsRecord = w.state_service.read(&key).expect("a record");
     record.count = 32;
-    w.state.write(&key, &record, None);
-    let version = w.state.version(&key);
+    w.state_service.write(&key, &record, None);
+    let version = w.state_service.version(&key);
     start_all(&mut w, &operator(Vec::new()));
-    w.run(60_000);
-    assert_eq!(w.state.version(&key), version);
+    w.run_for(60_000);
+    assert_eq!(w.state_service.version(&key), version);
     assert!((0..3).all(|n| granted(&w, n) == 0));
     assert_eq!(w.workers.values().filter(|m| m.incarnation > 1).count(), 0);
     clean(&w);
@@ -848,31 +868,31 @@
             }
             2 => {
                 let (node, until) = (rng.usize(..nodes), w.now + rng.u64(1_000..9_000));
-                w.troubles.frozen.insert(node, until);
+                w.faults.frozen_until.insert(node, until);
             }
             3 => {
                 let (from, to) = (rng.usize(..nodes), rng.usize(..nodes));
                 let until = w.now + rng.u64(2_000..12_000);
-                w.troubles.lost_frames.insert((from, to), until);
+                w.faults.frames_lost_until.insert((from, to), until);
             }
-            4 => w.troubles.late_reports = Some((0.2, CopyTo::Any)),
+            4 => w.faults.duplicate_reports = Some((0.2, DuplicateTarget::AnyNode)),
             5 => {
-                w.troubles.late_reports = None;
-                w.troubles.slow_frames.clear();
+                w.faults.duplicate_reports = None;
+                w.faults.max_frame_delay_ms.clear();
             }
             6 if has_late_frames => {
                 let (from, to) = (rng.usize(..nodes), rng.usize(..nodes));
-                w.troubles.slow_frames.insert((from, to), 2_500);
+                w.faults.max_frame_delay_ms.insert((from, to), 2_500);
             }
             7 => {
                 let machine = name(rng.usize(..MACHINES));
                 if let Some(worker) = w.workers.get_mut(&machine) {
-                    worker.cut_until = w.now + rng.u64(1_000..20_000);
+                    worker.disconnected_until = w.now + rng.u64(1_000..20_000);
                 }
             }
             _ => {}
         }
-        w.run(rng.u64(500..3_000));
+        w.run_for(rng.u64(500..3_000));
     }
     println!(
         "seed {seed}: {} done, {} cancelled",
@@ -897,28 +917,28 @@
 ) {
     let is_gang = rng.u8(..4) == 0;
     let job = match is_gang {
-        true => gang(id, rng.u64(2..=4)),
-        false => array(id, rng.u64(1..=20)),
+        true => gang_job(id, rng.u64(2..=4)),
+        false => array_job(id, rng.u64(1..=20)),
     };
-    let behaviour = Behaviour {
-        gang: if is_gang { job.tasks as u32 } else { 0 },
+    let behaviour = TaskBehaviour {
+        gang_size: if is_gang { job.tasks as u32 } else { 0 },
         ..runs(rng.u64(2_000..40_000))
     };
     let submit = |w: &mut World| {
         let node = running(w);
         (200..300).contains(&w.submit(node, &job, behaviour))
     };
-    assert!(w.until(60_000, submit), "{id} is accepted");
+    assert!(w.run_until(60_000, submit), "{id} is accepted");
     if rng.u8(..5) > 0 {
         return done.push(id.to_string());
     }
-    w.run(rng.u64(0..4_000));
+    w.run_for(rng.u64(0..4_000));
     let abort = |w: &mut World| {
         let node = running(w);
         w.abort(node, id).is_some()
     };
-    assert!(w.until(60_000, abort), "{id} is cancelled");
-    match w.rules.end(id) {
+    assert!(w.run_until(60_000, abort), "{id} is cancelled");
+    match w.rules.final_phase(id) {
         Some(JobPhase::Done) => done.push(id.to_string()),
         _ => cancelled.push(id.to_string()),
     }
--- a/crates/control/tests/pipelines.rs
+++ b/crates/control/tests/pipelines.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, World};
+use fakes::{array_job, gang_job, World};
 use wire::records::*;
 use wire::users::{Phase, Priority};
 
 fn started(w: &World, job: &str) -> usize {
-    let all = w.workers.values().flat_map(|m| &m.started);
+    let all = w.workers.values().flat_map(|m| &m.started_attempts);
     all.filter(|(t, _)| t.split('/').next() == Some(job))
         .count()
 }
@@ -27,11 +27,11 @@
             .collect();
         let mut status = 0;
         for _ in 0..20 {
-            status = w.submit(n % 3, &after(array(id, 1), &needs), runs(run_ms));
+            status = w.submit(n % 3, &after(array_job(id, 1), &needs), runs(run_ms));
             if status == 201 {
                 break;
             }
-            w.run(500);
+            w.run_for(500);
         }
         assert_eq!(status, 201, "{id}");
     }
@@ -41,23 +41,23 @@
 #[test]
 fn a_diamond_runs_in_order_through_a_crash_of_all() {
     let mut w = world(3, 3, 0.0);
-    assert_eq!(w.submit(0, &array("run-1", 3), runs(3_000)), 201);
+    assert_eq!(w.submit(0, &array_job("run-1", 3), runs(3_000)), 201);
     assert_eq!(
-        w.submit(1, &after(array("run-2", 12), &["run-1"]), runs(3_000)),
+        w.submit(1, &after(array_job("run-2", 12), &["run-1"]), runs(3_000)),
         201
     );
     assert_eq!(
         w.submit(
             2,
-            &after(gang("run-3", 1), &["run-1", "run-1"]),
+            &after(gang_job("run-3", 1), &["run-1", "run-1"]),
             runs(3_000)
         ),
         201
     );
-    let last = after(array("run-4", 2), &["run-2", "run-3"]);
+    let last = after(array_job("run-4", 2), &["run-2", "run-3"]);
     assert_eq!(w.submit(0, &last, runs(1_000)), 201);
     for crash_after in [2_000, 4_000, 6_000] {
-        w.run(crash_after);
+        w.run_for(crash_after);
         for i in 0..3 {
             w.crash(i);
         }
@@ -65,7 +65,7 @@
             w.start(i);
         }
     }
-    assert!(w.until(60_000, |w| w.phase(1, "run-4") == Some(Phase::Done)));
+    assert!(w.run_until(60_000, |w| w.phase(1, "run-4") == Some(Phase::Done)));
     for (job, tasks) in [("run-1", 3), ("run-2", 12), ("run-3", 1), ("run-4", 2)] {
         assert_eq!(started(&w, job), tasks, "{job}");
     }
@@ -76,10 +76,11 @@
 fn names_are_looked_up_and_a_known_id_is_answered_before_them() {
     let mut w = world(3, 2, 0.0);
     let post = |w: &mut World, job: &ciborium::Value| {
-        w.ask(0, "POST", "/submissions", wire::encode(job)).0
+        w.send_and_wait(0, "POST", "/submissions", wire::encode(job))
+            .0
     };
     let with = |id: &str, awaits: ciborium::Value| {
-        let mut job = ciborium::Value::serialized(&array(id, 1)).expect("value");
+        let mut job = ciborium::Value::serialized(&array_job(id, 1)).expect("value");
         job.as_map_mut()
             .expect("map")
             .push(("awaits".into(), awaits));
@@ -101,48 +102,52 @@
     // Never accepted, itself, and what can't be a job.
     for name in ["run-99", "run-3", "x", ""] {
         assert_eq!(
-            w.submit(1, &after(array("run-3", 1), &["run-1", name]), runs(100)),
+            w.submit(
+                1,
+                &after(array_job("run-3", 1), &["run-1", name]),
+                runs(100)
+            ),
             422,
             "{name}"
         );
         assert_eq!(w.phase(1, "run-3"), None, "nothing is kept of it");
     }
-    assert!(w.state.keys("j/run-3").is_empty());
+    assert!(w.state_service.keys("j/run-3").is_empty());
     // A known id is answered, whatever it names now; what the world knows of the job stays as first accepted.
     for name in ["run-99", "run-2"] {
-        let again = wire::encode(&after(array("run-2", 1), &[name]));
-        assert_eq!(w.ask(2, "POST", "/submissions", again).0, 200);
+        let again = wire::encode(&after(array_job("run-2", 1), &[name]));
+        assert_eq!(w.send_and_wait(2, "POST", "/submissions", again).0, 200);
     }
-    w.behaviour.insert("run-2".into(), runs(60_000));
+    w.task_behaviour.insert("run-2".into(), runs(60_000));
     // Twice is once, and a job that is over counts as well as one that is open.
-    w.behaviour.insert("run-1".into(), runs(100));
+    w.task_behaviour.insert("run-1".into(), runs(100));
     assert!(done(&mut w, "run-1", 20_000));
     assert_eq!(
         w.submit(
             2,
-            &after(array("run-4", 1), &["run-1", "run-2", "run-1"]),
+            &after(array_job("run-4", 1), &["run-1", "run-2", "run-1"]),
             runs(100)
         ),
         201
     );
-    let record: JobRecord = w.state.read(&job_key("run-4")).expect("recorded");
+    let record: JobRecord = w.state_service.read(&job_key("run-4")).expect("recorded");
     assert_eq!(record.spec.needs, ["run-1", "run-2"]);
     // Behind a cancelled job a name never accepted is still none.
     assert_eq!(w.abort(0, "run-2"), Some(Phase::Aborted));
     for names in [["run-2", "run-99"], ["run-99", "run-2"]] {
         assert_eq!(
-            w.submit(1, &after(array("run-5", 1), &names), runs(100)),
+            w.submit(1, &after(array_job("run-5", 1), &names), runs(100)),
             422
         );
     }
     // Without the store it is not known whether a name was accepted.
-    w.state_down = true;
-    w.run(100);
+    w.state_service_down = true;
+    w.run_for(100);
     assert_eq!(
-        w.submit(1, &after(array("run-5", 1), &["run-99"]), runs(100)),
+        w.submit(1, &after(array_job("run-5", 1), &["run-99"]), runs(100)),
         503
     );
-    w.state_down = false;
+    w.state_service_down = false;
     clean(&w);
 }
 
@@ -154,7 +159,7 @@
         let fan: Vec<String> = (50..60).map(|n| format!("run-{n}")).collect();
         for id in &fan {
             assert_eq!(
-                w.submit(1, &after(array(id, 1), &[&ids[2]]), runs(1_000)),
+                w.submit(1, &after(array_job(id, 1), &[&ids[2]]), runs(1_000)),
                 201
             );
         }
@@ -166,7 +171,7 @@
         // Whoever is asked, whether it has ever heard of these jobs or not, and before any cascade.
         w.crash((0..3).find(|i| *i != leader && *i != other).expect("third"));
         w.start((0..3).find(|i| *i != leader && *i != other).expect("third"));
-        w.run(200);
+        w.run_for(200);
         for node in (0..3).filter(|n| !crash || *n != leader) {
             for id in ids[1..].iter().chain(&fan) {
                 assert_eq!(
@@ -182,16 +187,16 @@
             "what is before it goes on"
         );
         // Submitted behind a cancelled job, or behind one behind it: accepted, and cancelled.
-        let late = after(array("run-80", 1), &[&ids[4], &ids[0]]);
+        let late = after(array_job("run-80", 1), &[&ids[4], &ids[0]]);
         assert_eq!(w.submit(other, &late, runs(1_000)), 201);
         assert_eq!(w.phase(other, "run-80"), Some(Phase::Aborted));
-        let open = |w: &mut World| w.state.keys(JOBS).len() <= 1;
+        let open = |w: &mut World| w.state_service.keys(JOBS).len() <= 1;
         assert!(
-            w.until(20_000, open),
+            w.run_until(20_000, open),
             "filed away: {:?}",
-            w.state.keys(JOBS)
+            w.state_service.keys(JOBS)
         );
-        w.run(40_000);
+        w.run_for(40_000);
         for id in ids[1..].iter().chain(&fan) {
             assert_eq!(w.phase(other, id), Some(Phase::Aborted));
             assert_eq!(started(&w, id), 0);
@@ -206,15 +211,15 @@
 fn what_follows_is_filed_though_the_cancelled_jobs_machine_is_silent() {
     let mut w = world(3, 1, 0.0);
     let ids = chain(&mut w, 1, 5, 60_000);
-    w.run(3_000);
-    assert_eq!(w.on_machines(&ids[0]).len(), 1);
+    w.run_for(3_000);
+    assert_eq!(w.placed_tasks(&ids[0]).len(), 1);
     let now = w.now;
     for m in w.workers.values_mut() {
-        m.cut_until = now + 60_000;
+        m.disconnected_until = now + 60_000;
     }
     assert_eq!(w.abort(0, &ids[0]), Some(Phase::Aborted));
-    assert!(w.until(5_000, |w| w.state.keys(JOBS).len() == 1));
-    assert!(w.until(60_000, |w| w.state.keys(JOBS).is_empty()));
+    assert!(w.run_until(5_000, |w| w.state_service.keys(JOBS).len() == 1));
+    assert!(w.run_until(60_000, |w| w.state_service.keys(JOBS).is_empty()));
     clean(&w);
 }
 
@@ -223,21 +228,25 @@
     let mut outcomes = std::collections::BTreeSet::new();
     for delay in (1_500..2_600).step_by(50) {
         let mut w = world(3, 1, 0.0);
-        assert_eq!(w.submit(0, &array("run-1", 1), runs(1_500)), 201);
+        assert_eq!(w.submit(0, &array_job("run-1", 1), runs(1_500)), 201);
         assert_eq!(
-            w.submit(1, &after(array("run-2", 1), &["run-1"]), runs(500)),
+            w.submit(1, &after(array_job("run-2", 1), &["run-1"]), runs(500)),
             201
         );
-        w.run(delay);
+        w.run_for(delay);
         let answer = w.abort(follower(&w), "run-1").expect("answered");
         // Submitted in the same moment, behind both.
         assert_eq!(
-            w.submit(2, &after(array("run-3", 1), &["run-1", "run-2"]), runs(500)),
+            w.submit(
+                2,
+                &after(array_job("run-3", 1), &["run-1", "run-2"]),
+                runs(500)
+            ),
             201
         );
         let ends = [Some(Phase::Done), Some(Phase::Aborted)];
         assert!(
-            w.until(20_000, |w| ends.contains(&w.phase(0, "run-3"))),
+            w.run_until(20_000, |w| ends.contains(&w.phase(0, "run-3"))),
             "{delay}"
         );
         for id in ["run-1", "run-2", "run-3"] {
@@ -255,7 +264,7 @@
     let ids = chain(&mut w, 1_000, 220, 600_000);
     let wide: Vec<&str> = ids[..100].iter().map(String::as_str).collect();
     assert_eq!(
-        w.submit(0, &after(array("run-7", 1), &wide), runs(100)),
+        w.submit(0, &after(array_job("run-7", 1), &wide), runs(100)),
         201
     );
     // A node that has just started knows none of them: each question takes it further.
@@ -263,15 +272,15 @@
     w.crash(fresh);
     w.start(fresh);
     let last = ids[219].clone();
-    assert!(w.until(60_000, |w| w.phase(fresh, &last) == Some(Phase::Queued)));
-    assert!(w.until(60_000, |w| w.phase(fresh, "run-7") == Some(Phase::Queued)));
+    assert!(w.run_until(60_000, |w| w.phase(fresh, &last) == Some(Phase::Queued)));
+    assert!(w.run_until(60_000, |w| w.phase(fresh, "run-7") == Some(Phase::Queued)));
     assert_eq!(w.abort(fresh, &ids[0]), Some(Phase::Aborted));
     for node in 0..3 {
-        assert!(w.until(10_000, |w| w.phase(node, &last) == Some(Phase::Aborted)));
+        assert!(w.run_until(10_000, |w| w.phase(node, &last) == Some(Phase::Aborted)));
     }
     // The rest follows, within the rate of the state service.
-    assert!(w.until(60_000, |w| w.state.keys(JOBS).is_empty()));
-    assert_eq!(w.state.keys(FINALS).len(), 221);
+    assert!(w.run_until(60_000, |w| w.state_service.keys(JOBS).is_empty()));
+    assert_eq!(w.state_service.keys(FINALS).len(), 221);
     clean(&w);
 }
 
@@ -279,13 +288,14 @@
 #[test]
 fn what_is_found_nowhere_is_waited_for() {
     let mut w = world(1, 1, 0.0);
-    let record = JobRecord::new(after(array("run-2", 1), &["run-1"]), 1_700_000_000_000);
+    let record = JobRecord::new(after(array_job("run-2", 1), &["run-1"]), 1_700_000_000_000);
     w.jobs.insert("run-2".into(), record.spec.clone());
-    w.behaviour.insert("run-2".into(), runs(500));
-    w.state.write(&job_key("run-2"), &record, None);
-    w.run(10_000);
+    w.task_behaviour.insert("run-2".into(), runs(500));
+    w.state_service.write(&job_key("run-2"), &record, None);
+    w.run_for(10_000);
     assert_eq!(started(&w, "run-2"), 0);
-    w.state.write(&final_key("run-1"), &Final::Done, None);
+    w.state_service
+        .write(&final_key("run-1"), &Final::Done, None);
     assert!(done(&mut w, "run-2", 10_000));
     clean(&w);
 }
@@ -293,16 +303,16 @@
 #[test]
 fn a_job_that_waits_takes_nothing_of_its_teams_limit() {
     let mut w = world(3, 2, 4.0);
-    assert_eq!(w.submit(0, &array("run-1", 1), runs(20_000)), 201);
+    assert_eq!(w.submit(0, &array_job("run-1", 1), runs(20_000)), 201);
     assert_eq!(
-        w.submit(0, &after(gang("run-2", 1), &["run-1"]), runs(1_000)),
+        w.submit(0, &after(gang_job("run-2", 1), &["run-1"]), runs(1_000)),
         201
     );
-    w.run(2_000);
-    assert_eq!(w.submit(0, &array("run-3", 3), runs(2_000)), 201);
-    assert!(w.until(12_000, |w| w.phase(0, "run-3") == Some(Phase::Done)));
+    w.run_for(2_000);
+    assert_eq!(w.submit(0, &array_job("run-3", 3), runs(2_000)), 201);
+    assert!(w.run_until(12_000, |w| w.phase(0, "run-3") == Some(Phase::Done)));
     assert_eq!(w.phase(0, "run-2"), Some(Phase::Queued));
-    assert!(w.until(40_000, |w| w.phase(0, "run-2") == Some(Phase::Done)));
+    assert!(w.run_until(40_000, |w| w.phase(0, "run-2") == Some(Phase::Done)));
     clean(&w);
 }
 
@@ -311,28 +321,28 @@
 fn deadline_and_priority_of_the_last_job_reach_back() {
     let mut w = world(3, 1, 0.0);
     // The machine has four places; they are taken for a while.
-    assert_eq!(w.submit(0, &array("run-1", 4), runs(9_000)), 201);
-    w.run(3_000);
+    assert_eq!(w.submit(0, &array_job("run-1", 4), runs(9_000)), 201);
+    w.run_for(3_000);
     let low = |id: &str| wire::users::Submission {
         priority: Priority::Low,
-        ..array(id, 4)
+        ..array_job(id, 4)
     };
-    assert_eq!(w.submit(0, &array("run-2", 4), runs(5_000)), 201);
+    assert_eq!(w.submit(0, &array_job("run-2", 4), runs(5_000)), 201);
     assert_eq!(w.submit(0, &low("run-3"), runs(5_000)), 201);
     let last = wire::users::Submission {
         priority: Priority::Urgent,
         due_s: Some(60.0),
-        ..after(array("run-4", 1), &["run-3"])
+        ..after(array_job("run-4", 1), &["run-3"])
     };
     assert_eq!(w.submit(0, &last, runs(1_000)), 201);
-    assert!(w.until(30_000, |w| w.phase(0, "run-3") == Some(Phase::Done)));
+    assert!(w.run_until(30_000, |w| w.phase(0, "run-3") == Some(Phase::Done)));
     assert_ne!(
         w.phase(0, "run-2"),
         Some(Phase::Done),
         "it went behind the pipeline"
     );
-    assert!(w.until(30_000, |w| w.phase(0, "run-4") == Some(Phase::Done)));
-    assert!(w.until(30_000, |w| w.phase(0, "run-2") == Some(Phase::Done)));
+    assert!(w.run_until(30_000, |w| w.phase(0, "run-4") == Some(Phase::Done)));
+    assert!(w.run_until(30_000, |w| w.phase(0, "run-2") == Some(Phase::Done)));
     clean(&w);
 }
 
@@ -342,16 +352,16 @@
     let mut outcomes = std::collections::BTreeSet::new();
     for delay in (1_400..2_400).step_by(100) {
         let mut w = world(3, 2, 0.0);
-        assert_eq!(w.submit(0, &array("run-1", 2), runs(1_500)), 201);
+        assert_eq!(w.submit(0, &array_job("run-1", 2), runs(1_500)), 201);
         assert_eq!(
-            w.submit(1, &after(array("run-2", 9), &["run-1"]), runs(500)),
+            w.submit(1, &after(array_job("run-2", 9), &["run-1"]), runs(500)),
             201
         );
         assert_eq!(
-            w.submit(2, &after(gang("run-3", 1), &["run-2"]), runs(500)),
+            w.submit(2, &after(gang_job("run-3", 1), &["run-2"]), runs(500)),
             201
         );
-        w.run(delay);
+        w.run_for(delay);
         let (leader, other) = (w.leader().expect("leader"), follower(&w));
         w.crash(leader);
         let answer = w.abort(other, "run-1").expect("answered");
@@ -359,7 +369,7 @@
         let over = |w: &mut World| {
             [Some(Phase::Done), Some(Phase::Aborted)].contains(&w.phase(leader, "run-3"))
         };
-        assert!(w.until(60_000, over), "{delay}");
+        assert!(w.run_until(60_000, over), "{delay}");
         for id in ["run-1", "run-2", "run-3"] {
             assert_eq!(w.phase(other, id), Some(answer), "{id} {delay}");
         }
--- a/crates/control/tests/question_floods.rs
+++ b/crates/control/tests/question_floods.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, World};
+use fakes::{array_job, World};
 use std::collections::{BTreeMap, BTreeSet};
 use wire::records::*;
 use wire::users::Submission;
@@ -94,7 +94,7 @@
     }
 
     fn submit(&mut self, w: &mut World, node: usize, job: &Submission, run_ms: u64) {
-        w.describe(job, runs(run_ms));
+        w.upload_job(job, runs(run_ms));
         self.change(w, node, "/submissions", wire::encode(job));
     }
 
@@ -111,8 +111,8 @@
                 let id = self.ids[self.random.usize(..self.ids.len())].clone();
                 let target = format!("/submissions/{id}");
                 let request = match self.cancels && n % 2 == 1 {
-                    true => w.send(node, "POST", &format!("{target}/abort"), vec![]),
-                    false => w.send(node, "GET", &target, vec![]),
+                    true => w.send_user_request(node, "POST", &format!("{target}/abort"), vec![]),
+                    false => w.send_user_request(node, "GET", &target, vec![]),
                 };
                 let sent = w.now;
                 self.asked += 1;
@@ -129,7 +129,7 @@
                     change.node = (change.node + 1) % w.node_count();
                 }
                 let (target, body) = (&change.target, change.body.clone());
-                change.request = Some(w.send(change.node, "POST", target, body));
+                change.request = Some(w.send_user_request(change.node, "POST", target, body));
                 change.again_at = w.now + 5 * RETRY_MS;
             }
         }
@@ -137,7 +137,7 @@
 
     fn read_answers(&mut self, w: &mut World) {
         for q in std::mem::take(&mut self.questions) {
-            match w.answer_at(q.request) {
+            match w.take_response_time(q.request) {
                 Some((at, status)) => {
                     *self.answers.entry(status).or_default() += 1;
                     let refused = !matches!(status, 200 | 404);
@@ -151,7 +151,7 @@
             }
         }
         for mut change in std::mem::take(&mut self.changes) {
-            let answer = change.request.and_then(|r| w.answer_at(r));
+            let answer = change.request.and_then(|r| w.take_response_time(r));
             match answer {
                 Some((at, 200 | 201)) => {
                     self.changes_done += 1;
@@ -175,7 +175,7 @@
         while w.now < until {
             self.ask_all_nodes(w);
             self.send_changes(w);
-            w.run(BATCH_MS);
+            w.run_for(BATCH_MS);
             self.read_answers(w);
         }
     }
@@ -188,8 +188,8 @@
             for node in 0..w.node_count() {
                 let n = first + s * 10 + node as u64;
                 let (short, long) = (format!("run-{n}1"), format!("run-{n}2"));
-                self.submit(w, node, &array(&short, 1), 500);
-                self.submit(w, node, &array(&long, 1), 600_000);
+                self.submit(w, node, &array_job(&short, 1), 500);
+                self.submit(w, node, &array_job(&long, 1), 600_000);
                 if s + 10 <= seconds {
                     early.push(short);
                 }
@@ -202,7 +202,8 @@
         }
         let waiting = self.changes.iter().filter(|c| w.now > c.began + 5_000);
         assert_eq!(waiting.count(), 0, "submissions or cancellations starve");
-        let open = |id: &&String| w.state.read::<Final>(&final_key(id)) != Some(Final::Done);
+        let open =
+            |id: &&String| w.state_service.read::<Final>(&final_key(id)) != Some(Final::Done);
         let open: Vec<&String> = early.iter().filter(open).collect();
         assert!(open.is_empty(), "submitted long ago, not done: {open:?}");
     }
@@ -217,9 +218,9 @@
     for id in ids {
         let spec = Submission {
             types: Some(vec!["none".into()]),
-            ..array(id, 1)
+            ..array_job(id, 1)
         };
-        w.describe(&spec, runs(1_000));
+        w.upload_job(&spec, runs(1_000));
         record_open_job(w, spec);
     }
 }
@@ -231,19 +232,22 @@
     let mut w = world(3, 6, 0.0);
     let open = ids(100_000, 2_400);
     record_open_jobs(&mut w, &open);
-    w.run(3_000);
+    w.run_for(3_000);
     // Each job every 5 s would be 160 questions a second at each node.
     let mut flood = Flood::new(open.clone(), 8 * 160);
-    let before = w.state.counts;
+    let before = w.state_service.request_counts;
     flood.play_with_changes(&mut w, 16, 500_000);
-    let spent = w.state.counts.since(&before);
+    let spent = w.state_service.request_counts.since(&before);
     let answered = flood.count(200);
     assert!(
-        spent.questions() * 10 <= answered,
+        spent.reads_and_comparisons() * 10 <= answered,
         "{spent:?} for {answered} answers"
     );
     flood.has_answered_each_of(&open);
-    assert_eq!(w.state.too_frequent, 0, "all keep within the rate");
+    assert_eq!(
+        w.state_service.throttled_requests, 0,
+        "all keep within the rate"
+    );
     assert_eq!((flood.unanswered, flood.late_refusals), (0, 0));
     assert!(
         flood.slowest_change_ms < 2_000,
@@ -260,15 +264,15 @@
     let mut w = world(3, 6, 0.0);
     let mut flood = Flood::new(ids(900_000, 5_000), 400);
     flood.cancels = true;
-    let before = w.state.counts;
+    let before = w.state_service.request_counts;
     let leader = w.leader();
     flood.play_with_changes(&mut w, 16, 500_000);
-    let spent = w.state.counts.since(&before);
+    let spent = w.state_service.request_counts.since(&before);
     let answered = flood.count(404);
     assert_eq!(flood.count(200), 0);
     assert!(answered > 2_000, "{:?}", flood.answers);
     assert!(
-        spent.questions() * 5 <= answered,
+        spent.reads_and_comparisons() * 5 <= answered,
         "{spent:?} for {answered} answers"
     );
     assert_eq!(w.leader(), leader);
@@ -285,7 +289,7 @@
 fn mixed_flood(w: &mut World) -> (Vec<String>, Flood) {
     let open = ids(100_000, 600);
     record_open_jobs(w, &open);
-    w.run(2_000);
+    w.run_for(2_000);
     let flood = Flood::new([open.clone(), ids(900_000, 600)].concat(), 400);
     (open, flood)
 }
@@ -322,10 +326,13 @@
     });
     w.seed(3);
     let (open, mut flood) = mixed_flood(&mut w);
-    w.troubles.slow_state = (0..3).map(|n| (n, 400)).collect();
+    w.faults.max_state_response_delay_ms = (0..3).map(|n| (n, 400)).collect();
     flood.play_with_changes(&mut w, 20, 500_000);
     flood.has_answered_each_of(&open);
-    assert_eq!(w.state.too_frequent, 0, "all keep within the rate");
+    assert_eq!(
+        w.state_service.throttled_requests, 0,
+        "all keep within the rate"
+    );
     assert!(
         flood.slowest_change_ms < 5_000,
         "{}",
@@ -341,11 +348,11 @@
         let (_, mut flood) = mixed_flood(&mut w);
         let leader = w.leader().expect("leader");
         let asleep = if leads { leader } else { follower(&w) };
-        w.troubles.frozen.insert(asleep, w.now + 8_000);
+        w.faults.frozen_until.insert(asleep, w.now + 8_000);
         flood.play(&mut w, 8_100);
         // What it answers to the backlog comes too late for those who asked; those who ask now are answered.
         let mut flood = Flood::new(flood.ids, 400);
-        let job = array("run-1", 1);
+        let job = array_job("run-1", 1);
         flood.submit(&mut w, asleep, &job, 500);
         flood.play(&mut w, 1_500);
         assert_eq!(flood.changes_done, 1, "leader: {leads}");
@@ -366,15 +373,15 @@
     let mut w = world(3, 2, 0.0);
     let leader = w.leader().expect("leader");
     let term = w.term_of(leader);
-    assert_eq!(w.submit(leader, &array("run-1", 2), runs(1_000)), 201);
+    assert_eq!(w.submit(leader, &array_job("run-1", 2), runs(1_000)), 201);
     for _ in 0..800 {
         for node in 0..3 {
-            w.send(node, "GET", "/submissions/run-1", vec![]);
+            w.send_user_request(node, "GET", "/submissions/run-1", vec![]);
         }
-        w.run(10);
+        w.run_for(10);
     }
     assert_eq!((w.leader(), w.term_of(leader)), (Some(leader), term));
-    let end = w.state.read::<Final>(&final_key("run-1"));
+    let end = w.state_service.read::<Final>(&final_key("run-1"));
     assert_eq!(end, Some(Final::Done), "started and ended meanwhile");
     clean(&w);
 }
--- a/crates/control/tests/scenarios.rs
+++ b/crates/control/tests/scenarios.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, Behaviour, World};
+use fakes::{array_job, gang_job, TaskBehaviour, World};
 use wire::records::*;
 use wire::users::{Phase, Shape};
 use wire::workers::{EndCause, HeartbeatResponse, TaskPhase, TaskStatus};
@@ -11,7 +11,7 @@
 #[test]
 fn a_job_runs_and_stays_done_for_every_node_and_after_every_restart() {
     let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-1", 3), runs(2_000)), 201);
+    assert_eq!(w.submit(0, &array_job("run-1", 3), runs(2_000)), 201);
     assert_eq!(w.phase(1, "run-1"), Some(Phase::Queued));
     assert!(done(&mut w, "run-1", 15_000));
     for i in 0..3 {
@@ -20,42 +20,45 @@
     for i in 0..3 {
         w.start(i);
     }
-    w.run(5_000);
+    w.run_for(5_000);
     for i in 0..3 {
         assert_eq!(w.phase(i, "run-1"), Some(Phase::Done));
-        assert_eq!(w.submit(i, &array("run-1", 3), runs(2_000)), 200);
+        assert_eq!(w.submit(i, &array_job("run-1", 3), runs(2_000)), 200);
     }
-    assert!(w.on_machines("run-1").is_empty(), "done tasks stay done");
+    assert!(w.placed_tasks("run-1").is_empty(), "done tasks stay done");
     clean(&w);
 }
 
 #[test]
 fn answers_follow_the_protocol_before_and_after_a_job_is_known() {
     let mut w = world(1, 1, 4.0);
-    let bad = |w: &mut World, body: Vec<u8>| w.ask(0, "POST", "/submissions", body).0;
+    let bad = |w: &mut World, body: Vec<u8>| w.send_and_wait(0, "POST", "/submissions", body).0;
     assert_eq!(bad(&mut w, b"not cbor".to_vec()), 400);
-    let mut nan = array("run-2", 1);
+    let mut nan = array_job("run-2", 1);
     nan.cpus = f64::NAN;
     assert_eq!(bad(&mut w, wire::encode(&nan)), 400);
-    let mut none = array("run-2", 0);
+    let mut none = array_job("run-2", 0);
     assert_eq!(bad(&mut w, wire::encode(&none)), 400);
     none.tasks = 100_001;
     assert_eq!(bad(&mut w, wire::encode(&none)), 400);
-    let mut huge = array("run-3", 1);
+    let mut huge = array_job("run-3", 1);
     huge.gpus = 5.0;
     assert_eq!(bad(&mut w, wire::encode(&huge)), 422);
-    let mut stranger = array("run-3", 1);
+    let mut stranger = array_job("run-3", 1);
     stranger.team = "nobody".into();
     assert_eq!(bad(&mut w, wire::encode(&stranger)), 422);
-    assert_eq!(bad(&mut w, wire::encode(&gang("run-3", 2))), 422);
+    assert_eq!(bad(&mut w, wire::encode(&gang_job("run-3", 2))), 422);
     assert_eq!(w.phase(0, "run-3"), None);
-    assert_eq!(w.ask(0, "GET", "/submissions/run-3", vec![]).0, 404);
+    assert_eq!(
+        w.send_and_wait(0, "GET", "/submissions/run-3", vec![]).0,
+        404
+    );
     // Once an id is known, whatever comes under it is answered 200 and changes nothing.
-    assert_eq!(w.submit(0, &array("run-2", 2), runs(60_000)), 201);
-    for body in [wire::encode(&nan), wire::encode(&array("run-2", 9))] {
-        assert_eq!(w.ask(0, "POST", "/submissions", body).0, 200);
+    assert_eq!(w.submit(0, &array_job("run-2", 2), runs(60_000)), 201);
+    for body in [wire::encode(&nan), wire::encode(&array_job("run-2", 9))] {
+        assert_eq!(w.send_and_wait(0, "POST", "/submissions", body).0, 200);
     }
-    let record: JobRecord = w.state.read(&job_key("run-2")).expect("recorded");
+    let record: JobRecord = w.state_service.read(&job_key("run-2")).expect("recorded");
     assert_eq!(record.spec.tasks, 2);
 }
 
@@ -63,16 +66,16 @@
 fn without_the_state_service_users_are_refused_at_once_or_served_through_a_peer() {
     let mut w = world(3, 1, 0.0);
     let lonely = follower(&w);
-    w.refused.insert(lonely);
-    w.run(3_000);
+    w.refused_by_state_service.insert(lonely);
+    w.run_for(3_000);
     let before = w.now;
-    assert_eq!(w.submit(lonely, &array("run-4", 1), runs(1_000)), 201);
+    assert_eq!(w.submit(lonely, &array_job("run-4", 1), runs(1_000)), 201);
     assert!(w.now - before < 500, "through a peer, at once");
-    w.refused.clear();
-    w.state_down = true;
-    w.run(3_000);
+    w.refused_by_state_service.clear();
+    w.state_service_down = true;
+    w.run_for(3_000);
     let before = w.now;
-    assert_eq!(w.submit(0, &array("run-5", 1), runs(1_000)), 503);
+    assert_eq!(w.submit(0, &array_job("run-5", 1), runs(1_000)), 503);
     assert!(w.now - before < 100, "refused at once");
     clean(&w);
 }
@@ -84,18 +87,18 @@
         w.leader().expect("leader"),
         w.leader().and_then(|l| w.term_of(l)),
     );
-    assert_eq!(w.submit(old, &array("run-6", 2), runs(20_000)), 201);
-    w.run(4_000);
-    let placed = w.on_machines("run-6");
+    assert_eq!(w.submit(old, &array_job("run-6", 2), runs(20_000)), 201);
+    w.run_for(4_000);
+    let placed = w.placed_tasks("run-6");
     assert_eq!(placed.len(), 2);
     w.crash(old);
     // Its peers see its connections refused and do not wait for its lease of 3 s.
-    assert!(w.until(1_500, |w| w.leader().is_some_and(|l| l != old)));
+    assert!(w.run_until(1_500, |w| w.leader().is_some_and(|l| l != old)));
     assert!(w.leader().and_then(|l| w.term_of(l)) > term);
-    w.run(5_000);
-    assert_eq!(w.on_machines("run-6"), placed, "its tasks run on");
+    w.run_for(5_000);
+    assert_eq!(w.placed_tasks("run-6"), placed, "its tasks run on");
     let other = w.leader().expect("leader");
-    assert!(w.until(30_000, |w| w.phase(other, "run-6") == Some(Phase::Done)));
+    assert!(w.run_until(30_000, |w| w.phase(other, "run-6") == Some(Phase::Done)));
     clean(&w);
 }
 
@@ -104,16 +107,16 @@
     let mut w = world(3, 2, 0.0);
     let old = w.leader().expect("leader");
     // Its transactions reach the state service only after somebody else leads.
-    w.late_txns.insert(old, 12_000);
+    w.txn_delay_ms.insert(old, 12_000);
     let other = follower(&w);
-    assert_eq!(w.submit(other, &array("run-7", 2), runs(3_000)), 201);
-    w.run(1_000);
-    w.refused.insert(old);
-    assert!(w.until(10_000, |w| w.leader().is_some_and(|l| l != old)));
-    assert!(w.until(20_000, |w| w.phase(other, "run-7") == Some(Phase::Done)));
-    w.run(15_000);
+    assert_eq!(w.submit(other, &array_job("run-7", 2), runs(3_000)), 201);
+    w.run_for(1_000);
+    w.refused_by_state_service.insert(old);
+    assert!(w.run_until(10_000, |w| w.leader().is_some_and(|l| l != old)));
+    assert!(w.run_until(20_000, |w| w.phase(other, "run-7") == Some(Phase::Done)));
+    w.run_for(15_000);
     assert_eq!(
-        w.state.keys(JOBS),
+        w.state_service.keys(JOBS),
         Vec::<String>::new(),
         "nothing came back"
     );
@@ -124,10 +127,13 @@
 #[test]
 fn a_lost_start_is_sent_again_and_runs_once() {
     let mut w = world(1, 1, 0.0);
-    w.workers.get_mut("vm-000000").expect("worker").lose_answers = 2;
-    assert_eq!(w.submit(0, &array("run-8", 1), runs(3_000)), 201);
+    w.workers
+        .get_mut("vm-000000")
+        .expect("worker")
+        .responses_to_lose = 2;
+    assert_eq!(w.submit(0, &array_job("run-8", 1), runs(3_000)), 201);
     assert!(done(&mut w, "run-8", 40_000));
-    let started = &w.workers["vm-000000"].started;
+    let started = &w.workers["vm-000000"].started_attempts;
     assert_eq!(started.len(), 1, "{started:?}");
     clean(&w);
 }
@@ -135,17 +141,17 @@
 #[test]
 fn an_abort_holds_against_running_tasks_and_later_completions() {
     let mut w = world(3, 1, 0.0);
-    assert_eq!(w.submit(0, &array("run-9", 4), runs(6_000)), 201);
-    w.run(4_000);
+    assert_eq!(w.submit(0, &array_job("run-9", 4), runs(6_000)), 201);
+    w.run_for(4_000);
     assert_eq!(w.abort(1, "run-9"), Some(Phase::Aborted));
-    assert!(w.until(6_000, |w| w.on_machines("run-9").is_empty()));
-    w.run(10_000);
+    assert!(w.run_until(6_000, |w| w.placed_tasks("run-9").is_empty()));
+    w.run_for(10_000);
     for i in 0..3 {
         assert_eq!(w.phase(i, "run-9"), Some(Phase::Aborted));
         assert_eq!(w.abort(i, "run-9"), Some(Phase::Aborted));
     }
     // The other way round: done first, then cancelled.
-    assert_eq!(w.submit(0, &array("run-10", 1), runs(500)), 201);
+    assert_eq!(w.submit(0, &array_job("run-10", 1), runs(500)), 201);
     assert!(done(&mut w, "run-10", 10_000));
     assert_eq!(w.abort(2, "run-10"), Some(Phase::Done));
     clean(&w);
@@ -156,30 +162,30 @@
 fn an_abort_while_nobody_leads_is_carried_out_by_the_next_leader() {
     let mut w = world(3, 1, 0.0);
     let (old, other) = (w.leader().expect("leader"), follower(&w));
-    assert_eq!(w.submit(other, &array("run-11", 2), runs(60_000)), 201);
-    w.run(4_000);
+    assert_eq!(w.submit(other, &array_job("run-11", 2), runs(60_000)), 201);
+    w.run_for(4_000);
     w.crash(old);
     assert!(w.leader().is_none(), "nobody leads yet");
     assert_eq!(w.abort(other, "run-11"), Some(Phase::Aborted));
-    assert!(w.until(20_000, |w| w.on_machines("run-11").is_empty()));
+    assert!(w.run_until(20_000, |w| w.placed_tasks("run-11").is_empty()));
     clean(&w);
 }
 
 #[test]
 fn all_nodes_restart_and_tasks_run_on_without_a_second_start() {
     let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-12", 6), runs(15_000)), 201);
-    w.run(4_000);
-    let placed = w.on_machines("run-12");
+    assert_eq!(w.submit(0, &array_job("run-12", 6), runs(15_000)), 201);
+    w.run_for(4_000);
+    let placed = w.placed_tasks("run-12");
     for i in 0..3 {
         w.crash(i);
     }
-    w.run(3_000);
+    w.run_for(3_000);
     for i in 0..3 {
         w.start(i);
     }
-    w.run(5_000);
-    assert_eq!(w.on_machines("run-12"), placed);
+    w.run_for(5_000);
+    assert_eq!(w.placed_tasks("run-12"), placed);
     assert!(done(&mut w, "run-12", 30_000));
     clean(&w);
 }
@@ -187,18 +193,18 @@
 #[test]
 fn an_outage_of_the_state_service_longer_than_a_lease_costs_no_task() {
     let mut w = world(3, 1, 0.0);
-    assert_eq!(w.submit(0, &array("run-13", 3), runs(80_000)), 201);
-    w.run(4_000);
-    let placed = w.on_machines("run-13");
+    assert_eq!(w.submit(0, &array_job("run-13", 3), runs(80_000)), 201);
+    w.run_for(4_000);
+    let placed = w.placed_tasks("run-13");
     assert_eq!(placed.len(), 3);
-    w.state_down = true;
+    w.state_service_down = true;
     // Longer than `cancel_s`: peers vouch that no cancellation was confirmed meanwhile.
-    w.run(60_000);
-    assert_eq!(w.on_machines("run-13"), placed, "kept alive");
-    w.state_down = false;
-    w.state.refresh_leases(w.now);
+    w.run_for(60_000);
+    assert_eq!(w.placed_tasks("run-13"), placed, "kept alive");
+    w.state_service_down = false;
+    w.state_service.renew_all_leases(w.now);
     assert!(done(&mut w, "run-13", 40_000));
-    let started = w.workers["vm-000000"].started.len();
+    let started = w.workers["vm-000000"].started_attempts.len();
     assert_eq!(started, 3, "each task started once");
     clean(&w);
 }
@@ -208,19 +214,19 @@
     let mut w = world(3, 2, 0.0);
     let (old, other) = (w.leader().expect("leader"), follower(&w));
     for m in w.workers.values_mut() {
-        m.lose_answers = 1;
+        m.responses_to_lose = 1;
     }
-    assert_eq!(w.submit(other, &array("run-26", 3), runs(5_000)), 201);
+    assert_eq!(w.submit(other, &array_job("run-26", 3), runs(5_000)), 201);
     let recorded = |w: &mut World| {
         let parts = parts(w);
         let mine = parts.iter().filter(|e| e.job == "run-26");
         mine.map(|e| e.chunk.at.len()).max() == Some(3)
     };
-    assert!(w.until(2_000, recorded));
-    assert!(w.on_machines("run-26").is_empty(), "recorded, not started");
+    assert!(w.run_until(2_000, recorded));
+    assert!(w.placed_tasks("run-26").is_empty(), "recorded, not started");
     w.crash(old);
-    assert!(w.until(40_000, |w| w.phase(other, "run-26") == Some(Phase::Done)));
-    let started: usize = w.workers.values().map(|m| m.started.len()).sum();
+    assert!(w.run_until(40_000, |w| w.phase(other, "run-26") == Some(Phase::Done)));
+    let started: usize = w.workers.values().map(|m| m.started_attempts.len()).sum();
     assert_eq!(started, 3);
     clean(&w);
 }
@@ -228,12 +234,12 @@
 #[test]
 fn a_late_report_proves_nothing() {
     let mut w = world(1, 1, 0.0);
-    assert_eq!(w.submit(0, &array("run-27", 1), runs(8_000)), 201);
-    w.run(4_000);
-    let (machine, task, attempt) = w.on_machines("run-27")[0].clone();
+    assert_eq!(w.submit(0, &array_job("run-27", 1), runs(8_000)), 201);
+    w.run_for(4_000);
+    let (machine, task, attempt) = w.placed_tasks("run-27")[0].clone();
     let now = w.now;
     let worker = w.workers.get_mut(&machine).expect("worker");
-    let mut old = worker.report(fakes::KIND, now);
+    let mut old = worker.report(fakes::MACHINE_TYPE, now);
     old.seq = 1;
     for (tasks, cause) in [(1, EndCause::Done), (0, EndCause::Error)] {
         old.tasks = vec![
@@ -246,35 +252,35 @@
             };
             tasks
         ];
-        let (status, body) = w.ask(0, "POST", "/v1/report", wire::encode(&old));
+        let (status, body) = w.send_and_wait(0, "POST", "/v1/report", wire::encode(&old));
         let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
         assert_eq!((status, answer.orders.len()), (200, 0));
     }
-    w.run(1_000);
+    w.run_for(1_000);
     assert_ne!(w.phase(0, "run-27"), Some(Phase::Done));
-    assert_eq!(w.on_machines("run-27").len(), 1, "neither done nor lost");
+    assert_eq!(w.placed_tasks("run-27").len(), 1, "neither done nor lost");
     assert!(done(&mut w, "run-27", 20_000));
-    assert_eq!(w.workers[&machine].started.len(), 1);
+    assert_eq!(w.workers[&machine].started_attempts.len(), 1);
     clean(&w);
 }
 
 #[test]
 fn a_gang_under_notice_stops_in_order_and_starts_anew() {
     let mut w = world(1, 6, 0.0);
-    let b = Behaviour {
-        gang: 2,
-        save_ms: 1_000,
+    let b = TaskBehaviour {
+        gang_size: 2,
+        checkpoint_write_ms: 1_000,
         ..runs(20_000)
     };
-    let mut job = gang("run-28", 2);
+    let mut job = gang_job("run-28", 2);
     (job.checkpoint_s, job.save_s) = (5.0, 1.0);
     assert_eq!(w.submit(0, &job, b), 201);
-    w.run(6_000);
-    let first = w.on_machines("run-28");
+    w.run_for(6_000);
+    let first = w.placed_tasks("run-28");
     assert_eq!(first.len(), 2);
     let until = w.now + 12_000;
     let machine = w.workers.get_mut(&first[0].0).expect("worker");
-    machine.taken_at = Some(until);
+    machine.reclaim_at = Some(until);
     let saving = |w: &World, place: &(String, String, u64)| {
         let task = w
             .workers
@@ -284,7 +290,7 @@
     };
     let mut answered = [None, None];
     for _ in 0..600 {
-        w.run(10);
+        w.run_for(10);
         for i in 0..2 {
             if answered[i].is_none() && saving(&w, &first[i]) {
                 answered[i] = Some(w.now);
@@ -296,7 +302,7 @@
     };
     assert!(a.abs_diff(b) < 8_000, "within gang_peer_s");
     assert!(done(&mut w, "run-28", 90_000));
-    let attempts = w.workers.values().flat_map(|m| m.started.iter());
+    let attempts = w.workers.values().flat_map(|m| m.started_attempts.iter());
     assert!(
         attempts.clone().any(|(_, a)| *a > first[0].2),
         "a new attempt"
@@ -307,21 +313,21 @@
 #[test]
 fn a_gang_that_still_gathers_gets_a_lost_task_replaced_under_its_attempt() {
     let mut w = world(1, 6, 0.0);
-    let b = Behaviour {
-        gang: 2,
-        fetch_ms: 9_000,
+    let b = TaskBehaviour {
+        gang_size: 2,
+        image_fetch_ms: 9_000,
         ..runs(5_000)
     };
-    assert_eq!(w.submit(0, &gang("run-31", 2), b), 201);
-    w.run(4_000);
-    let first = w.on_machines("run-31");
+    assert_eq!(w.submit(0, &gang_job("run-31", 2), b), 201);
+    w.run_for(4_000);
+    let first = w.placed_tasks("run-31");
     assert_eq!(first.len(), 2);
     w.workers.remove(&first[0].0);
     assert!(done(&mut w, "run-31", 60_000));
     let attempts: Vec<u64> = w
         .workers
         .values()
-        .flat_map(|m| m.started.iter().map(|(_, a)| *a))
+        .flat_map(|m| m.started_attempts.iter().map(|(_, a)| *a))
         .collect();
     assert_eq!(
         attempts,
@@ -336,15 +342,15 @@
     let mut winners = Vec::new();
     for offset in 0..12 {
         let mut w = world(3, 1, 0.0);
-        assert_eq!(w.submit(0, &array("run-29", 1), runs(3_000)), 201);
-        w.run(3_000 + 250 * offset);
+        assert_eq!(w.submit(0, &array_job("run-29", 1), runs(3_000)), 201);
+        w.run_for(3_000 + 250 * offset);
         let answered = w.abort(1, "run-29").expect("an answer");
         winners.push(answered);
         for _ in 0..10 {
             for i in 0..3 {
                 assert_eq!(w.phase(i, "run-29"), Some(answered), "offset {offset}");
             }
-            w.run(1_000);
+            w.run_for(1_000);
         }
         clean(&w);
     }
@@ -357,13 +363,13 @@
 fn a_leader_that_workers_do_not_reach_gets_their_reports_through_its_peers() {
     let mut w = world(3, 2, 0.0);
     let leader = w.leader().expect("leader");
-    assert_eq!(w.submit(leader, &array("run-25", 4), runs(40_000)), 201);
-    w.run(4_000);
-    let placed = w.on_machines("run-25");
+    assert_eq!(w.submit(leader, &array_job("run-25", 4), runs(40_000)), 201);
+    w.run_for(4_000);
+    let placed = w.placed_tasks("run-25");
     assert_eq!(placed.len(), 4);
-    w.unreached.insert(leader);
-    w.run(30_000);
-    assert_eq!(w.on_machines("run-25"), placed, "no lease ran out");
+    w.isolated_from_workers.insert(leader);
+    w.run_for(30_000);
+    assert_eq!(w.placed_tasks("run-25"), placed, "no lease ran out");
     assert_eq!(w.leader(), Some(leader));
     assert!(done(&mut w, "run-25", 30_000));
     clean(&w);
@@ -374,30 +380,36 @@
     let mut w = world(3, 1, 0.0);
     let leader = w.leader().expect("leader");
     let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
-    assert_eq!(w.submit(leader, &array("run-24", 2), runs(500_000)), 201);
-    w.run(4_000);
-    assert_eq!(w.on_machines("run-24").len(), 2);
+    assert_eq!(
+        w.submit(leader, &array_job("run-24", 2), runs(500_000)),
+        201
+    );
+    w.run_for(4_000);
+    assert_eq!(w.placed_tasks("run-24").len(), 2);
     // The workers reach only the leader, which has lost everybody else.
-    w.refused.insert(leader);
-    w.silent_peers.insert(leader);
-    w.stuck_workers = Some(leader);
-    w.run(500);
+    w.refused_by_state_service.insert(leader);
+    w.isolated_from_peers.insert(leader);
+    w.only_reachable_node = Some(leader);
+    w.run_for(500);
     assert_eq!(w.abort(others[0], "run-24"), Some(Phase::Aborted));
-    w.run(60_000);
-    assert!(w.on_machines("run-24").is_empty());
+    w.run_for(60_000);
+    assert!(w.placed_tasks("run-24").is_empty());
     clean(&w);
 }
 
 #[test]
 fn a_cut_machines_tasks_start_elsewhere_only_after_its_lease() {
     let mut w = world(1, 1, 0.0);
-    assert_eq!(w.submit(0, &array("run-14", 1), runs(20_000)), 201);
-    w.run(4_000);
+    assert_eq!(w.submit(0, &array_job("run-14", 1), runs(20_000)), 201);
+    w.run_for(4_000);
     let cut_at = w.now;
-    w.workers.get_mut("vm-000000").expect("worker").cut_until = cut_at + 60_000;
+    w.workers
+        .get_mut("vm-000000")
+        .expect("worker")
+        .disconnected_until = cut_at + 60_000;
     w.add_machine("vm-000001", "a");
-    assert!(w.until(40_000, |w| w
-        .on_machines("run-14")
+    assert!(w.run_until(40_000, |w| w
+        .placed_tasks("run-14")
         .iter()
         .any(|p| p.0 == "vm-000001")));
     // The last answered report was sent up to one interval before the cut.
@@ -416,7 +428,7 @@
     for name in names {
         w.add_machine(name, "a");
     }
-    w.run(6_000);
+    w.run_for(6_000);
     w
 }
 
@@ -425,15 +437,21 @@
 fn a_machine_cut_off_for_two_leases_is_kept_and_used_again() {
     let mut w = ready_world(&["vm-000000", "vm-000001"]);
     let until = w.now + 24_000;
-    w.workers.get_mut("vm-000001").expect("machine").cut_until = until;
-    w.run(26_000);
+    w.workers
+        .get_mut("vm-000001")
+        .expect("machine")
+        .disconnected_until = until;
+    w.run_for(26_000);
     assert!(w.workers.contains_key("vm-000001"), "not given back");
-    assert_eq!(w.submit(0, &array("run-36", 8), runs(5_000)), 201);
-    assert!(w.until(6_000, |w| w.on_machines("run-36").len() == 8));
+    assert_eq!(w.submit(0, &array_job("run-36", 8), runs(5_000)), 201);
+    assert!(w.run_until(6_000, |w| w.placed_tasks("run-36").len() == 8));
     let until = w.now + 60_000;
-    w.workers.get_mut("vm-000001").expect("machine").cut_until = until;
+    w.workers
+        .get_mut("vm-000001")
+        .expect("machine")
+        .disconnected_until = until;
     assert!(
-        w.until(45_000, |w| !w.workers.contains_key("vm-000001")),
+        w.run_until(45_000, |w| !w.workers.contains_key("vm-000001")),
         "gone for good"
     );
     clean(&w);
@@ -442,13 +460,13 @@
 #[test]
 fn a_gang_starts_whole_under_one_attempt_and_anew_after_a_loss() {
     let mut w = world(1, 4, 0.0);
-    let b = Behaviour {
-        gang: 2,
+    let b = TaskBehaviour {
+        gang_size: 2,
         ..runs(15_000)
     };
-    assert_eq!(w.submit(0, &gang("run-15", 2), b), 201);
-    w.run(5_000);
-    let first = w.on_machines("run-15");
+    assert_eq!(w.submit(0, &gang_job("run-15", 2), b), 201);
+    w.run_for(5_000);
+    let first = w.placed_tasks("run-15");
     assert_eq!(first.len(), 2);
     assert_eq!(first[0].2, first[1].2, "one attempt");
     let zones: Vec<&str> = first
@@ -459,7 +477,7 @@
     // One machine stops for good: the rest is stopped and all start anew, with a new attempt.
     w.workers.remove(&first[0].0);
     assert!(done(&mut w, "run-15", 90_000));
-    let last = w.workers.values().flat_map(|m| m.started.iter());
+    let last = w.workers.values().flat_map(|m| m.started_attempts.iter());
     assert!(last.clone().any(|(_, attempt)| *attempt > first[0].2));
     clean(&w);
 }
@@ -467,19 +485,19 @@
 #[test]
 fn under_notice_tasks_move_on_and_the_machine_goes_back() {
     let mut w = world(1, 2, 0.0);
-    let mut job = array("run-16", 2);
+    let mut job = array_job("run-16", 2);
     (job.checkpoint_s, job.save_s) = (5.0, 1.0);
-    let b = Behaviour {
-        save_ms: 1_000,
+    let b = TaskBehaviour {
+        checkpoint_write_ms: 1_000,
         ..runs(20_000)
     };
     assert_eq!(w.submit(0, &job, b), 201);
-    w.run(5_000);
-    let machine = w.on_machines("run-16")[0].0.clone();
+    w.run_for(5_000);
+    let machine = w.placed_tasks("run-16")[0].0.clone();
     let until = w.now + 9_000;
-    w.workers.get_mut(&machine).expect("worker").taken_at = Some(until);
-    w.run(8_000);
-    assert!(w.on_machines("run-16").iter().all(|p| p.0 != machine));
+    w.workers.get_mut(&machine).expect("worker").reclaim_at = Some(until);
+    w.run_for(8_000);
+    assert!(w.placed_tasks("run-16").iter().all(|p| p.0 != machine));
     assert!(done(&mut w, "run-16", 60_000));
     clean(&w);
 }
@@ -489,14 +507,14 @@
 #[test]
 fn when_a_notice_is_over_what_ran_there_starts_elsewhere_at_once() {
     let mut w = world(1, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-16", 5), runs(20_000)), 201);
-    w.run(4_000);
-    let machine = w.on_machines("run-16")[0].0.clone();
+    assert_eq!(w.submit(0, &array_job("run-16", 5), runs(20_000)), 201);
+    w.run_for(4_000);
+    let machine = w.placed_tasks("run-16")[0].0.clone();
     let until = w.now + 6_000;
-    w.workers.get_mut(&machine).expect("worker").taken_at = Some(until);
-    w.run(6_000 + 4_500);
+    w.workers.get_mut(&machine).expect("worker").reclaim_at = Some(until);
+    w.run_for(6_000 + 4_500);
     assert_eq!(
-        w.on_machines("run-16").len(),
+        w.placed_tasks("run-16").len(),
         4,
         "as many as the other machine holds"
     );
@@ -507,15 +525,15 @@
 #[test]
 fn a_gang_whose_image_takes_longer_than_its_tasks_wait_begins_with_its_second_attempt() {
     let mut w = world(1, 4, 0.0);
-    w.capacity = 0;
-    let slow = Behaviour {
-        gang: 2,
-        fetch_ms: 45_000,
+    w.cloud_capacity = 0;
+    let slow = TaskBehaviour {
+        gang_size: 2,
+        image_fetch_ms: 45_000,
         ..runs(5_000)
     };
     let has = w.workers.get_mut("vm-000000").expect("machine");
-    has.images.insert("run-38".into());
-    assert_eq!(w.submit(0, &gang("run-38", 2), slow), 201);
+    has.cached_images.insert("run-38".into());
+    assert_eq!(w.submit(0, &gang_job("run-38", 2), slow), 201);
     assert!(done(&mut w, "run-38", 75_000));
     clean(&w);
 }
@@ -524,16 +542,16 @@
 #[test]
 fn a_leader_that_is_cut_off_does_not_spin() {
     let mut w = world(1, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-45", 12), runs(5_000)), 201);
-    w.run(1_000);
-    w.state_down = true;
-    w.run(4_000);
-    let before = w.ticks;
-    w.run(5_000);
-    let ticks = w.ticks - before;
+    assert_eq!(w.submit(0, &array_job("run-45", 12), runs(5_000)), 201);
+    w.run_for(1_000);
+    w.state_service_down = true;
+    w.run_for(4_000);
+    let before = w.node_wakeups;
+    w.run_for(5_000);
+    let ticks = w.node_wakeups - before;
     assert!(ticks < 250, "{ticks} turns in 5 s, of 500 steps");
-    w.state_down = false;
-    w.state.refresh_leases(w.now);
+    w.state_service_down = false;
+    w.state_service.renew_all_leases(w.now);
     assert!(done(&mut w, "run-45", 20_000));
     clean(&w);
 }
@@ -542,20 +560,20 @@
 #[test]
 fn jobs_are_seen_though_every_watch_fails() {
     let mut w = world(2, 2, 0.0);
-    w.break_watches = true;
-    w.run(5_000);
+    w.fail_watches = true;
+    w.run_for(5_000);
     let other = follower(&w);
-    assert_eq!(w.submit(other, &array("run-39", 2), runs(2_000)), 201);
-    assert!(w.until(20_000, |w| w.phase(other, "run-39") == Some(Phase::Done)));
+    assert_eq!(w.submit(other, &array_job("run-39", 2), runs(2_000)), 201);
+    assert!(w.run_until(20_000, |w| w.phase(other, "run-39") == Some(Phase::Done)));
     clean(&w);
 }
 
 #[test]
 fn a_team_stays_within_its_limit_through_recovery() {
     let mut w = world(3, 3, 4.0);
-    assert_eq!(w.submit(0, &array("run-17", 12), runs(5_000)), 201);
-    w.run(4_000);
-    assert_eq!(w.on_machines("run-17").len(), 4);
+    assert_eq!(w.submit(0, &array_job("run-17", 12), runs(5_000)), 201);
+    w.run_for(4_000);
+    assert_eq!(w.placed_tasks("run-17").len(), 4);
     for i in 0..3 {
         w.crash(i);
     }
@@ -569,20 +587,20 @@
 #[test]
 fn a_failing_job_backs_off_while_others_go_on_and_its_machines_stay() {
     let mut w = world(1, 3, 0.0);
-    let b = Behaviour {
-        fails: true,
+    let b = TaskBehaviour {
+        fails_after_run: true,
         ..runs(1_000)
     };
     // One long task on each machine, so that none is given back for being idle.
-    let mut long = array("run-30", 3);
+    let mut long = array_job("run-30", 3);
     long.cpus = 20.0;
     assert_eq!(w.submit(0, &long, runs(100_000)), 201);
-    w.run(2_000);
-    assert_eq!(w.submit(0, &array("run-18", 6), b), 201);
-    assert_eq!(w.submit(0, &array("run-19", 4), runs(3_000)), 201);
+    w.run_for(2_000);
+    assert_eq!(w.submit(0, &array_job("run-18", 6), b), 201);
+    assert_eq!(w.submit(0, &array_job("run-19", 4), runs(3_000)), 201);
     assert!(done(&mut w, "run-19", 20_000));
-    w.run(60_000);
-    let starts: usize = w.workers.values().map(|m| m.started.len()).sum();
+    w.run_for(60_000);
+    let starts: usize = w.workers.values().map(|m| m.started_attempts.len()).sum();
     assert!(starts < 80, "{starts} starts");
     assert!(w.workers.len() >= 3, "no machine is blamed for it");
     clean(&w);
@@ -591,23 +609,26 @@
 #[test]
 fn machines_are_rented_by_need_named_once_and_given_back_when_idle() {
     let mut w = world(3, 0, 0.0);
-    w.capacity = 8;
-    assert_eq!(w.submit(0, &array("run-20", 6), runs(4_000)), 201);
-    w.run(3_000);
+    w.cloud_capacity = 8;
+    assert_eq!(w.submit(0, &array_job("run-20", 6), runs(4_000)), 201);
+    w.run_for(3_000);
     let leader = w.leader().expect("leader");
     w.crash(leader);
-    w.run(3_000);
+    w.run_for(3_000);
     w.start(leader);
     assert!(done(&mut w, "run-20", 60_000));
     assert!(w.workers.len() <= 3, "no more than the work needs");
-    assert!(w.until(120_000, |w| w.workers.is_empty()), "all given back");
-    let mut names = w.rentals.clone();
+    assert!(
+        w.run_until(120_000, |w| w.workers.is_empty()),
+        "all given back"
+    );
+    let mut names = w.executed_rentals.clone();
     names.sort();
     names.dedup();
-    assert_eq!(names.len(), w.rentals.len());
-    assert_eq!(w.capacity, 8);
+    assert_eq!(names.len(), w.executed_rentals.len());
+    assert_eq!(w.cloud_capacity, 8);
     assert!(
-        w.state.keys(RENTALS).is_empty(),
+        w.state_service.keys(RENTALS).is_empty(),
         "no request is kept for ever"
     );
     clean(&w);
@@ -617,18 +638,18 @@
 #[test]
 fn waiting_work_keeps_as_many_idle_machines_as_it_fills() {
     let mut w = World::new(1, |i| settings(i, 1, 0.0));
-    w.capacity = 0;
+    w.cloud_capacity = 0;
     for m in 0..24 {
         w.add_machine(&format!("vm-{m:06}"), "a");
     }
-    w.run(6_000);
+    w.run_for(6_000);
     // Half of it must be in the other zone, where there is nothing to be had.
-    let mut apart = gang("run-37", 4);
+    let mut apart = gang_job("run-37", 4);
     (apart.one_zone, apart.spread) = (false, true);
     assert_eq!(w.submit(0, &apart, runs(5_000)), 201);
     for _ in 0..400 {
-        w.run(100);
-        w.capacity = 0;
+        w.run_for(100);
+        w.cloud_capacity = 0;
     }
     let left = w.workers.len();
     assert!((4..=8).contains(&left), "{left} machines are kept");
@@ -645,40 +666,40 @@
     w.stopwatch = || TICKS.fetch_add(8_000, Ordering::Relaxed);
     w.crash(0);
     w.start(0);
-    w.run(4_000);
-    assert_eq!(w.submit(0, &array("run-23", 30), runs(60_000)), 201);
-    assert!(w.until(10_000, |w| w.on_machines("run-23").len() == 30));
+    w.run_for(4_000);
+    assert_eq!(w.submit(0, &array_job("run-23", 30), runs(60_000)), 201);
+    assert!(w.run_until(10_000, |w| w.placed_tasks("run-23").len() == 30));
     clean(&w);
 }
 
 #[test]
 fn a_service_runs_on_until_it_is_cancelled() {
     let mut w = world(1, 1, 0.0);
-    let mut service = array("run-22", 2);
+    let mut service = array_job("run-22", 2);
     service.shape = Shape::Service;
     service.guess_s = 0.0;
     assert_eq!(w.submit(0, &service, runs(1_000_000)), 201);
-    w.run(30_000);
-    assert_eq!(w.on_machines("run-22").len(), 2);
+    w.run_for(30_000);
+    assert_eq!(w.placed_tasks("run-22").len(), 2);
     assert_eq!(w.phase(0, "run-22"), Some(Phase::Running));
     assert_eq!(w.abort(0, "run-22"), Some(Phase::Aborted));
-    assert!(w.until(6_000, |w| w.on_machines("run-22").is_empty()));
+    assert!(w.run_until(6_000, |w| w.placed_tasks("run-22").is_empty()));
     clean(&w);
 }
 
 #[test]
 fn a_very_wide_array_is_kept_in_split_records_of_bounded_size() {
     let mut w = world(1, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-21", 100_000), runs(5_000)), 201);
-    w.run(20_000);
-    assert!(w.on_machines("run-21").len() <= 8);
-    for key in w.state.keys(PAGES) {
-        let record: PageRecord = w.state.read(&key).expect("record");
+    assert_eq!(w.submit(0, &array_job("run-21", 100_000), runs(5_000)), 201);
+    w.run_for(20_000);
+    assert!(w.placed_tasks("run-21").len() <= 8);
+    for key in w.state_service.keys(PAGES) {
+        let record: PageRecord = w.state_service.read(&key).expect("record");
         assert!(wire::encode(&record).len() < 8 * 1024, "{key}");
     }
     assert_eq!(w.phase(0, "run-21"), Some(Phase::Running));
     assert_eq!(w.abort(0, "run-21"), Some(Phase::Aborted));
-    assert!(w.until(10_000, |w| w.state.keys(JOBS).is_empty()));
+    assert!(w.run_until(10_000, |w| w.state_service.keys(JOBS).is_empty()));
     clean(&w);
 }
 
@@ -686,19 +707,19 @@
 #[test]
 fn places_of_many_jobs_share_few_records() {
     let mut w = world(1, 40, 0.0);
-    let before = w.state.writes;
+    let before = w.state_service.write_count;
     for n in 0..40 {
         let id = format!("run-{}", 400 + n);
-        assert_eq!(w.submit(0, &array(&id, 4), runs(20_000)), 201);
+        assert_eq!(w.submit(0, &array_job(&id, 4), runs(20_000)), 201);
     }
-    let all = |w: &mut World| (400..440).all(|n| w.on_machines(&format!("run-{n}")).len() == 4);
-    assert!(w.until(10_000, all));
-    let placing = w.state.writes - before - 40;
+    let all = |w: &mut World| (400..440).all(|n| w.placed_tasks(&format!("run-{n}")).len() == 4);
+    assert!(w.run_until(10_000, all));
+    let placing = w.state_service.write_count - before - 40;
     assert!(placing <= 30, "{placing} changes to place 160 tasks");
-    assert!(w.until(60_000, |w| w.state.keys(JOBS).is_empty()));
-    let changes = w.state.writes - before;
+    assert!(w.run_until(60_000, |w| w.state_service.keys(JOBS).is_empty()));
+    let changes = w.state_service.write_count - before;
     assert!(changes < 40 * 4, "{changes} changes for 40 jobs");
-    assert!(w.state.keys(PAGES).len() <= 4, "empty pages go");
+    assert!(w.state_service.keys(PAGES).len() <= 4, "empty pages go");
     clean(&w);
 }
 
@@ -706,37 +727,37 @@
 #[test]
 fn nothing_is_lost_or_doubled_though_transactions_go_unanswered_and_leaders_crash() {
     let mut w = world(3, 12, 0.0);
-    w.lose_txns = 7;
+    w.lost_txn_interval = 7;
     let ids: Vec<String> = (500..560).map(|n| format!("run-{n}")).collect();
     for (n, id) in ids.iter().enumerate() {
         let job = match n % 5 {
-            4 => gang(id, 2),
-            _ => array(id, 1 + n as u64 % 9),
+            4 => gang_job(id, 2),
+            _ => array_job(id, 1 + n as u64 % 9),
         };
         // The first try may go unanswered, or come before the node is ready.
         let accepted = |w: &mut World| {
-            w.run(100);
+            w.run_for(100);
             matches!(w.submit(n % 3, &job, runs(6_000)), 200 | 201)
         };
         assert!((0..30).any(|_| accepted(&mut w)), "{id}");
-        w.run(300);
+        w.run_for(300);
         if n % 7 == 3 {
             w.abort(n % 3, id);
         }
         if n % 15 == 14 {
             let leader = w.leader().unwrap_or(0);
             w.crash(leader);
-            w.run(200);
+            w.run_for(200);
             w.start(leader);
         }
     }
-    w.lose_txns = 0;
+    w.lost_txn_interval = 0;
     let over = |w: &mut World| {
         let end = |w: &mut World, id: &str| w.phase(0, id);
         ids.iter()
             .all(|id| matches!(end(w, id), Some(Phase::Done | Phase::Aborted)))
     };
-    assert!(w.until(200_000, over));
+    assert!(w.run_until(200_000, over));
     clean(&w);
 }
 
@@ -744,23 +765,32 @@
 #[test]
 fn a_machine_that_hears_nothing_gets_no_work_until_a_session_outlives_a_lease() {
     let mut w = ready_world(&["vm-000000", "vm-000001"]);
-    w.workers.get_mut("vm-000000").expect("worker").one_way = true;
-    assert_eq!(w.submit(0, &array("run-40", 8), runs(6_000)), 201);
+    w.workers
+        .get_mut("vm-000000")
+        .expect("worker")
+        .receives_nothing = true;
+    assert_eq!(w.submit(0, &array_job("run-40", 8), runs(6_000)), 201);
     assert!(
         done(&mut w, "run-40", 60_000),
         "nothing waits for it for ever"
     );
-    assert_eq!(w.submit(0, &array("run-41", 4), runs(3_000)), 201);
+    assert_eq!(w.submit(0, &array_job("run-41", 4), runs(3_000)), 201);
     assert!(
         done(&mut w, "run-41", 8_000),
         "new work does not go there at all"
     );
-    let started = |w: &World| w.workers["vm-000000"].started.len();
+    let started = |w: &World| w.workers["vm-000000"].started_attempts.len();
     assert_eq!(started(&w), 0);
-    w.workers.get_mut("vm-000000").expect("worker").one_way = false;
-    w.run(30_000);
-    assert_eq!(w.submit(0, &array("run-42", 8), runs(4_000)), 201);
-    assert!(w.until(8_000, |w| started(w) > 0), "tried again once heard");
+    w.workers
+        .get_mut("vm-000000")
+        .expect("worker")
+        .receives_nothing = false;
+    w.run_for(30_000);
+    assert_eq!(w.submit(0, &array_job("run-42", 8), runs(4_000)), 201);
+    assert!(
+        w.run_until(8_000, |w| started(w) > 0),
+        "tried again once heard"
+    );
     clean(&w);
 }
 
@@ -769,26 +799,26 @@
 fn a_late_copy_brings_no_machine_back_and_tells_a_successor_nothing() {
     let mut w = world(3, 2, 0.0);
     let (old, other) = (w.leader().expect("leader"), follower(&w));
-    assert_eq!(w.submit(other, &array("run-43", 8), runs(14_000)), 201);
-    w.run(4_000);
+    assert_eq!(w.submit(other, &array_job("run-43", 8), runs(14_000)), 201);
+    w.run_for(4_000);
     let now = w.now;
     let ghost = w.workers.get_mut("vm-000001").expect("worker");
-    let copy = wire::encode(&ghost.report(fakes::KIND, now));
+    let copy = wire::encode(&ghost.report(fakes::MACHINE_TYPE, now));
     let tasks = ghost.tasks.len();
     assert!(tasks > 0);
     // The machine goes with all that is on it; its leader crashes too.
     w.workers.remove("vm-000001");
     w.crash(old);
-    assert!(w.until(6_000, |w| w.leader().is_some()));
+    assert!(w.run_until(6_000, |w| w.leader().is_some()));
     let leader = w.leader().expect("leader");
     for _ in 0..40 {
-        w.run(1_000);
-        let (status, body) = w.ask(leader, "POST", "/v1/report", copy.clone());
+        w.run_for(1_000);
+        let (status, body) = w.send_and_wait(leader, "POST", "/v1/report", copy.clone());
         let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
         assert_eq!((status, answer.orders.len()), (200, 0), "no work for it");
     }
-    assert!(w.until(60_000, |w| w.phase(leader, "run-43") == Some(Phase::Done)));
-    let last = w.workers["vm-000000"].started.len();
+    assert!(w.run_until(60_000, |w| w.phase(leader, "run-43") == Some(Phase::Done)));
+    let last = w.workers["vm-000000"].started_attempts.len();
     assert_eq!(last, 8, "what the ghost held was started elsewhere, once");
     clean(&w);
 }
@@ -799,14 +829,14 @@
     let mut w = world(3, 1, 0.0);
     let ids: Vec<String> = (0..40).map(|n| format!("run-5{n:02}")).collect();
     for id in &ids {
-        assert_eq!(w.submit(0, &array(id, 1), runs(900_000)), 201);
+        assert_eq!(w.submit(0, &array_job(id, 1), runs(900_000)), 201);
     }
-    w.run(3_000);
+    w.run_for(3_000);
     for node in 0..3 {
-        let before = w.state.requests;
+        let before = w.state_service.request_count;
         let answered = w.phases(node, &ids);
         assert!(answered.iter().all(|p| p.is_some()), "{answered:?}");
-        let spent = w.state.requests - before;
+        let spent = w.state_service.request_count - before;
         assert!(spent < 30, "{spent} requests in 2 s, renewals included");
     }
     // Cancelled through one node, the others must say so at once.
@@ -823,22 +853,22 @@
 #[test]
 fn a_large_gang_begins_though_small_work_never_ends() {
     let mut w = world(1, 12, 0.0);
-    let small = |n: u64| (array(&format!("run-6{n:03}"), 6), runs(7_000));
+    let small = |n: u64| (array_job(&format!("run-6{n:03}"), 6), runs(7_000));
     for n in 0..14 {
         let (job, b) = small(n);
         assert_eq!(w.submit(0, &job, b), 201);
     }
-    let b = Behaviour {
-        gang: 6,
+    let b = TaskBehaviour {
+        gang_size: 6,
         ..runs(20_000)
     };
-    let mut big = gang("run-70", 6);
+    let mut big = gang_job("run-70", 6);
     big.guess_s = 2_000.0;
     assert_eq!(w.submit(0, &big, b), 201);
     let began = (14..130).any(|n| {
         let (job, b) = small(n);
         assert_eq!(w.submit(0, &job, b), 201);
-        w.run(1_000);
+        w.run_for(1_000);
         w.phase(0, "run-70") == Some(Phase::Running)
     });
     assert!(
@@ -854,21 +884,24 @@
     let mut w = world(3, 2, 0.0);
     let old = w.leader().expect("leader");
     let term = w.term_of(old);
-    w.late_txns.insert(old, 3_000);
+    w.txn_delay_ms.insert(old, 3_000);
     assert_eq!(
-        w.submit(follower(&w), &array("run-44", 4), runs(6_000)),
+        w.submit(follower(&w), &array_job("run-44", 4), runs(6_000)),
         201
     );
-    w.run(300);
+    w.run_for(300);
     w.crash(old);
-    w.late_txns.clear();
-    w.run(100);
+    w.txn_delay_ms.clear();
+    w.run_for(100);
     w.start(old);
-    assert!(w.until(2_000, |w| w.leader().is_some()), "no long vacancy");
+    assert!(
+        w.run_until(2_000, |w| w.leader().is_some()),
+        "no long vacancy"
+    );
     let leader = w.leader().expect("leader");
     assert!(w.term_of(leader) > term);
-    assert!(w.until(30_000, |w| w.phase(leader, "run-44") == Some(Phase::Done)));
-    let started: usize = w.workers.values().map(|m| m.started.len()).sum();
+    assert!(w.run_until(30_000, |w| w.phase(leader, "run-44") == Some(Phase::Done)));
+    let started: usize = w.workers.values().map(|m| m.started_attempts.len()).sum();
     assert_eq!(started, 4, "each task once");
     clean(&w);
 }
@@ -877,23 +910,23 @@
 #[test]
 fn an_impossible_gang_neither_holds_machines_for_ever_nor_stops_others() {
     let mut w = world(1, 0, 0.0);
-    w.capacity = 4;
-    let b = Behaviour {
-        gang: 6,
+    w.cloud_capacity = 4;
+    let b = TaskBehaviour {
+        gang_size: 6,
         ..runs(5_000)
     };
-    assert_eq!(w.submit(0, &gang("run-80", 6), b), 201);
-    w.run(60_000);
-    assert_eq!(w.submit(0, &array("run-81", 8), runs(4_000)), 201);
+    assert_eq!(w.submit(0, &gang_job("run-80", 6), b), 201);
+    w.run_for(60_000);
+    assert_eq!(w.submit(0, &array_job("run-81", 8), runs(4_000)), 201);
     assert!(done(&mut w, "run-81", 60_000), "others go on");
     assert!(
-        w.until(400_000, |w| w.workers.is_empty()),
+        w.run_until(400_000, |w| w.workers.is_empty()),
         "idle machines go back in the end"
     );
     assert_eq!(w.phase(0, "run-80"), Some(Phase::Queued), "and it is known");
-    w.capacity = 8;
+    w.cloud_capacity = 8;
     assert!(
-        w.until(700_000, |w| w.phase(0, "run-80") == Some(Phase::Done)),
+        w.run_until(700_000, |w| w.phase(0, "run-80") == Some(Phase::Done)),
         "tried again"
     );
     clean(&w);
@@ -913,26 +946,26 @@
     for m in 0..4 {
         w.add_machine(&format!("vm-{m:06}"), "a");
     }
-    w.run(6_000);
-    let b = Behaviour {
-        gang: 2,
+    w.run_for(6_000);
+    let b = TaskBehaviour {
+        gang_size: 2,
         ..runs(60_000)
     };
-    let mut first = gang("run-90", 2);
+    let mut first = gang_job("run-90", 2);
     first.guess_s = 290.0;
     assert_eq!(w.submit(0, &first, b), 201);
-    assert!(w.until(8_000, |w| w.on_machines("run-90").len() == 2));
+    assert!(w.run_until(8_000, |w| w.placed_tasks("run-90").len() == 2));
     for n in 0..40 {
         assert_eq!(
-            w.submit(0, &array(&format!("run-91{n:02}"), 4), runs(9_000)),
+            w.submit(0, &array_job(&format!("run-91{n:02}"), 4), runs(9_000)),
             201
         );
     }
-    w.run(3_000);
-    let lost = w.on_machines("run-90")[0].0.clone();
+    w.run_for(3_000);
+    let lost = w.placed_tasks("run-90")[0].0.clone();
     w.workers.remove(&lost);
-    let again = |w: &mut World| w.on_machines("run-90").iter().filter(|p| p.2 > 1).count() == 2;
-    assert!(w.until(70_000, again), "a second attempt");
+    let again = |w: &mut World| w.placed_tasks("run-90").iter().filter(|p| p.2 > 1).count() == 2;
+    assert!(w.run_until(70_000, again), "a second attempt");
     let begun = (0..40).filter(|n| w.phase(0, &format!("run-91{n:02}")) != Some(Phase::Queued));
     let begun = begun.count();
     assert!(begun < 6, "ahead of those that have not begun, {begun}");
@@ -953,16 +986,16 @@
         (d.state.rps, d.state.write_rps, d.state.txn_ops) = (90.0, 25.0, 20);
         s
     });
-    w.capacity = 0;
+    w.cloud_capacity = 0;
     for m in 0..FLEET {
         w.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
     }
-    w.run(12_000);
+    w.run_for(12_000);
     for n in 0..300 {
-        let job = array(&format!("run-{}", 1_000 + n), 18);
+        let job = array_job(&format!("run-{}", 1_000 + n), 18);
         assert_eq!(w.submit(n % 5, &job, runs(150_000)), 201);
     }
-    assert!(w.until(20_000, |w| tasks_on(w) == 5_400));
+    assert!(w.run_until(20_000, |w| tasks_on(w) == 5_400));
     w
 }
 
@@ -974,23 +1007,27 @@
 #[test]
 fn a_large_fleet_goes_on_after_a_crash_of_all_without_a_second_start() {
     let mut w = fleet();
-    let started = |w: &World| -> usize { w.workers.values().map(|m| m.started.len()).sum() };
-    let pages = w.state.keys(PAGES).len();
+    let started =
+        |w: &World| -> usize { w.workers.values().map(|m| m.started_attempts.len()).sum() };
+    let pages = w.state_service.keys(PAGES).len();
     assert!(pages < 90, "{pages} pages for 5,400 places");
     (0..5).for_each(|i| w.crash(i));
-    w.run(3_000);
-    let (requests, writes) = (w.state.requests, w.state.writes);
+    w.run_for(3_000);
+    let (requests, writes) = (w.state_service.request_count, w.state_service.write_count);
     (0..5).for_each(|i| w.start(i));
-    let job = array("run-2000", 40);
+    let job = array_job("run-2000", 40);
     let mut accepted = |w: &mut World| w.submit(3, &job, runs(5_000)) == 201;
-    assert!(w.until(4_000, &mut accepted));
-    assert!(w.until(6_000, |w| w.on_machines("run-2000").len() == 40));
-    let (requests, writes) = (w.state.requests - requests, w.state.writes - writes);
+    assert!(w.run_until(4_000, &mut accepted));
+    assert!(w.run_until(6_000, |w| w.placed_tasks("run-2000").len() == 40));
+    let (requests, writes) = (
+        w.state_service.request_count - requests,
+        w.state_service.write_count - writes,
+    );
     assert!(
         requests < 300 && writes < 40,
         "{requests} requests, {writes} changes"
     );
-    w.run(20_000);
+    w.run_for(20_000);
     assert_eq!(started(&w), 5_400 + 40, "each task started once");
     clean(&w);
 }
@@ -1001,21 +1038,21 @@
     let mut w = fleet();
     let until = w.now + 72_000;
     for m in w.workers.values_mut().filter(|m| m.zone == "b") {
-        m.cut_until = until;
+        m.disconnected_until = until;
     }
     let in_b = |w: &World| -> usize {
         let there = w.workers.values().filter(|m| m.zone == "b");
         there.map(|m| m.tasks.len()).sum()
     };
     let lost = in_b(&w);
-    w.run(60_000);
+    w.run_for(60_000);
     assert_eq!(in_b(&w), 0, "leases have run out");
     let moved = tasks_on(&w);
     assert!(moved > 5_400 - lost, "{moved} tasks run, {lost} were lost");
-    w.run(20_000);
+    w.run_for(20_000);
     assert_eq!(w.workers.len(), FLEET, "none was given back");
     assert!(
-        w.until(30_000, |w| tasks_on(w) == 5_400),
+        w.run_until(30_000, |w| tasks_on(w) == 5_400),
         "{}",
         tasks_on(&w)
     );
--- a/crates/control/tests/unknown_ids.rs
+++ b/crates/control/tests/unknown_ids.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::array;
+use fakes::array_job;
 use wire::records::*;
 
 /// A question whose reading comes back after the job was submitted at the same node and its user was told so.
@@ -13,16 +13,17 @@
     for seed in 0..24 {
         let mut w = world(3, 1, 0.0);
         w.seed(seed);
-        w.troubles.slow_state = (0..3).map(|n| (n, 900)).collect();
-        let question = w.send(0, "GET", "/submissions/run-1", vec![]);
-        w.run(60);
-        let job = array("run-1", 1);
-        w.describe(&job, runs(600_000));
-        let submission = w.send(0, "POST", "/submissions", wire::encode(&job));
-        w.run(2_500);
-        let (Some((asked, status)), Some((answered, 201))) =
-            (w.answer_at(question), w.answer_at(submission))
-        else {
+        w.faults.max_state_response_delay_ms = (0..3).map(|n| (n, 900)).collect();
+        let question = w.send_user_request(0, "GET", "/submissions/run-1", vec![]);
+        w.run_for(60);
+        let job = array_job("run-1", 1);
+        w.upload_job(&job, runs(600_000));
+        let submission = w.send_user_request(0, "POST", "/submissions", wire::encode(&job));
+        w.run_for(2_500);
+        let (Some((asked, status)), Some((answered, 201))) = (
+            w.take_response_time(question),
+            w.take_response_time(submission),
+        ) else {
             continue;
         };
         if asked >= answered {
@@ -43,25 +44,28 @@
     for n in 0..3 {
         let (open, over) = (format!("run-{n}0"), format!("run-{n}1"));
         for id in [&open, &over] {
-            let before = w.state.counts;
+            let before = w.state_service.request_counts;
             assert_eq!(
-                w.ask(n, "GET", &format!("/submissions/{id}"), vec![]).0,
+                w.send_and_wait(n, "GET", &format!("/submissions/{id}"), vec![])
+                    .0,
                 404
             );
-            let spent = w.state.counts.since(&before);
-            assert!(spent.questions() >= 1, "{spent:?}");
-            w.describe(&array(id, 1), runs(1_000));
+            let spent = w.state_service.request_counts.since(&before);
+            assert!(spent.reads_and_comparisons() >= 1, "{spent:?}");
+            w.upload_job(&array_job(id, 1), runs(1_000));
         }
         // Written by a process that this node hears nothing of.
-        w.silent_peers.insert(n);
-        record_open_job(&mut w, array(&open, 1));
-        w.state.write(&final_key(&over), &Final::Aborted, None);
+        w.isolated_from_peers.insert(n);
+        record_open_job(&mut w, array_job(&open, 1));
+        w.state_service
+            .write(&final_key(&over), &Final::Aborted, None);
         for id in [&open, &over] {
             assert_eq!(
-                w.ask(n, "GET", &format!("/submissions/{id}"), vec![]).0,
+                w.send_and_wait(n, "GET", &format!("/submissions/{id}"), vec![])
+                    .0,
                 200
             );
         }
-        w.silent_peers.clear();
+        w.isolated_from_peers.clear();
     }
 }
--- a/crates/fakes/examples/fleet_size.rs
+++ b/crates/fakes/examples/fleet_size.rs
@@ -1,4 +1,4 @@
-//! Processor time of the leader's rounds and of a node's turns at 2,000 and at 4,000 machines, measured in one run.
+//! Duration of the leader's rounds and of the nodes' turns at 2,000 and at 4,000 machines, measured in one run.
 //!
 //! `cargo run --release -p vetchmount-fakes --example fleet_size`. Not part of CI, since it measures real time.
 
@@ -7,19 +7,19 @@
 use hdrhistogram::Histogram;
 use measuring::{histogram, runs, settings, stopwatch};
 use std::sync::Mutex;
-use vetchmount_fakes::{array, World};
+use vetchmount_fakes::{array_job, World};
 use wire::records::{job_key, JobRecord};
 
 const NODES: usize = 3;
-/// Tasks of each running job, as many on average as four machines have.
-const TASKS_A_JOB: u64 = 12;
-/// Simulated milliseconds that are measured, with a change of leader in the middle.
+/// Tasks of each job: as many as run on four machines on average.
+const TASKS_PER_JOB: u64 = 12;
+/// Simulated milliseconds that are measured. The leader crashes in the middle.
 const MEASURED_MS: u64 = 60_000;
 
-/// Microseconds of all rounds of decisions so far.
+/// Durations in microseconds of all decision rounds so far.
 static ROUNDS_US: Mutex<Vec<u64>> = Mutex::new(Vec::new());
 
-/// Takes the rounds' times from the log.
+/// A logger that collects the durations of rounds from the log lines `event=round`.
 struct RoundLog;
 
 impl log::Log for RoundLog {
@@ -43,47 +43,48 @@
     fn flush(&self) {}
 }
 
-/// Microseconds of turns and of rounds.
-struct Times {
+/// Durations of turns and of rounds in microseconds.
+struct Durations {
     turns: Histogram<u64>,
     rounds: Histogram<u64>,
 }
 
-/// A cluster with three running tasks a machine and half as many open jobs as machines.
-fn measure(machines: usize) -> Times {
+/// Measures a cluster with three running tasks per machine and half as many open jobs as machines. Every second job
+/// waits, because it needs a zone that does not exist.
+fn measure(machines: usize) -> Durations {
     let mut world = World::new(NODES, |node| settings(node, NODES));
     for machine in 0..machines {
         let zone = if machine % 2 == 0 { "a" } else { "b" };
         world.add_machine(&format!("vm-{machine:06}"), zone);
     }
-    world.run(12_000);
+    world.run_for(12_000);
     for number in 0..machines / 2 {
         let waits = number % 2 == 1;
-        let mut job = array(&format!("run-{number:06}"), TASKS_A_JOB);
+        let mut job = array_job(&format!("run-{number:06}"), TASKS_PER_JOB);
         job.zone = waits.then(|| "c".into());
-        world.describe(&job, runs(600_000));
+        world.upload_job(&job, runs(600_000));
         let record = JobRecord::new(job, 1_700_000_000_000);
         let key = job_key(&record.spec.id);
-        world.state.write(&key, &record, None);
+        world.state_service.write(&key, &record, None);
     }
-    world.run(60_000);
+    world.run_for(60_000);
     world.stopwatch = stopwatch;
     for node in 0..NODES {
         world.crash(node);
         world.start(node);
     }
-    world.run(20_000);
+    world.run_for(20_000);
     ROUNDS_US.lock().expect("rounds").clear();
     world.turns = Some(Vec::new());
-    world.run(MEASURED_MS / 2);
+    world.run_for(MEASURED_MS / 2);
     let leader = world.leader().expect("a leader");
     world.crash(leader);
     world.start(leader);
-    world.run(MEASURED_MS / 2);
+    world.run_for(MEASURED_MS / 2);
     let turns = world.turns.take().unwrap_or_default();
     let turns: Vec<u64> = turns.iter().map(|turn| turn.took_us).collect();
     let rounds = ROUNDS_US.lock().expect("rounds").clone();
-    Times {
+    Durations {
         turns: histogram(&turns),
         rounds: histogram(&rounds),
     }
--- a/crates/fakes/examples/measuring/mod.rs
+++ b/crates/fakes/examples/measuring/mod.rs
@@ -1,9 +1,9 @@
-//! What the measurements of large simulated fleets share.
+//! Shared code of the measurements of large simulated fleets.
 
 use control::Settings;
 use hdrhistogram::Histogram;
 use std::time::Instant;
-use vetchmount_fakes::Behaviour;
+use vetchmount_fakes::TaskBehaviour;
 
 const DEPLOYMENT: &str = r#"
 zones = ["a", "b"]
@@ -31,13 +31,13 @@
 max_connections = 4400
 "#;
 
-/// Microseconds of a steady clock.
+/// Microseconds of a monotonic clock.
 pub fn stopwatch() -> u64 {
     static START: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
     START.get_or_init(Instant::now).elapsed().as_micros() as u64
 }
 
-/// Settings of one controller of a fleet whose machines stand ready.
+/// Settings of one controller of a fleet whose machines are already running.
 pub fn settings(node: usize, nodes: usize) -> Settings {
     let mut text = format!(
         "label = \"n{node}\"\narea = \"a\"\npublic_addr = \"10.0.0.{node}:1\"\nback = \"10.0.0.{node}:2\"\n\
@@ -54,7 +54,7 @@
     all.try_into().expect("settings")
 }
 
-/// Values with three digits, at least 1 each.
+/// A histogram with a precision of three digits. Values of 0 are recorded as 1.
 pub fn histogram(values: &[u64]) -> Histogram<u64> {
     let mut histogram = Histogram::new(3).expect("three digits");
     for value in values {
@@ -63,13 +63,13 @@
     histogram
 }
 
-/// Tasks that run for so long.
-pub fn runs(run_ms: u64) -> Behaviour {
-    Behaviour {
-        fetch_ms: 300,
+/// Behaviour of tasks that run for `run_ms` and complete.
+pub fn runs(run_ms: u64) -> TaskBehaviour {
+    TaskBehaviour {
+        image_fetch_ms: 300,
         run_ms,
-        save_ms: 0,
-        gang: 0,
-        fails: false,
+        checkpoint_write_ms: 0,
+        gang_size: 0,
+        fails_after_run: false,
     }
 }
