--- a/crates/fakes/examples/partition_load.rs
+++ b/crates/fakes/examples/partition_load.rs
@@ -1,9 +1,9 @@
-//! What partitions take off the leader: its time in turns, its messages and its workers at 1,000, 2,000 and 4,000
-//! machines with three and five controllers, with partitions on and off, as ratios within one run; and what they cost
-//! elsewhere.
+//! Load that partitions move away from the leader: its time in turns, its messages and its workers at 1,000, 2,000 and
+//! 4,000 machines with three and five controllers, with partitions on and off, as ratios within one run. Also the cost
+//! of partitions elsewhere.
 //!
 //! `cargo run --release -p vetchmount-fakes --example partition_load`. Not part of CI, since it measures real time.
-//! Most machines are full of long tasks, one in sixteen has room. Delays are simulated milliseconds.
+//! Most machines are full of long tasks, one in sixteen has free resources. Delays are simulated milliseconds.
 
 mod measuring;
 
@@ -11,40 +11,43 @@
 use control::Operator;
 use hdrhistogram::Histogram;
 use measuring::{histogram, runs, settings, stopwatch};
-use vetchmount_fakes::{array, Turn, TurnAbout, World};
+use vetchmount_fakes::{array_job, Turn, TurnKind, World};
 use wire::records::{job_key, JobRecord};
 
-/// Tasks of each running job, as many as four machines take.
-const TASKS_A_JOB: usize = 16;
-/// One in so many machines has room.
-const ROOM_PART: usize = 16;
+/// Tasks of each running job: as many as fit on four machines.
+const TASKS_PER_JOB: usize = 16;
+/// One in this many machines has free resources.
+const FREE_MACHINE_INTERVAL: usize = 16;
+/// Simulated milliseconds that are measured.
 const MEASURED_MS: u64 = 60_000;
-/// Milliseconds between two reports of a machine, as the settings have it, and between those of neighbours.
+/// Milliseconds between two reports of a machine, as in the settings.
 const REPORT_MS: u64 = 8_000;
-const SPREAD_STEP_MS: u64 = 1_237;
-/// Small jobs whose way to a machine is measured.
-const STARTS: usize = 40;
+/// Offset in milliseconds between the reports of successive machines.
+const REPORT_OFFSET_MS: u64 = 1_237;
+/// Number of small jobs for which the delay from acceptance to placement is measured.
+const MEASURED_STARTS: usize = 40;
 
-/// What one cluster took.
+/// Measurements of one cluster.
 struct Measured {
-    /// The leader's microseconds in all its turns, and in those about reports and partitions.
+    /// Microseconds of the leader in all its turns.
     leader_us: u64,
+    /// Microseconds of the leader in turns about reports and partitions.
     leader_reports_us: u64,
-    /// Reports that were answered, by whomever.
+    /// Number of reports that were answered by any controller.
     answered: u64,
-    /// The same for turns about neither, nor about time that passed: as many with partitions as without.
+    /// Microseconds of the leader in turns of kind [`TurnKind::Other`], which are as many with partitions as without.
     leader_other_us: u64,
-    /// Its turns: one for each message or tick.
+    /// Number of the leader's turns: one for each message or tick.
     leader_turns: u64,
-    /// All other controllers' microseconds.
+    /// Microseconds of all other controllers in their turns.
     others_us: u64,
-    /// Workers that report to it.
+    /// Number of workers that report to the leader.
     leader_workers: usize,
     answer_ms: Histogram<u64>,
     start_ms: Histogram<u64>,
-    /// Milliseconds after a change of leader until every worker was answered under the new term.
+    /// Milliseconds from the crash of the leader until every worker was answered under a newer term.
     change_ms: u64,
-    /// Microseconds of all controllers for a move of a partition, less what the same time costs without.
+    /// Microseconds of all controllers for the move of one partition, less their time without a move.
     move_us: Option<i64>,
 }
 
@@ -65,34 +68,34 @@
         let zone = if machine % 2 == 0 { "a" } else { "b" };
         let name = format!("vm-{machine:06}");
         world.add_machine(&name, zone);
-        // Reports come evenly spread over the time between two of a machine.
+        // The machines' reports are spread evenly over the report interval.
         if let Some(worker) = world.workers.get_mut(&name) {
-            worker.report_at += (machine as u64 * SPREAD_STEP_MS) % REPORT_MS;
+            worker.next_report_at += (machine as u64 * REPORT_OFFSET_MS) % REPORT_MS;
         }
     }
-    world.run(12_000);
-    let full = machines - machines / ROOM_PART;
-    for number in 0..full * 4 / TASKS_A_JOB {
-        let job = array(&format!("run-{number:06}"), TASKS_A_JOB as u64);
-        world.describe(&job, runs(3_000_000));
+    world.run_for(12_000);
+    let full = machines - machines / FREE_MACHINE_INTERVAL;
+    for number in 0..full * 4 / TASKS_PER_JOB {
+        let job = array_job(&format!("run-{number:06}"), TASKS_PER_JOB as u64);
+        world.upload_job(&job, runs(3_000_000));
         let record = JobRecord::new(job, 1_700_000_000_000);
         let key = job_key(&record.spec.id);
-        world.state.write(&key, &record, None);
+        world.state_service.write(&key, &record, None);
     }
-    // Placed, found steady, and the workers with their owners: 50 a second are sent there.
-    world.run(180_000);
+    // Time to place the tasks, to reach a steady state, and to redirect the workers to their owners at 50 per second.
+    world.run_for(180_000);
     world
 }
 
-/// Microseconds of all controllers while time passes.
+/// Microseconds of all controllers in turns while `ms` of simulated time pass.
 fn spent_us(world: &mut World, ms: u64) -> i64 {
     world.turns = Some(Vec::new());
-    world.run(ms);
+    world.run_for(ms);
     let turns = world.turns.take().unwrap_or_default();
     turns.iter().map(|turn| turn.took_us as i64).sum()
 }
 
-fn cost_of_a_move(world: &mut World) -> i64 {
+fn move_cost_us(world: &mut World) -> i64 {
     let quiet = spent_us(world, 10_000);
     let mut moves = 0;
     for partition in 0..8 {
@@ -103,24 +106,24 @@
     (moving - quiet) / moves.max(1)
 }
 
-fn starts(world: &mut World) -> Histogram<u64> {
+fn start_delays(world: &mut World) -> Histogram<u64> {
     let mut delays = Vec::new();
-    for number in 0..STARTS {
+    for number in 0..MEASURED_STARTS {
         let id = format!("run-{}", 900_000 + number);
-        let job = array(&id, 1);
+        let job = array_job(&id, 1);
         let follower = usize::from(world.leader() == Some(0));
         assert_eq!(world.submit(follower, &job, runs(2_000)), 201);
         let accepted_at = world.now;
-        while world.on_machines(&id).is_empty() && world.now < accepted_at + 60_000 {
-            world.run(10);
+        while world.placed_tasks(&id).is_empty() && world.now < accepted_at + 60_000 {
+            world.run_for(10);
         }
         delays.push(world.now - accepted_at);
-        world.run(700);
+        world.run_for(700);
     }
     histogram(&delays)
 }
 
-fn change_of_leader(world: &mut World) -> u64 {
+fn leader_change_ms(world: &mut World) -> u64 {
     let leader = world.leader().expect("a leader");
     let before = world.term_of(leader).expect("a term");
     world.crash(leader);
@@ -128,7 +131,7 @@
     let since = world.now;
     let answered = |world: &World| world.workers.values().all(|w| w.term > before);
     while !answered(world) && world.now < since + 120_000 {
-        world.run(50);
+        world.run_for(50);
     }
     world.now - since
 }
@@ -136,29 +139,29 @@
 fn measure(machines: usize, nodes: usize, partitions: bool) -> Measured {
     let mut world = cluster(machines, nodes, partitions);
     world.turns = Some(Vec::new());
-    world.answer_delays_ms = Some(Vec::new());
-    world.run(MEASURED_MS);
+    world.report_latencies_ms = Some(Vec::new());
+    world.run_for(MEASURED_MS);
     let turns = world.turns.take().unwrap_or_default();
-    let delays = world.answer_delays_ms.take().unwrap_or_default();
+    let delays = world.report_latencies_ms.take().unwrap_or_default();
     let leader = world.leader().expect("a leader");
     let us = |counts: &dyn Fn(&Turn) -> bool| {
         let turns = turns.iter().filter(|t| counts(t));
         turns.map(|t| t.took_us).sum::<u64>()
     };
     let is_about_reports =
-        |t: &Turn| matches!(t.about, TurnAbout::WorkerHeartbeat | TurnAbout::Partitions);
+        |t: &Turn| matches!(t.kind, TurnKind::WorkerHeartbeat | TurnKind::Partitions);
     Measured {
         leader_us: us(&|t| t.node == leader),
         leader_reports_us: us(&|t| t.node == leader && is_about_reports(t)),
-        leader_other_us: us(&|t| t.node == leader && t.about == TurnAbout::Other),
+        leader_other_us: us(&|t| t.node == leader && t.kind == TurnKind::Other),
         answered: delays.len() as u64,
         leader_turns: turns.iter().filter(|t| t.node == leader).count() as u64,
         others_us: us(&|t| t.node != leader),
         leader_workers: world.workers.values().filter(|w| w.node == leader).count(),
         answer_ms: histogram(&delays),
-        start_ms: starts(&mut world),
-        move_us: partitions.then(|| cost_of_a_move(&mut world)),
-        change_ms: change_of_leader(&mut world),
+        start_ms: start_delays(&mut world),
+        move_us: partitions.then(|| move_cost_us(&mut world)),
+        change_ms: leader_change_ms(&mut world),
     }
 }
 
--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -1,20 +1,20 @@
 //! The cloud: machine types, rentals, returns and the machine list.
 
-use crate::{FakeWorker, World, KIND, MACHINE};
+use crate::{FakeWorker, World, MACHINE_RESOURCES, MACHINE_TYPE};
 use wire::cloud::{
     ListedMachine, MachineList, MachineNames, MachinePhase, MachineType, MachineTypes, Rent,
 };
 use wire::users::Refusal;
 
-/// Machines on a page of the list at most, whatever is requested.
-const LIST_PAGE: usize = 500;
+/// Maximum number of machines on a page of the list, whatever limit is requested.
+const MAX_LIST_PAGE_MACHINES: usize = 500;
 
-/// Status and body.
+/// Status and body of a response.
 type Response = (u16, Vec<u8>);
 
 impl World {
-    /// Machines whose boot time has passed come up.
-    pub(crate) fn boot(&mut self) {
+    /// Adds the workers of the machines that have booted by now.
+    pub(crate) fn boot_due_machines(&mut self) {
         let now = self.now;
         let booting = self.booting.iter();
         let up = booting.filter(|(_, (up_at, _))| now >= *up_at);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Executes a request.
+    /// Executes a request to the cloud.
     pub(crate) fn serve_cloud(&mut self, method: &str, target: &str, body: &[u8]) -> Response {
         let path = target.split('?').next().unwrap_or_default();
         match (method, path) {
@@ -46,27 +46,28 @@
         }
     }
 
-    /// Rents machines, or repeats the answer to a request that was executed before.
+    /// Rents machines, or repeats the response to a rental request that was executed before.
     fn rent(&mut self, rent: Rent) -> Response {
-        if let Some(machines) = self.rented.get(&rent.request).cloned() {
+        if let Some(machines) = self.machines_by_rental.get(&rent.request).cloned() {
             return (200, wire::encode(&MachineNames { machines }));
         }
-        let count = rent.count.min(self.capacity);
+        let count = rent.count.min(self.cloud_capacity);
         if count == 0 {
             let error = "no capacity".to_string();
             return (503, wire::encode(&Refusal { error }));
         }
-        self.capacity -= count;
+        self.cloud_capacity -= count;
         let mut machines = Vec::new();
         for _ in 0..count {
-            self.next_machine += 1;
-            let name = format!("vm-{:06}", self.next_machine);
+            self.last_machine_number += 1;
+            let name = format!("vm-{:06}", self.last_machine_number);
             let up_at = self.now + self.rng.u64(self.boot_ms.clone());
             self.booting.insert(name.clone(), (up_at, rent.clone()));
             machines.push(name);
         }
-        self.rentals.push(rent.request.clone());
-        self.rented.insert(rent.request, machines.clone());
+        self.executed_rentals.push(rent.request.clone());
+        self.machines_by_rental
+            .insert(rent.request, machines.clone());
         (200, wire::encode(&MachineNames { machines }))
     }
 
@@ -74,12 +75,12 @@
         for name in &names.machines {
             let is_up = self.workers.remove(name).is_some();
             if is_up || self.booting.remove(name).is_some() {
-                self.capacity += 1;
+                self.cloud_capacity += 1;
             }
         }
     }
 
-    /// A page of the list of machines, in the order of their names.
+    /// A page of the list of machines, ordered by name.
     fn list_machines(&mut self, target: &str) -> Response {
         let workers = self.workers.values();
         let up = workers.map(|w| listed(&w.name, &w.zone, w.spot, MachinePhase::Running));
@@ -92,15 +93,15 @@
         machines.sort_by(|a, b| a.id.cmp(&b.id));
         let more = machines.len() > limit;
         machines.truncate(limit);
-        self.listed_pages += 1;
+        self.served_list_pages += 1;
         (200, wire::encode(&MachineList { machines, more }))
     }
 }
 
 fn machine_types() -> MachineTypes {
-    let (cpus, gpus, mem_gb) = MACHINE;
+    let (cpus, gpus, mem_gb) = MACHINE_RESOURCES;
     let types = vec![MachineType {
-        name: KIND.into(),
+        name: MACHINE_TYPE.into(),
         cpus,
         gpus,
         mem_gb,
@@ -118,7 +119,7 @@
     ListedMachine {
         id: name.to_string(),
         addr: Some(format!("{name}:1")),
-        kind: KIND.into(),
+        kind: MACHINE_TYPE.into(),
         zone: zone.to_string(),
         spot,
         phase,
@@ -126,7 +127,7 @@
     }
 }
 
-/// After which machine a page of the list begins, and how many it may contain.
+/// Name of the machine after which a page of the list begins, and maximum number of machines on the page.
 fn list_range(target: &str) -> (&str, usize) {
     let query = target.split_once('?').map_or("", |(_, query)| query);
     let value = |name: &str| {
@@ -134,6 +135,8 @@
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     };
     let limit = value("limit").and_then(|text| text.parse().ok());
-    let limit = limit.unwrap_or(LIST_PAGE).min(LIST_PAGE);
+    let limit = limit
+        .unwrap_or(MAX_LIST_PAGE_MACHINES)
+        .min(MAX_LIST_PAGE_MACHINES);
     (value("from").unwrap_or_default(), limit)
 }
--- a/crates/fakes/src/events.rs
+++ b/crates/fakes/src/events.rs
@@ -1,36 +1,36 @@
-//! What is on its way in the simulated network.
+//! Events of the simulated network: messages in transit.
 
 use control::{CallError, Input, Node};
 
-/// What becomes of a call: status and body, or why there is none.
+/// Result of a call: status and body of the response, or the reason why there is no response.
 pub(crate) type CallResult = Result<(u16, Vec<u8>), CallError>;
 
-/// A message that arrives at some moment.
+/// A message that is delivered at a scheduled time.
 pub(crate) enum Event {
-    /// A node gets input.
+    /// Input for a node.
     ToNode {
         node: usize,
-        /// Start of the node's process that the input is for. Input for an earlier process is dropped.
-        start: u64,
+        /// [`NodeSlot::process_epoch`] of the process that the input is for. Input for an earlier process is dropped.
+        process_epoch: u64,
         input: Input,
     },
-    /// The state service gets a request.
+    /// A request to the state service.
     ToState(Call),
-    /// The cloud gets a request of a node.
+    /// A request of a node to the cloud.
     ToCloud {
         sender: Sender,
         method: &'static str,
         path: String,
         body: Vec<u8>,
     },
-    /// A worker's own address gets orders from a node.
+    /// Orders that a node sends to a worker's own address.
     ToWorker {
         from: usize,
         machine: String,
         body: Vec<u8>,
     },
-    /// A worker gets the answer to its report of this number.
-    Answer {
+    /// The response to the report of a worker with the sequence number `seq`.
+    ReportResponse {
         machine: String,
         seq: u64,
         status: u16,
@@ -38,29 +38,30 @@
     },
 }
 
-/// The process that made a call, and the call's number.
+/// The process that made a call, and the number of the call.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Sender {
     pub node: usize,
-    /// Start of the node's process.
-    pub start: u64,
+    /// [`NodeSlot::process_epoch`] of the calling process.
+    pub process_epoch: u64,
     pub call: u64,
 }
 
 /// A request to the state service, the cloud or a worker.
 pub(crate) struct Call {
-    /// The sender. `None` for a late request, whose answer nobody waits for.
+    /// The sender. `None` for a late request, whose sender no longer waits for the response.
     pub from: Option<Sender>,
     pub method: &'static str,
     pub path: String,
     pub body: Vec<u8>,
-    /// When the sender stops waiting.
+    /// Time at which the sender stops waiting.
     pub deadline: u64,
 }
 
-/// A configured node, whether its process runs or not.
+/// A configured node, whether or not its process is running.
 pub(crate) struct NodeSlot {
     pub node: Option<Node>,
-    /// Number of starts and crashes, so that answers to an earlier process are dropped.
-    pub start: u64,
+    /// Number of starts and crashes so far. It identifies the process, so that responses to an earlier process are
+    /// dropped.
+    pub process_epoch: u64,
 }
--- a/crates/fakes/src/jobs.rs
+++ b/crates/fakes/src/jobs.rs
@@ -1,11 +1,11 @@
-//! Jobs for scenarios, and how their tasks behave.
+//! Jobs for scenarios, and the behaviour of their tasks.
 
-use crate::Behaviour;
+use crate::TaskBehaviour;
 use std::collections::BTreeMap;
 use wire::users::{Priority, Shape, Submission};
 
-/// A plain array job.
-pub fn array(id: &str, tasks: u64) -> Submission {
+/// An array job without placement constraints, dependencies or a deadline.
+pub fn array_job(id: &str, tasks: u64) -> Submission {
     Submission {
         id: id.to_string(),
         class: "c".into(),
@@ -31,22 +31,25 @@
     }
 }
 
-/// A plain gang.
-pub fn gang(id: &str, tasks: u64) -> Submission {
+/// A gang job in one zone whose tasks need 4 GPUs each, otherwise like [`array_job`].
+pub fn gang_job(id: &str, tasks: u64) -> Submission {
     Submission {
         shape: Shape::Gang,
         gpus: 4.0,
         one_zone: true,
-        ..array(id, tasks)
+        ..array_job(id, tasks)
     }
 }
 
-/// The job of a task.
+/// Name of the job that a task belongs to.
 pub(crate) fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or_default()
 }
 
-/// How a task behaves, if its job has been described.
-pub(crate) fn behaviour_of(jobs: &BTreeMap<String, Behaviour>, task: &str) -> Option<Behaviour> {
+/// Behaviour of a task, or `None` if the behaviour of its job has not been set.
+pub(crate) fn behaviour_of(
+    jobs: &BTreeMap<String, TaskBehaviour>,
+    task: &str,
+) -> Option<TaskBehaviour> {
     jobs.get(job_of(task)).copied()
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,34 +1,36 @@
-//! A simulated cluster in memory for scenario tests: state service, cloud, workers, users, and a network that can be
-//! cut, all in simulated time. It checks the rules that matter most at every step.
+//! An in-memory simulation of a cluster for scenario tests: state service, cloud, workers, users, and a network with
+//! injectable faults, all in simulated time. It checks the most important rules of the protocol at every step.
 
 mod checks;
 mod cloud;
 mod events;
+mod faults;
 mod fleet;
 mod jobs;
 mod network;
 mod rules;
 mod state;
-mod troubles;
 mod turns;
 mod users;
 mod worker;
 mod world;
 
-pub use jobs::{array, gang};
-pub use rules::{Jobs, Placed, Question, Rules};
-pub use state::{FakeLimits, FakeState, RequestCounts, Waiter};
-pub use troubles::{CopyTo, Cut, Party, Troubles, LATE_REPORT_MS, LATE_TXN_MS};
-pub use turns::{Turn, TurnAbout};
-pub use worker::{Behaviour, FakeTask, FakeWorker, Gang};
+pub use faults::{
+    ConnectionFault, DuplicateTarget, Faults, Party, LATE_TXN_DELAY_MS, MIN_DUPLICATE_DELAY_MS,
+};
+pub use jobs::{array_job, gang_job};
+pub use rules::{JobsByName, PlacedTask, RequestKind, RuleChecker};
+pub use state::{Caller, FakeStateService, RequestCounts, StateServiceLimits};
+pub use turns::{Turn, TurnKind};
+pub use worker::{FakeTask, FakeWorker, GangState, TaskBehaviour};
 pub use world::World;
 
-/// Type of every fake machine: 4 GPUs, 32 CPUs.
-pub const KIND: &str = "g4";
-/// Resources of such a machine: CPUs, GPUs, memory in GB.
-pub const MACHINE: (f64, f64, f64) = (32.0, 4.0, 256.0);
+/// Type of every simulated machine: 4 GPUs, 32 CPUs.
+pub const MACHINE_TYPE: &str = "g4";
+/// Resources of a machine of type [`MACHINE_TYPE`]: CPUs, GPUs, memory in GB.
+pub const MACHINE_RESOURCES: (f64, f64, f64) = (32.0, 4.0, 256.0);
 
-/// Milliseconds that a message takes.
-const DELAY_MS: u64 = 5;
-/// Path of workers' reports.
+/// Network delay of a message in milliseconds, without injected faults.
+const MESSAGE_DELAY_MS: u64 = 5;
+/// HTTP path of workers' reports.
 const HEARTBEAT_PATH: &str = "/v1/report";
--- a/crates/fakes/src/network.rs
+++ b/crates/fakes/src/network.rs
@@ -1,18 +1,18 @@
-//! The network: what nodes send, where it arrives, and what is lost, late or refused on the way.
+//! The simulated network: sends the messages of nodes and delivers messages, which faults can lose, delay or refuse.
 
 mod state_service;
 mod workers;
 
 use crate::events::{Call, CallResult, Event, Sender};
-use crate::turns::{note_turn, TurnAbout};
-use crate::{Cut, Party, World, DELAY_MS};
+use crate::turns::{record_turn, TurnKind};
+use crate::{ConnectionFault, Party, World, MESSAGE_DELAY_MS};
 use control::{CallError, Input, Node, Output, Target};
 use wire::peers::PeerMessage;
 
 impl World {
-    /// Sends everything that a node has to send.
-    pub(crate) fn drain(&mut self, node: usize) {
-        let start = self.nodes[node].start;
+    /// Sends all pending outputs of a node.
+    pub(crate) fn send_outputs(&mut self, node: usize) {
+        let process_epoch = self.nodes[node].process_epoch;
         loop {
             let running = self.nodes[node].node.as_mut();
             let Some(output) = running.and_then(Node::next_output) else {
@@ -33,7 +33,11 @@
                     body,
                     timeout_ms,
                 } => {
-                    let sender = Sender { node, start, call };
+                    let sender = Sender {
+                        node,
+                        process_epoch,
+                        call,
+                    };
                     let call = Call {
                         from: Some(sender),
                         method,
@@ -48,7 +52,7 @@
         }
     }
 
-    /// A node calls the state service, the cloud or a worker.
+    /// Sends a call of a node to the state service, the cloud or a worker.
     fn send_call(&mut self, sender: Sender, target: Target, call: Call) {
         match target {
             Target::State => self.send_to_state(sender, call),
@@ -59,13 +63,13 @@
                     path: call.path,
                     body: call.body,
                 };
-                self.push(self.now + DELAY_MS, event);
+                self.schedule(self.now + MESSAGE_DELAY_MS, event);
             }
             Target::Worker(addr) => self.send_to_worker(sender.node, &addr, call.body),
         }
     }
 
-    /// A node answers a worker or a user.
+    /// Sends the response of a node to a worker or a user.
     fn send_response(
         &mut self,
         node: usize,
@@ -74,48 +78,59 @@
         retry_after_s: Option<u32>,
         body: Vec<u8>,
     ) {
-        let reporter = self.reporters.remove(&id);
+        let reporter = self.pending_reports.remove(&id);
         let party = match reporter {
             Some(_) => Party::Workers,
             None => Party::Users,
         };
-        if self.troubles.is_cut(node, party, Cut::Answers) {
+        if self
+            .faults
+            .has_connection_fault(node, party, ConnectionFault::ResponsesLost)
+        {
             return;
         }
         if let Some((machine, seq)) = reporter {
-            let event = Event::Answer {
+            let event = Event::ReportResponse {
                 machine,
                 seq,
                 status,
                 body,
             };
-            self.push(self.now + DELAY_MS, event);
+            self.schedule(self.now + MESSAGE_DELAY_MS, event);
             return;
         }
-        // Without a given delay a refused user retries after a second, however many users there are.
+        // Without Retry-After, refused users retry after a second, however many users there are.
         if matches!(status, 429 | 503) && retry_after_s.is_none() {
-            let breach = format!("no Retry-After with {status} at {}", self.now);
-            self.broken.push(breach);
+            let violation = format!("no Retry-After with {status} at {}", self.now);
+            self.violations.push(violation);
         }
         self.respond(id, status, body);
     }
 
-    /// A node calls the state service. A call that arrives after its deadline is executed without an answer.
+    /// Sends a call of a node to the state service. A call that arrives after its deadline is executed, but gets no
+    /// response.
     fn send_to_state(&mut self, sender: Sender, call: Call) {
-        let slow_ms = self.troubles.slow_to_state.get(&sender.node).copied();
-        let late_ms = self.draw(slow_ms);
-        let arrives_at = self.now + DELAY_MS + late_ms;
+        let slow_ms = self
+            .faults
+            .max_state_request_delay_ms
+            .get(&sender.node)
+            .copied();
+        let late_ms = self.random_up_to(slow_ms);
+        let arrives_at = self.now + MESSAGE_DELAY_MS + late_ms;
         let mut from = Some(sender);
         if arrives_at > call.deadline {
             from = None;
             self.reply(call.deadline, sender, Err(CallError::Unknown));
         }
-        self.push(arrives_at, Event::ToState(Call { from, ..call }));
+        self.schedule(arrives_at, Event::ToState(Call { from, ..call }));
     }
 
-    /// A node sends orders to a worker's own address.
+    /// Sends orders of a node to a worker's own address.
     fn send_to_worker(&mut self, node: usize, addr: &str, body: Vec<u8>) {
-        if self.troubles.is_cut(node, Party::Workers, Cut::Answers) {
+        if self
+            .faults
+            .has_connection_fault(node, Party::Workers, ConnectionFault::ResponsesLost)
+        {
             return;
         }
         let machine = addr.split(':').next().unwrap_or_default().to_string();
@@ -124,15 +139,15 @@
             machine,
             body,
         };
-        self.push(self.now + DELAY_MS, event);
+        self.schedule(self.now + MESSAGE_DELAY_MS, event);
     }
 
-    /// A node sends a message to one peer, or to all.
+    /// Sends a message of a node to one peer, or to all peers if `to` is `None`.
     fn send_to_peers(&mut self, from: usize, to: Option<&str>, message: &PeerMessage) {
         for peer in 0..self.nodes.len() {
             let is_addressed = to.is_none_or(|label| label == self.settings[peer].label);
-            let is_silent = |node: usize| self.silent_peers.contains(&node);
-            let is_lost = self.troubles.loses_frame(from, peer, self.now);
+            let is_silent = |node: usize| self.isolated_from_peers.contains(&node);
+            let is_lost = self.faults.is_frame_lost(from, peer, self.now);
             if peer == from || !is_addressed || is_silent(from) || is_silent(peer) || is_lost {
                 continue;
             }
@@ -140,26 +155,31 @@
                 from: self.settings[from].label.clone(),
                 message: message.clone(),
             };
-            let late_ms = self.draw(self.troubles.slow_frames.get(&(from, peer)).copied());
-            self.push_input(self.now + DELAY_MS + late_ms, peer, input);
+            let late_ms =
+                self.random_up_to(self.faults.max_frame_delay_ms.get(&(from, peer)).copied());
+            self.schedule_input(self.now + MESSAGE_DELAY_MS + late_ms, peer, input);
         }
     }
 
-    /// Schedules the reply to a call.
+    /// Schedules the reply to a call of a node.
     fn reply(&mut self, at: u64, sender: Sender, result: CallResult) {
         let call = sender.call;
         let event = Event::ToNode {
             node: sender.node,
-            start: sender.start,
+            process_epoch: sender.process_epoch,
             input: Input::Reply { call, result },
         };
-        self.push(at, event);
+        self.schedule(at, event);
     }
 
-    /// A message arrives.
+    /// Delivers an event.
     pub(crate) fn deliver(&mut self, event: Event) {
         match event {
-            Event::ToNode { node, start, input } => self.deliver_input(node, start, input),
+            Event::ToNode {
+                node,
+                process_epoch,
+                input,
+            } => self.deliver_input(node, process_epoch, input),
             Event::ToState(call) => self.serve_state(call),
             Event::ToCloud {
                 sender,
@@ -168,37 +188,45 @@
                 body,
             } => {
                 let result = Ok(self.serve_cloud(method, &path, &body));
-                self.reply(self.now + DELAY_MS, sender, result);
+                self.reply(self.now + MESSAGE_DELAY_MS, sender, result);
             }
             Event::ToWorker {
                 from,
                 machine,
                 body,
             } => self.deliver_orders(from, machine, body),
-            Event::Answer {
+            Event::ReportResponse {
                 machine,
                 seq,
                 status,
                 body,
-            } => self.deliver_answer(machine, seq, status, body),
+            } => self.deliver_report_response(machine, seq, status, body),
         }
     }
 
-    /// Hands input to a node, once it is not frozen, if the process that it is for still runs.
-    fn deliver_input(&mut self, node: usize, start: u64, input: Input) {
-        if let Some(until) = self.troubles.frozen_until(node, self.now) {
-            return self.push(until, Event::ToNode { node, start, input });
+    /// Passes input to a node if the process that the input is for still runs. Input for a frozen node is delayed until
+    /// the node is no longer frozen.
+    fn deliver_input(&mut self, node: usize, process_epoch: u64, input: Input) {
+        if let Some(until) = self.faults.frozen_until(node, self.now) {
+            return self.schedule(
+                until,
+                Event::ToNode {
+                    node,
+                    process_epoch,
+                    input,
+                },
+            );
         }
         let now = self.clock();
         let slot = &mut self.nodes[node];
-        if slot.start == start {
+        if slot.process_epoch == process_epoch {
             if let Some(running) = &mut slot.node {
-                let turn = (node, TurnAbout::of(&input));
+                let turn = (node, TurnKind::of(&input));
                 let started = (self.stopwatch)();
                 running.handle(now, input);
-                note_turn(&mut self.turns, turn, started, self.stopwatch);
+                record_turn(&mut self.turns, turn, started, self.stopwatch);
             }
         }
-        self.drain(node);
+        self.send_outputs(node);
     }
 }
--- a/crates/fakes/src/network/state_service.rs
+++ b/crates/fakes/src/network/state_service.rs
@@ -1,41 +1,41 @@
-//! Requests to the state service: which are executed, late or lost, and which watches are answered.
+//! Delivery of requests to the state service, with injected faults, and of the responses to watches.
 
 use crate::events::{Call, CallResult, Event, Sender};
-use crate::state::Waiter;
-use crate::{Cut, Party, World, DELAY_MS, LATE_TXN_MS};
+use crate::state::Caller;
+use crate::{ConnectionFault, Party, World, LATE_TXN_DELAY_MS, MESSAGE_DELAY_MS};
 use control::CallError;
 use wire::state::{Txn, Write};
 
-/// Milliseconds until a late request that meets an outage is tried again.
-const OUTAGE_RETRY_MS: u64 = 1_000;
-/// Who waits for the answer of a late request: nobody.
-const NOBODY: Waiter = Waiter {
+/// Milliseconds until a late request that arrives during an outage is retried.
+const OUTAGE_RETRY_DELAY_MS: u64 = 1_000;
+/// Caller of a late request, which gets no response.
+const NO_CALLER: Caller = Caller {
     node: usize::MAX,
     call: 0,
 };
 
-/// What goes wrong with a request.
-enum Fault {
+/// Fault that affects a request.
+enum RequestFault {
     None,
-    /// It does not arrive.
+    /// The request does not arrive.
     RequestLost,
-    /// It is refused with 503.
+    /// The request is refused with 503.
     Refused,
-    /// It is executed, and its sender waits in vain.
-    AnswerLost,
-    /// It is executed later. The sender learns at `answered_at` that its outcome is unknown.
+    /// The request is executed, but its sender waits for the response until the deadline.
+    ResponseLost,
+    /// The request is executed after `late_ms`. Its sender learns at `caller_fails_at` that the outcome is unknown.
     Late {
         late_ms: u64,
-        answered_at: u64,
+        caller_fails_at: u64,
     },
-    /// It is not executed, and its outcome is unknown.
+    /// The request is not executed, and its outcome is unknown to the sender.
     NotExecuted,
-    /// It is executed, and its outcome is unknown.
+    /// The request is executed, but its outcome is unknown to the sender.
     OutcomeUnknown,
 }
 
 impl World {
-    /// The state service gets a request.
+    /// Handles the arrival of a request at the state service.
     pub(super) fn serve_state(&mut self, call: Call) {
         match call.from {
             Some(sender) => self.serve_sender(sender, call),
@@ -43,165 +43,190 @@
         }
     }
 
-    /// Executes a request whose sender no longer waits. An outage delays it further.
+    /// Executes a request whose sender no longer waits. An outage delays the execution further. Watches are dropped.
     fn execute_late(&mut self, call: Call) {
-        if self.state_down {
-            return self.push(self.now + OUTAGE_RETRY_MS, Event::ToState(call));
+        if self.state_service_down {
+            return self.schedule(self.now + OUTAGE_RETRY_DELAY_MS, Event::ToState(call));
         }
         if !call.path.starts_with("/changes") {
-            self.execute(NOBODY, &call);
+            self.execute(NO_CALLER, &call);
         }
     }
 
-    fn execute(&mut self, waiter: Waiter, call: &Call) -> Option<(u16, Vec<u8>)> {
-        self.state
-            .serve(self.now, waiter, call.method, &call.path, &call.body)
+    fn execute(&mut self, caller: Caller, call: &Call) -> Option<(u16, Vec<u8>)> {
+        self.state_service
+            .serve(self.now, caller, call.method, &call.path, &call.body)
     }
 
     fn serve_sender(&mut self, sender: Sender, call: Call) {
         let is_txn = is_txn(&call);
-        self.txns += u64::from(is_txn);
+        self.txn_count += u64::from(is_txn);
         if is_txn
-            && changes(&call.body, self.counted_keys)
-            && self.crashes_at_counted_write(sender.node, &call)
+            && writes_key_with(&call.body, self.counted_key_prefix)
+            && self.count_and_maybe_crash(sender.node, &call)
         {
             return;
         }
-        let (soon, deadline) = (self.now + DELAY_MS, call.deadline);
+        let (soon, deadline) = (self.now + MESSAGE_DELAY_MS, call.deadline);
         let unknown = Err(CallError::Unknown);
-        let (at, result) = match self.fault_of(sender.node, &call) {
-            Fault::None => match self.serve_without_fault(sender, &call) {
-                Some(answer) => answer,
+        let (at, result) = match self.draw_fault(sender.node, &call) {
+            RequestFault::None => match self.serve_without_fault(sender, &call) {
+                Some(reply) => reply,
                 None => return,
             },
-            Fault::RequestLost => (deadline, unknown),
-            Fault::Refused => (soon, Ok((503, vec![]))),
-            Fault::AnswerLost => {
+            RequestFault::RequestLost => (deadline, unknown),
+            RequestFault::Refused => (soon, Ok((503, vec![]))),
+            RequestFault::ResponseLost => {
                 self.execute_late(Call { from: None, ..call });
                 (deadline, unknown)
             }
-            Fault::Late {
+            RequestFault::Late {
                 late_ms,
-                answered_at,
+                caller_fails_at,
             } => {
                 let call = Call { from: None, ..call };
-                self.push(self.now + late_ms, Event::ToState(call));
-                (answered_at, unknown)
+                self.schedule(self.now + late_ms, Event::ToState(call));
+                (caller_fails_at, unknown)
             }
-            Fault::NotExecuted => (soon, unknown),
-            Fault::OutcomeUnknown => {
-                self.execute(waiter_of(sender), &call);
+            RequestFault::NotExecuted => (soon, unknown),
+            RequestFault::OutcomeUnknown => {
+                self.execute(caller_of(sender), &call);
                 (soon, unknown)
             }
         };
         self.reply(at.min(deadline), sender, result);
     }
 
-    /// Which fault meets a request. What is drawn does not depend on the cuts.
-    fn fault_of(&mut self, node: usize, call: &Call) -> Fault {
-        let is_lost =
-            is_txn(call) && self.lose_txns > 0 && self.txns.is_multiple_of(self.lose_txns);
+    /// Selects the fault that affects a request. Random numbers are drawn independently of the connection faults.
+    fn draw_fault(&mut self, node: usize, call: &Call) -> RequestFault {
+        let is_lost = is_txn(call)
+            && self.lost_txn_interval > 0
+            && self.txn_count.is_multiple_of(self.lost_txn_interval);
         let late = self.draw_late(node, call);
-        let is_cut = |cut| self.troubles.is_cut(node, Party::State, cut);
-        if self.troubles.cut_from_state.contains(&node) || is_cut(Cut::Requests) {
-            return Fault::RequestLost;
+        let has_connection_fault =
+            |fault| self.faults.has_connection_fault(node, Party::State, fault);
+        if self.faults.isolated_from_state_service.contains(&node)
+            || has_connection_fault(ConnectionFault::RequestsLost)
+        {
+            return RequestFault::RequestLost;
         }
-        if self.state_down || self.refused.contains(&node) || is_cut(Cut::Refused) {
-            return Fault::Refused;
+        if self.state_service_down
+            || self.refused_by_state_service.contains(&node)
+            || has_connection_fault(ConnectionFault::Refused)
+        {
+            return RequestFault::Refused;
         }
-        if is_cut(Cut::Answers) {
-            return Fault::AnswerLost;
+        if has_connection_fault(ConnectionFault::ResponsesLost) {
+            return RequestFault::ResponseLost;
         }
         if let Some(late) = late {
             return late;
         }
-        let is_broken = (self.break_watches && call.path.starts_with("/changes"))
-            || (self.break_lists && call.path.starts_with("/kv?"));
-        if is_broken || (is_lost && !self.txns.is_multiple_of(2 * self.lose_txns)) {
-            return Fault::NotExecuted;
+        let is_failing = (self.fail_watches && call.path.starts_with("/changes"))
+            || (self.fail_lists && call.path.starts_with("/kv?"));
+        if is_failing || (is_lost && !self.txn_count.is_multiple_of(2 * self.lost_txn_interval)) {
+            return RequestFault::NotExecuted;
         }
         match is_lost {
-            true => Fault::OutcomeUnknown,
-            false => Fault::None,
+            true => RequestFault::OutcomeUnknown,
+            false => RequestFault::None,
         }
     }
 
-    /// Whether a transaction is executed late.
-    fn draw_late(&mut self, node: usize, call: &Call) -> Option<Fault> {
+    /// Draws whether a transaction is executed late, and by how much.
+    fn draw_late(&mut self, node: usize, call: &Call) -> Option<RequestFault> {
         if !is_txn(call) {
             return None;
         }
-        if let Some(late_ms) = self.late_txns.get(&node).copied() {
-            let answered_at = self.now + DELAY_MS;
-            return Some(Fault::Late {
+        if let Some(late_ms) = self.txn_delay_ms.get(&node).copied() {
+            let caller_fails_at = self.now + MESSAGE_DELAY_MS;
+            return Some(RequestFault::Late {
                 late_ms,
-                answered_at,
+                caller_fails_at,
             });
         }
-        self.is_drawn(self.troubles.late_txns).then(|| Fault::Late {
-            late_ms: self.rng.u64(LATE_TXN_MS),
-            answered_at: call.deadline,
-        })
+        self.happens(self.faults.late_txn_share)
+            .then(|| RequestFault::Late {
+                late_ms: self.rng.u64(LATE_TXN_DELAY_MS),
+                caller_fails_at: call.deadline,
+            })
     }
 
-    /// Executes a request. Returns when its sender is answered and how, or `None` for a watch that stays open.
+    /// Executes a request. Returns time and result of the reply to its sender, or `None` for a watch that stays open.
     fn serve_without_fault(&mut self, sender: Sender, call: &Call) -> Option<(u64, CallResult)> {
-        let served = self.execute(waiter_of(sender), call);
-        if is_txn(call) && self.is_drawn(self.troubles.lost_answers) {
+        let served = self.execute(caller_of(sender), call);
+        if is_txn(call) && self.happens(self.faults.lost_response_share) {
             return Some((call.deadline, Err(CallError::Unknown)));
         }
-        let slow_ms = self.troubles.slow_state.get(&sender.node).copied();
-        let at = self.now + DELAY_MS + self.draw(slow_ms);
-        let answer = served?;
+        let slow_ms = self
+            .faults
+            .max_state_response_delay_ms
+            .get(&sender.node)
+            .copied();
+        let at = self.now + MESSAGE_DELAY_MS + self.random_up_to(slow_ms);
+        let response = served?;
         match at > call.deadline {
             true => Some((at, Err(CallError::Unknown))),
-            false => Some((at, Ok(answer))),
+            false => Some((at, Ok(response))),
         }
     }
 
-    /// Ends the process that sends a change of the counted keys, if it is the one chosen for that.
-    fn crashes_at_counted_write(&mut self, node: usize, call: &Call) -> bool {
-        self.counted_writes += 1;
+    /// Counts a transaction. Crashes the sender and returns true if the transaction is the one that
+    /// [`World::crash_at_counted_txn`] selects.
+    fn count_and_maybe_crash(&mut self, node: usize, call: &Call) -> bool {
+        self.counted_txns += 1;
         let Some((_, is_executed)) = self
-            .crash_at_counted_write
-            .take_if(|(number, _)| *number == self.counted_writes)
+            .crash_at_counted_txn
+            .take_if(|(number, _)| *number == self.counted_txns)
         else {
             return false;
         };
         if is_executed {
-            self.execute(NOBODY, call);
+            self.execute(NO_CALLER, call);
         }
         self.crash(node);
         true
     }
 
-    /// Answers watches with changes or whose time is over. Those of a node that is refused stay open.
+    /// Answers watches that have changes or have expired. Watches of a node that the state service refuses or that is
+    /// disconnected from it stay open.
     pub(crate) fn answer_watches(&mut self) {
-        if self.state_down {
+        if self.state_service_down {
             return;
         }
-        let (refused, troubles) = (&self.refused, &self.troubles);
-        let cuts = [Cut::Requests, Cut::Answers, Cut::Refused];
+        let (refused, faults) = (&self.refused_by_state_service, &self.faults);
+        let connection_faults = [
+            ConnectionFault::RequestsLost,
+            ConnectionFault::ResponsesLost,
+            ConnectionFault::Refused,
+        ];
         let is_silent = |node: usize| {
-            let mut cuts = cuts.iter();
-            let is_cut = cuts.any(|cut| troubles.is_cut(node, Party::State, *cut));
-            refused.contains(&node) || troubles.cut_from_state.contains(&node) || is_cut
+            let mut connection_faults = connection_faults.iter();
+            let has_connection_fault = connection_faults
+                .any(|fault| faults.has_connection_fault(node, Party::State, *fault));
+            refused.contains(&node)
+                || faults.isolated_from_state_service.contains(&node)
+                || has_connection_fault
         };
-        for (waiter, body) in self.state.due_watches(self.now, is_silent) {
+        for (caller, body) in self.state_service.take_due_watches(self.now, is_silent) {
             let sender = Sender {
-                node: waiter.node,
-                start: self.nodes[waiter.node].start,
-                call: waiter.call,
+                node: caller.node,
+                process_epoch: self.nodes[caller.node].process_epoch,
+                call: caller.call,
             };
-            let slow_ms = self.troubles.slow_state.get(&waiter.node).copied();
-            let at = self.now + DELAY_MS + self.draw(slow_ms);
+            let slow_ms = self
+                .faults
+                .max_state_response_delay_ms
+                .get(&caller.node)
+                .copied();
+            let at = self.now + MESSAGE_DELAY_MS + self.random_up_to(slow_ms);
             self.reply(at, sender, Ok((200, body)));
         }
     }
 }
 
-fn waiter_of(sender: Sender) -> Waiter {
-    Waiter {
+fn caller_of(sender: Sender) -> Caller {
+    Caller {
         node: sender.node,
         call: sender.call,
     }
@@ -211,8 +236,8 @@
     call.path == "/multi"
 }
 
-/// Whether a transaction writes a key with this prefix.
-fn changes(body: &[u8], prefix: &str) -> bool {
+/// Whether a transaction puts a key with this prefix.
+fn writes_key_with(body: &[u8], prefix: &str) -> bool {
     let Ok(txn) = wire::decode::<Txn>(body) else {
         return false;
     };
--- a/crates/fakes/src/network/workers.rs
+++ b/crates/fakes/src/network/workers.rs
@@ -1,25 +1,27 @@
-//! Messages to workers: direct orders, and answers to their reports.
+//! Delivery of messages to workers: direct orders, and responses to their reports.
 
 use crate::events::Event;
-use crate::fleet::REPORT_DROP_MS;
+use crate::fleet::REPORT_TIMEOUT_MS;
 use crate::jobs::behaviour_of;
 use crate::World;
 use wire::workers::{DirectOrders, HeartbeatResponse, Order, Redirect};
 
-/// Milliseconds until a worker reports to the leader of a newer term.
-const NEW_TERM_REPORT_MS: u64 = 500;
-/// Milliseconds until a worker without a named leader tries the next node.
-const NEXT_NODE_MS: u64 = 1_000;
+/// Maximum delay in milliseconds until a worker reports again after it has learned of a newer term.
+const NEW_TERM_REPORT_DELAY_MS: u64 = 500;
+/// Milliseconds until a worker that was redirected without a named leader reports to the next node.
+const NEXT_NODE_DELAY_MS: u64 = 1_000;
 
 impl World {
-    /// Until when messages to a machine are delayed, because of a trouble or because it hangs.
+    /// Time until which messages to a machine are delayed, by an injected delay or because its worker hangs.
     fn delayed_until(&self, machine: &str) -> Option<u64> {
         let hung = self.workers.get(machine).map(|worker| worker.hung_until);
         let hung = hung.filter(|until| self.now < *until);
-        self.troubles.held_until(machine, self.now).max(hung)
+        self.faults
+            .messages_delayed_until(machine, self.now)
+            .max(hung)
     }
 
-    /// A worker's own address gets orders.
+    /// Handles the arrival of direct orders at a worker.
     pub(super) fn deliver_orders(&mut self, from: usize, machine: String, body: Vec<u8>) {
         if let Some(until) = self.delayed_until(&machine) {
             let event = Event::ToWorker {
@@ -27,7 +29,7 @@
                 machine,
                 body,
             };
-            return self.push(until, event);
+            return self.schedule(until, event);
         }
         let Ok(direct) = wire::decode::<DirectOrders>(&body) else {
             return;
@@ -36,90 +38,100 @@
             return;
         };
         let is_connected =
-            self.stuck_workers.is_none() && worker.only.is_none_or(|only| only == from);
-        let is_reached = is_connected && self.now >= worker.cut_until && !worker.one_way;
+            self.only_reachable_node.is_none() && worker.only_node.is_none_or(|only| only == from);
+        let is_reached =
+            is_connected && self.now >= worker.disconnected_until && !worker.receives_nothing;
         if is_reached && direct.term >= worker.term && direct.incarnation == worker.incarnation {
             worker.term = direct.term;
             self.execute_orders(&machine, &direct.orders);
         }
     }
 
-    /// A worker executes orders.
+    /// Makes a worker execute orders, and records its starts of tasks.
     fn execute_orders(&mut self, machine: &str, orders: &[Order]) {
-        let (jobs, now) = (&self.behaviour, self.now);
+        let (jobs, now) = (&self.task_behaviour, self.now);
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        let started = worker.execute(orders, |task| behaviour_of(jobs, task), now);
+        let started = worker.execute_orders(orders, |task| behaviour_of(jobs, task), now);
         for (task, attempt) in started {
-            self.rules.started(&task, attempt, machine, now);
+            self.rules.task_started(&task, attempt, machine, now);
         }
     }
 
-    /// The answer to a worker's report arrives, unless it is delayed further.
-    pub(super) fn deliver_answer(&mut self, machine: String, seq: u64, status: u16, body: Vec<u8>) {
+    /// Handles the response to a worker's report, unless it is delayed further.
+    pub(super) fn deliver_report_response(
+        &mut self,
+        machine: String,
+        seq: u64,
+        status: u16,
+        body: Vec<u8>,
+    ) {
         match self.delayed_until(&machine) {
             Some(until) => {
-                let event = Event::Answer {
+                let event = Event::ReportResponse {
                     machine,
                     seq,
                     status,
                     body,
                 };
-                self.push(until, event);
+                self.schedule(until, event);
             }
-            None => self.on_answer(&machine, seq, status, &body),
+            None => self.on_report_response(&machine, seq, status, &body),
         }
     }
 
-    fn on_answer(&mut self, machine: &str, seq: u64, status: u16, body: &[u8]) {
+    fn on_report_response(&mut self, machine: &str, seq: u64, status: u16, body: &[u8]) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        let in_flight = worker.in_flight;
+        let in_flight = worker.report_in_flight;
         let Some((sent, _)) = in_flight.filter(|(_, number)| *number == seq) else {
             return;
         };
-        if now < worker.cut_until || worker.one_way || now > sent + REPORT_DROP_MS {
+        if now < worker.disconnected_until
+            || worker.receives_nothing
+            || now > sent + REPORT_TIMEOUT_MS
+        {
             return;
         }
-        if worker.lose_answers > 0 {
-            worker.lose_answers -= 1;
+        if worker.responses_to_lose > 0 {
+            worker.responses_to_lose -= 1;
             return;
         }
-        worker.in_flight = None;
+        worker.report_in_flight = None;
         match status {
             200 => self.on_heartbeat_response(machine, sent, body),
             _ => self.on_redirect(machine, body),
         }
     }
 
-    /// A leader or an owner answered the report that was sent at `sent`.
+    /// Handles the response of a leader or an owner to the report that was sent at `sent`.
     fn on_heartbeat_response(&mut self, machine: &str, sent: u64, body: &[u8]) {
-        let Ok(answer) = wire::decode::<HeartbeatResponse>(body) else {
+        let Ok(response) = wire::decode::<HeartbeatResponse>(body) else {
             return;
         };
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        if answer.term < worker.term {
+        if response.term < worker.term {
             return;
         }
-        if answer.term > worker.term {
-            worker.report_at = worker.report_at.min(now + NEW_TERM_REPORT_MS);
+        if response.term > worker.term {
+            worker.next_report_at = worker.next_report_at.min(now + NEW_TERM_REPORT_DELAY_MS);
         }
-        worker.term = answer.term;
-        worker.lease_from = sent;
-        worker.redirects = 0;
-        if let Some(delays) = &mut self.answer_delays_ms {
+        worker.term = response.term;
+        worker.lease_start = sent;
+        worker.redirect_count = 0;
+        if let Some(delays) = &mut self.report_latencies_ms {
             delays.push(now - sent);
         }
-        self.execute_orders(machine, &answer.orders);
+        self.execute_orders(machine, &response.orders);
     }
 
-    /// A node sent the worker elsewhere: to the node that it named, or else to the next one.
+    /// Handles a redirect: the worker switches to the named node, or else to the next one.
     fn on_redirect(&mut self, machine: &str, body: &[u8]) {
         let named = wire::decode::<Redirect>(body).ok();
         let label = named.and_then(|named| named.leader);
@@ -132,13 +144,13 @@
         match leader.filter(|leader| *leader != worker.node) {
             Some(leader) => {
                 worker.node = leader;
-                worker.report_at = now;
-                worker.redirects += 1;
-                worker.most_redirects = worker.most_redirects.max(worker.redirects);
+                worker.next_report_at = now;
+                worker.redirect_count += 1;
+                worker.max_redirect_count = worker.max_redirect_count.max(worker.redirect_count);
             }
             None => {
                 worker.node = (worker.node + 1) % nodes;
-                worker.report_at = now + NEXT_NODE_MS;
+                worker.next_report_at = now + NEXT_NODE_DELAY_MS;
             }
         }
     }
--- a/crates/fakes/src/rules.rs
+++ b/crates/fakes/src/rules.rs
@@ -1,23 +1,24 @@
-//! The protocol's rules, checked against observations. This module knows nothing of the simulation: it is given the
-//! answers to users and the tasks that are on machines.
+//! Checks the protocol's rules against observations. This module does not depend on the simulation: it receives the
+//! responses to users and the tasks that are on machines.
 
-mod answers;
 mod placement;
+mod responses;
 
 use crate::jobs::job_of;
-use answers::Unanswered;
 use control::settings::Team;
+use responses::UnansweredPeriod;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::{Phase, Submission};
 
-/// Milliseconds after a confirmed cancellation from which a start counts as late: more than a message takes.
-const LATE_START_MS: u64 = 500;
-/// Milliseconds for which a task may wait while a machine has room for it.
-const WAITING_MS: u64 = 90_000;
+/// Milliseconds after a confirmed cancellation until which a start does not count as late. It exceeds the delay of a
+/// message.
+const LATE_START_TOLERANCE_MS: u64 = 500;
+/// Milliseconds for which a task may wait while a machine has enough free resources.
+const MAX_WAITING_MS: u64 = 90_000;
 
-/// What a user asks.
+/// Kind of a user request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Question {
+pub enum RequestKind {
     /// `POST /submissions`.
     Submit,
     /// `GET /submissions/{id}`.
@@ -26,166 +27,168 @@
     Abort,
 }
 
-impl Question {
-    /// Milliseconds for which a user waits for the answer.
+impl RequestKind {
+    /// Milliseconds for which a user waits for the response.
     fn timeout_ms(self) -> u64 {
         match self {
-            Question::Status => 2_000,
-            Question::Submit | Question::Abort => 5_000,
+            RequestKind::Status => 2_000,
+            RequestKind::Submit | RequestKind::Abort => 5_000,
         }
     }
 }
 
-/// A task on a machine, from the moment it has its image.
+/// A task on a machine. Tasks that still fetch their image are not included.
 #[derive(Debug, Clone, Copy)]
-pub struct Placed<'a> {
-    /// Machine.
+pub struct PlacedTask<'a> {
+    /// Name of the machine.
     pub machine: &'a str,
-    /// Its type.
-    pub kind: &'a str,
-    /// Its zone.
+    /// Type of the machine.
+    pub machine_type: &'a str,
+    /// Zone of the machine.
     pub zone: &'a str,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Task.
+    /// Name of the task.
     pub task: &'a str,
-    /// Attempt.
+    /// Number of the attempt.
     pub attempt: u64,
 }
 
-/// Progress of a job, as far as users know.
+/// Progress of a job as known to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     Open,
     Final,
 }
 
-/// A question without an answer, with what the users knew when it was sent.
-struct PendingQuestion {
-    question: Question,
+/// A request without a response yet.
+struct PendingRequest {
+    kind: RequestKind,
     job: String,
-    sent: u64,
+    sent_at: u64,
+    /// What users knew about the job when the request was sent.
     known: Option<Stage>,
 }
 
-/// All jobs by name, as users submitted them.
-pub type Jobs = BTreeMap<String, Submission>;
+/// Submitted jobs by name.
+pub type JobsByName = BTreeMap<String, Submission>;
 
-/// The rules, and the observations that they are checked against.
+/// Records observations and checks the rules against them.
 #[derive(Default)]
-pub struct Rules {
+pub struct RuleChecker {
     teams: Vec<Team>,
     cancel_ms: u64,
-    /// Rules that were broken. Each breach is listed once.
-    pub broken: Vec<String>,
-    listed: BTreeSet<String>,
-    /// Starts that a worker executed well after a confirmed cancellation of their job. They are counted, and break no
-    /// rule.
+    /// Violations found so far, each listed once.
+    pub violations: Vec<String>,
+    reported: BTreeSet<String>,
+    /// Starts that a worker executed more than the tolerated delay after the confirmed cancellation of their job. They
+    /// are counted, but violate no rule.
     pub late_starts: Vec<String>,
-    pending: BTreeMap<u64, PendingQuestion>,
-    known: BTreeMap<String, Stage>,
-    /// Final phases that users were answered.
-    ends: BTreeMap<String, Phase>,
-    /// Jobs whose cancellation was confirmed to their user, and when.
+    pending: BTreeMap<u64, PendingRequest>,
+    known_stages: BTreeMap<String, Stage>,
+    /// Final phases that users were told, by job.
+    final_phases: BTreeMap<String, Phase>,
+    /// Time at which the cancellation of each cancelled job was confirmed to its user.
     cancelled: BTreeMap<String, u64>,
     submitted: BTreeSet<String>,
-    /// Jobs whose user asked to cancel them.
+    /// Jobs whose cancellation a user requested.
     cancel_requested: BTreeSet<String>,
-    /// Tasks that completed on some machine.
+    /// Tasks that have completed on any machine.
     completed: BTreeSet<String>,
-    /// Tasks with constraints on their place that were on machines at the last check, with machine and attempt.
+    /// Task, machine and attempt of the tasks with placement constraints that were on machines at the last check.
     constrained: BTreeSet<(String, String, u64)>,
-    /// When all troubles were over, if they are.
-    healed_at: Option<u64>,
-    unanswered: BTreeMap<String, Unanswered>,
-    waiting: BTreeMap<String, u64>,
+    /// Time at which all faults ended, if they have ended.
+    faults_ended_at: Option<u64>,
+    unanswered: BTreeMap<String, UnansweredPeriod>,
+    /// Time since which a job has been waiting although a machine has enough free resources.
+    waiting_since: BTreeMap<String, u64>,
 }
 
-impl Rules {
-    /// Rules for these teams. The tasks of a cancelled job must have ended within `cancel_s`.
+impl RuleChecker {
+    /// Checks the quotas of these teams. The tasks of a cancelled job must have ended within `cancel_s`.
     pub fn new(teams: Vec<Team>, cancel_s: f64) -> Self {
-        Rules {
+        RuleChecker {
             teams,
             cancel_ms: (cancel_s * 1000.0) as u64,
-            ..Rules::default()
+            ..RuleChecker::default()
         }
     }
 
-    /// Lists a breach, once.
-    fn report(&mut self, breach: String, now: u64) {
-        if self.listed.insert(breach.clone()) {
-            self.broken.push(format!("{breach} at {now}"));
+    /// Adds a violation to the list unless it is there already.
+    fn report_violation(&mut self, violation: String, now: u64) {
+        if self.reported.insert(violation.clone()) {
+            self.violations.push(format!("{violation} at {now}"));
         }
     }
 
-    /// All troubles are over from now on.
-    pub fn troubles_over(&mut self, now: u64) {
-        self.healed_at = Some(now);
+    /// Records that all faults have ended.
+    pub fn faults_ended(&mut self, now: u64) {
+        self.faults_ended_at = Some(now);
         self.unanswered.clear();
-        self.waiting.clear();
+        self.waiting_since.clear();
     }
 
-    /// The cancellation of a job was confirmed by somebody other than a node of this world.
-    pub fn confirm_cancelled(&mut self, job: &str, now: u64) {
+    /// Records the cancellation of a job that was confirmed by a process outside the simulated cluster.
+    pub fn record_cancellation(&mut self, job: &str, now: u64) {
         self.cancel_requested.insert(job.to_string());
         self.cancelled.entry(job.to_string()).or_insert(now);
     }
 
-    /// When the cancellation of a job was first confirmed to its user.
+    /// Time at which the cancellation of a job was first confirmed to its user.
     pub fn cancelled_at(&self, job: &str) -> Option<u64> {
         self.cancelled.get(job).copied()
     }
 
-    /// Whether users know that a job is accepted.
+    /// Whether the acceptance of a job was confirmed to a user.
     pub fn is_accepted(&self, job: &str) -> bool {
-        self.known.contains_key(job)
+        self.known_stages.contains_key(job)
     }
 
-    /// Whether a job's user asked to cancel it.
-    pub fn is_called_off(&self, job: &str) -> bool {
+    /// Whether a user requested the cancellation of a job.
+    pub fn is_cancel_requested(&self, job: &str) -> bool {
         self.cancel_requested.contains(job)
     }
 
-    /// The final phase that users were answered.
-    pub fn end(&self, job: &str) -> Option<Phase> {
-        self.ends.get(job).copied()
+    /// The final phase of a job that users were told.
+    pub fn final_phase(&self, job: &str) -> Option<Phase> {
+        self.final_phases.get(job).copied()
     }
 
-    /// A worker executed a start.
-    pub fn started(&mut self, task: &str, attempt: u64, machine: &str, now: u64) {
+    /// Records that a worker started a task.
+    pub fn task_started(&mut self, task: &str, attempt: u64, machine: &str, now: u64) {
         let cancelled = self.cancelled.get(job_of(task));
-        if let Some(at) = cancelled.filter(|at| now > **at + LATE_START_MS) {
+        if let Some(at) = cancelled.filter(|at| now > **at + LATE_START_TOLERANCE_MS) {
             let late = now - at;
             let start = format!("{task} try {attempt} on {machine} at {now}, {late} ms after");
             self.late_starts.push(start);
         }
     }
 
-    /// A task completed on its machine.
-    pub fn completed(&mut self, task: impl Into<String>) {
+    /// Records that a task completed on its machine.
+    pub fn task_completed(&mut self, task: impl Into<String>) {
         self.completed.insert(task.into());
     }
 
-    /// Whether a task has completed on some machine.
+    /// Whether a task has completed on any machine.
     pub fn has_completed(&self, task: &str) -> bool {
         self.completed.contains(task)
     }
 
-    /// How many tasks have completed so far.
-    pub fn completions(&self) -> usize {
+    /// Number of tasks that have completed so far.
+    pub fn completed_task_count(&self) -> usize {
         self.completed.len()
     }
 
-    /// Notes whether a job's only task waits now although a machine has room for it and its team may use more. To be
-    /// called regularly. It counts once all troubles are over.
-    pub fn note_waiting(&mut self, job: &str, waits: bool, now: u64) {
-        if !waits || self.healed_at.is_none() {
-            self.waiting.remove(job);
+    /// Records whether a job's only task is waiting although a machine has enough free resources and its team's quota
+    /// allows the task. Must be called regularly. Has an effect only after all faults have ended.
+    pub fn observe_waiting(&mut self, job: &str, is_waiting: bool, now: u64) {
+        if !is_waiting || self.faults_ended_at.is_none() {
+            self.waiting_since.remove(job);
             return;
         }
-        let since = *self.waiting.entry(job.to_string()).or_insert(now);
-        if now > since + WAITING_MS {
-            self.report(format!("left_waiting {job} since {since}"), now);
+        let since = *self.waiting_since.entry(job.to_string()).or_insert(now);
+        if now > since + MAX_WAITING_MS {
+            self.report_violation(format!("left_waiting {job} since {since}"), now);
         }
     }
 }
--- a/crates/fakes/src/rules/placement.rs
+++ b/crates/fakes/src/rules/placement.rs
@@ -1,22 +1,22 @@
-//! Which tasks may be on machines, and where.
+//! Checks of which tasks are on machines, and on which machines.
 
-use super::{Jobs, Placed, Rules};
+use super::{JobsByName, PlacedTask, RuleChecker};
 use crate::jobs::job_of;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::Submission;
 
 /// Amount by which sums of resources may exceed a limit because of rounding.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// CPUs and GPUs in use, by team.
 type UsageByTeam<'a> = BTreeMap<&'a str, (f64, f64)>;
 
-impl Rules {
-    /// Checks all tasks that are on machines now. `is_done` tells whether a job is recorded as done.
+impl RuleChecker {
+    /// Checks all tasks that are on machines. `is_done` returns whether a job is recorded as done.
     pub fn check_placement(
         &mut self,
-        placed: &[Placed<'_>],
-        jobs: &Jobs,
+        placed: &[PlacedTask<'_>],
+        jobs: &JobsByName,
         is_done: impl Fn(&str) -> bool,
         now: u64,
     ) {
@@ -25,7 +25,7 @@
         for placement in placed {
             let (task, machine) = (placement.task, placement.machine);
             if let Some(other) = seen.insert(task, machine) {
-                self.report(format!("ran_twice {task} on {other} and {machine}"), now);
+                self.report_violation(format!("ran_twice {task} on {other} and {machine}"), now);
             }
             self.check_cancelled(placement, now);
             let Some(job) = jobs.get(job_of(task)) else {
@@ -35,43 +35,43 @@
             *cpus += job.cpus;
             *gpus += job.gpus;
             for need in job.needs.iter().filter(|need| !is_done(need)) {
-                self.report(format!("too_early {task} before {need}"), now);
+                self.report_violation(format!("too_early {task} before {need}"), now);
             }
         }
         self.check_quotas(&used, now);
         self.check_constraints(placed, jobs, now);
     }
 
-    /// The tasks of a cancelled job must end within the time allowed.
-    fn check_cancelled(&mut self, placement: &Placed<'_>, now: u64) {
+    /// The tasks of a cancelled job must end within the time that the settings allow.
+    fn check_cancelled(&mut self, placement: &PlacedTask<'_>, now: u64) {
         let cancelled = self.cancelled.get(job_of(placement.task));
         if cancelled.is_some_and(|at| now > at + self.cancel_ms) {
             let (task, attempt) = (placement.task, placement.attempt);
             let machine = placement.machine;
-            let breach = format!("ran_cancelled {task} try {attempt} on {machine}");
-            self.report(breach, now);
+            let violation = format!("ran_cancelled {task} try {attempt} on {machine}");
+            self.report_violation(violation, now);
         }
     }
 
     fn check_quotas(&mut self, used: &UsageByTeam<'_>, now: u64) {
-        let exceeds = |sum: f64, max: f64| max > 0.0 && sum > max + ROUNDING;
-        let mut breaches = Vec::new();
+        let exceeds = |sum: f64, max: f64| max > 0.0 && sum > max + ROUNDING_TOLERANCE;
+        let mut exceeded_quotas = Vec::new();
         for team in &self.teams {
             let (cpus, gpus) = used.get(team.name.as_str()).copied().unwrap_or_default();
             if exceeds(cpus, team.cpus_max) || exceeds(gpus, team.gpus_max) {
-                breaches.push(format!("quota {}: {cpus} cpus, {gpus} gpus", team.name));
+                exceeded_quotas.push(format!("quota {}: {cpus} cpus, {gpus} gpus", team.name));
             }
         }
-        for breach in breaches {
-            self.report(breach, now);
+        for violation in exceeded_quotas {
+            self.report_violation(violation, now);
         }
     }
 
-    /// Checks where newly placed tasks are. Only the place at the start counts, given where the other tasks of the job
-    /// are.
-    fn check_constraints(&mut self, placed: &[Placed<'_>], jobs: &Jobs, now: u64) {
+    /// Checks the placement constraints of tasks that have been placed since the last call. Each placement is checked
+    /// once, against the other tasks that the job has on machines at that moment.
+    fn check_constraints(&mut self, placed: &[PlacedTask<'_>], jobs: &JobsByName, now: u64) {
         let mut constrained = BTreeSet::new();
-        let mut by_job: BTreeMap<&str, Vec<&Placed<'_>>> = BTreeMap::new();
+        let mut by_job: BTreeMap<&str, Vec<&PlacedTask<'_>>> = BTreeMap::new();
         for placement in placed {
             let id = job_of(placement.task);
             if jobs.get(id).is_some_and(is_constrained) {
@@ -86,12 +86,12 @@
             let (Some(job), Some(tasks)) = (jobs.get(id), by_job.get(id)) else {
                 continue;
             };
-            let Some(placement) = tasks.iter().find(|other| is_at(other, &key)) else {
+            let Some(placement) = tasks.iter().find(|other| matches_key(other, &key)) else {
                 continue;
             };
             let (task, machine) = (placement.task, placement.machine);
-            for what in violations(placement, job, tasks) {
-                self.report(format!("wrong_place {task} on {machine}: {what}"), now);
+            for what in violated_constraints(placement, job, tasks) {
+                self.report_violation(format!("wrong_place {task} on {machine}: {what}"), now);
             }
         }
     }
@@ -100,31 +100,32 @@
 /// Task, machine and attempt.
 type PlacementKey = (String, String, u64);
 
-fn is_at(placement: &Placed<'_>, (task, machine, attempt): &PlacementKey) -> bool {
+fn matches_key(placement: &PlacedTask<'_>, (task, machine, attempt): &PlacementKey) -> bool {
     placement.task == task && placement.machine == machine && placement.attempt == *attempt
 }
 
-fn key_of(placement: &Placed<'_>) -> PlacementKey {
+fn key_of(placement: &PlacedTask<'_>) -> PlacementKey {
     let (task, machine) = (placement.task.to_string(), placement.machine.to_string());
     (task, machine, placement.attempt)
 }
 
-/// Whether a job's tasks may not be on every machine.
+/// Whether a job has placement constraints.
 fn is_constrained(job: &Submission) -> bool {
     job.zone.is_some() || job.types.is_some() || !job.spot || job.one_zone || job.spread
 }
 
-/// Which constraints of a job a task's place violates, given all tasks of the job.
-fn violations(
-    placement: &Placed<'_>,
+/// Names of the placement constraints that a task violates. `tasks` are all tasks of the job on machines.
+fn violated_constraints(
+    placement: &PlacedTask<'_>,
     job: &Submission,
-    tasks: &[&Placed<'_>],
+    tasks: &[&PlacedTask<'_>],
 ) -> impl Iterator<Item = &'static str> {
     let in_zone = tasks.iter().filter(|other| other.zone == placement.zone);
     let in_zone = in_zone.count() as u64;
     let zone = job.zone.as_deref();
     let types = job.types.as_ref();
-    let is_other_type = |types: &Vec<String>| !types.iter().any(|kind| kind == placement.kind);
+    let is_other_type =
+        |types: &Vec<String>| !types.iter().any(|kind| kind == placement.machine_type);
     let checks = [
         (zone.is_some_and(|zone| zone != placement.zone), "zone"),
         (types.is_some_and(is_other_type), "type"),
--- a/crates/fakes/src/state.rs
+++ b/crates/fakes/src/state.rs
@@ -1,19 +1,19 @@
-//! The state service, as its protocol page describes it.
+//! A simulated state service that follows the protocol of the state service.
 
 mod leases;
 mod limits;
 mod transactions;
 mod watches;
 
-pub use limits::{FakeLimits, RequestCounts};
-pub use watches::{Waiter, Watch};
+pub use limits::{RequestCounts, StateServiceLimits};
+pub use watches::{Caller, Watch};
 
 use leases::ActiveLease;
 use limits::TokenBucket;
 use std::collections::BTreeMap;
 use wire::state::{to_value, Change, Item, Page, Txn, Write};
 
-/// Status and body.
+/// Status and body of a response.
 type Response = (u16, Vec<u8>);
 
 struct Entry {
@@ -22,21 +22,21 @@
     lease: Option<u64>,
 }
 
-/// Keys, leases and changes.
+/// The state service: its records, leases, watches and changes.
 #[derive(Default)]
-pub struct FakeState {
+pub struct FakeStateService {
     /// Limits, if any. They may be lowered at any time.
-    pub limits: Option<FakeLimits>,
+    pub limits: Option<StateServiceLimits>,
     request_tokens: TokenBucket,
     write_tokens: TokenBucket,
-    /// Transactions refused as too large.
-    pub too_large: u64,
-    /// Transactions refused for their rate.
-    pub too_many: u64,
-    /// Requests refused for their rate.
-    pub too_frequent: u64,
-    /// Requests by kind.
-    pub counts: RequestCounts,
+    /// Number of transactions refused for their size.
+    pub oversized_txns: u64,
+    /// Number of transactions refused for exceeding the write rate.
+    pub throttled_txns: u64,
+    /// Number of requests refused for exceeding the request rate.
+    pub throttled_requests: u64,
+    /// Number of requests of each kind.
+    pub request_counts: RequestCounts,
     entries: BTreeMap<String, Entry>,
     leases: BTreeMap<u64, ActiveLease>,
     /// All changes so far, for watches.
@@ -45,21 +45,21 @@
     next_lease: u64,
     /// Open watches.
     pub watches: Vec<Watch>,
-    /// Puts and deletes so far.
-    pub writes: u64,
-    /// Bytes of the values put so far, as JSON.
-    pub bytes_written: usize,
-    /// Requests so far.
-    pub requests: u64,
+    /// Number of puts and deletes so far.
+    pub write_count: u64,
+    /// Total size of the values put so far, in bytes of JSON.
+    pub written_bytes: usize,
+    /// Number of requests so far.
+    pub request_count: u64,
 }
 
-impl FakeState {
-    /// Reads a record, for tests.
+impl FakeStateService {
+    /// Reads a record directly. Returns `None` if the key does not exist or its value is not a `T`.
     pub fn read<T: serde::de::DeserializeOwned>(&self, key: &str) -> Option<T> {
         self.entries.get(key)?.value.deserialized().ok()
     }
 
-    /// Writes a record without conditions, as a process outside this world would.
+    /// Writes a record without conditions, as a process outside the simulated cluster would.
     pub fn write<T: serde::Serialize>(&mut self, key: &str, record: &T, lease: Option<u64>) {
         let value = to_value(record);
         let key = key.to_string();
@@ -70,21 +70,21 @@
         });
     }
 
-    /// Version of a key, 0 if there is none.
+    /// Version of a key, 0 if the key does not exist.
     pub fn version(&self, key: &str) -> u64 {
         self.entries.get(key).map_or(0, |e| e.version)
     }
 
-    /// Removes a key without conditions.
-    pub fn erase(&mut self, key: &str) {
+    /// Deletes a key without conditions.
+    pub fn delete(&mut self, key: &str) {
         self.commit(Txn {
             compares: Vec::new(),
             writes: vec![Write::delete(key)],
         });
     }
 
-    /// Bytes of the largest value under a prefix.
-    pub fn largest(&self, prefix: &str) -> usize {
+    /// Size of the largest value under a prefix, in bytes of JSON.
+    pub fn largest_value_bytes(&self, prefix: &str) -> usize {
         let under = self.entries.iter().filter(|(k, _)| k.starts_with(prefix));
         under
             .map(|(_, e)| wire::json_bytes(&e.value))
@@ -92,26 +92,26 @@
             .unwrap_or(0)
     }
 
-    /// Keys under a prefix.
+    /// All keys under a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let under = self.entries.keys().filter(|k| k.starts_with(prefix));
         under.cloned().collect()
     }
 
-    /// Executes a request. Returns `None` for a watch, which is answered later.
+    /// Executes a request. Returns `None` for a watch, which [`FakeStateService::take_due_watches`] answers later.
     pub fn serve(
         &mut self,
         now: u64,
-        waiter: Waiter,
+        caller: Caller,
         method: &str,
         target: &str,
         body: &[u8],
     ) -> Option<Response> {
-        self.requests += 1;
-        self.counts.count(method, target, body);
+        self.request_count += 1;
+        self.request_counts.count(method, target, body);
         if let Some(limits) = self.limits {
             if !self.request_tokens.take(now, limits.rps, 1.0) {
-                self.too_frequent += 1;
+                self.throttled_requests += 1;
                 return Some((429, vec![]));
             }
         }
@@ -123,10 +123,10 @@
             return Some(self.serve_lease(now, method, rest, body));
         }
         if path == "/changes" {
-            self.open_watch(now, waiter, target);
+            self.open_watch(now, caller, target);
             return None;
         }
-        if let Some(prefix) = param(target, "under") {
+        if let Some(prefix) = query_param(target, "under") {
             return self.list(prefix, target);
         }
         let key = path.strip_prefix("/kv/").unwrap_or_default();
@@ -136,23 +136,23 @@
         })
     }
 
-    /// Opens a watch, unless a parameter is missing.
-    fn open_watch(&mut self, now: u64, waiter: Waiter, target: &str) -> Option<()> {
-        let from = param(target, "from").and_then(|from| from.parse().ok())?;
-        let hold_ms: u64 = param(target, "hold_ms").and_then(|hold| hold.parse().ok())?;
+    /// Opens a watch. Returns `None` if a parameter is missing.
+    fn open_watch(&mut self, now: u64, caller: Caller, target: &str) -> Option<()> {
+        let after_revision = query_param(target, "from").and_then(|from| from.parse().ok())?;
+        let hold_ms: u64 = query_param(target, "hold_ms").and_then(|hold| hold.parse().ok())?;
         self.watches.push(Watch {
-            waiter,
-            prefix: param(target, "under")?.to_string(),
-            from,
-            until: now + hold_ms,
+            caller,
+            prefix: query_param(target, "under")?.to_string(),
+            after_revision,
+            expires_at: now + hold_ms,
         });
         Some(())
     }
 
-    /// A page of the keys under a prefix.
+    /// A page of the records under a prefix. Returns `None` if the limit is missing.
     fn list(&self, prefix: &str, target: &str) -> Option<Response> {
-        let from = param(target, "from").unwrap_or_default();
-        let limit = param(target, "limit").and_then(|limit| limit.parse().ok())?;
+        let from = query_param(target, "from").unwrap_or_default();
+        let limit = query_param(target, "limit").and_then(|limit| limit.parse().ok())?;
         let under = self.entries.iter();
         let under = under.filter(|(key, _)| key.starts_with(prefix) && key.as_str() > from);
         let mut items: Vec<Item> = under
@@ -170,8 +170,8 @@
     }
 }
 
-/// A parameter of a request's query.
-fn param<'a>(target: &'a str, name: &str) -> Option<&'a str> {
+/// Value of a parameter in a request's query.
+fn query_param<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let query = target.split_once('?')?.1;
     let mut pairs = query.split('&');
     pairs.find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
--- a/crates/fakes/src/state/leases.rs
+++ b/crates/fakes/src/state/leases.rs
@@ -1,21 +1,21 @@
-//! Leases: keys that are removed when their lease expires.
+//! Leases, whose keys are removed when they end.
 
-use super::FakeState;
+use super::FakeStateService;
 use wire::state::{Lease, LeaseRequest};
 
 /// A lease that has not ended.
 pub(super) struct ActiveLease {
-    until: u64,
+    expires_at: u64,
     ttl_ms: u64,
 }
 
-impl FakeState {
-    /// Ends leases that have expired.
-    pub fn expire(&mut self, now: u64) {
+impl FakeStateService {
+    /// Ends the leases that have expired.
+    pub fn expire_leases(&mut self, now: u64) {
         let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| now >= lease.until)
+            .filter(|(_, lease)| now >= lease.expires_at)
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
@@ -41,9 +41,9 @@
     }
 
     /// Renews all leases, as the state service does after an outage.
-    pub fn refresh_leases(&mut self, now: u64) {
+    pub fn renew_all_leases(&mut self, now: u64) {
         for lease in self.leases.values_mut() {
-            lease.until = now + lease.ttl_ms;
+            lease.expires_at = now + lease.ttl_ms;
         }
     }
 
@@ -56,13 +56,13 @@
         body: &[u8],
     ) -> (u16, Vec<u8>) {
         if rest.is_empty() {
-            let Ok(ask) = wire::decode::<LeaseRequest>(body) else {
+            let Ok(lease_request) = wire::decode::<LeaseRequest>(body) else {
                 return (400, vec![]);
             };
             self.next_lease += 1;
-            let ttl_ms = ask.ttl_ms;
+            let ttl_ms = lease_request.ttl_ms;
             let granted = ActiveLease {
-                until: now + ttl_ms,
+                expires_at: now + ttl_ms,
                 ttl_ms,
             };
             self.leases.insert(self.next_lease, granted);
@@ -79,7 +79,7 @@
         }
         match self.leases.get_mut(&id) {
             Some(lease) => {
-                lease.until = now + lease.ttl_ms;
+                lease.expires_at = now + lease.ttl_ms;
                 (200, vec![])
             }
             None => (404, vec![]),
--- a/crates/fakes/src/state/limits.rs
+++ b/crates/fakes/src/state/limits.rs
@@ -1,52 +1,52 @@
-//! Limits of the state service, and counts of its requests.
+//! Limits of the state service, and counters of its requests.
 
 use wire::state::Txn;
 
-/// Tokens by which sums of parts may fall short of a whole.
-const ROUNDING: f64 = 1e-9;
+/// Tolerance for rounding errors in sums of fractional tokens.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// Limits of the state service.
 #[derive(Debug, Clone, Copy)]
-pub struct FakeLimits {
-    /// Bytes of a value, as JSON.
+pub struct StateServiceLimits {
+    /// Maximum size of a value, in bytes of JSON.
     pub value_bytes: usize,
-    /// Writes of a transaction at most, and a quarter of its conditions.
+    /// Maximum number of writes of a transaction. The maximum number of its conditions is four times as high.
     pub txn_ops: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Writes per second.
     pub write_rps: f64,
 }
 
-/// A token bucket that holds up to one second's worth of its rate.
+/// A token bucket with a capacity of one second of its rate.
 #[derive(Default)]
 pub(super) struct TokenBucket {
     tokens: f64,
-    at: u64,
+    refilled_at: u64,
 }
 
 impl TokenBucket {
-    /// Takes that many tokens if they are there, and none otherwise.
+    /// Takes `wanted` tokens if that many are available, and none otherwise.
     pub(super) fn take(&mut self, now: u64, rate: f64, wanted: f64) -> bool {
-        let passed = now.saturating_sub(self.at) as f64 / 1000.0;
+        let passed = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
         self.tokens = (self.tokens + passed * rate).min(rate);
-        self.at = now;
-        let granted = self.tokens + ROUNDING >= wanted;
+        self.refilled_at = now;
+        let granted = self.tokens + ROUNDING_TOLERANCE >= wanted;
         self.tokens -= if granted { wanted } else { 0.0 };
         granted
     }
 }
 
-/// How many requests of each kind have arrived, those refused for their rate included.
+/// Number of requests of each kind, including those refused for exceeding a rate.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Readings of one key.
+    /// Reads of a single key.
     pub reads: u64,
-    /// Readings of many keys.
+    /// Lists of keys.
     pub lists: u64,
-    /// Transactions that only compare.
+    /// Transactions without writes.
     pub comparisons: u64,
-    /// Transactions that write.
+    /// Transactions with writes.
     pub commits: u64,
     /// Leases granted, renewed or ended.
     pub leases: u64,
@@ -55,7 +55,7 @@
 }
 
 impl RequestCounts {
-    /// The difference to an earlier count.
+    /// Difference to an earlier count.
     pub fn since(&self, earlier: &RequestCounts) -> RequestCounts {
         RequestCounts {
             reads: self.reads - earlier.reads,
@@ -67,9 +67,9 @@
         }
     }
 
-    /// Requests that answers to users can have cost: single readings and comparisons. Single readings of the leader
-    /// are included.
-    pub fn questions(&self) -> u64 {
+    /// Number of requests that responses to users may require: reads of a single key and transactions without writes.
+    /// The single reads of the leader are included.
+    pub fn reads_and_comparisons(&self) -> u64 {
         self.reads + self.comparisons
     }
 
--- a/crates/fakes/src/state/transactions.rs
+++ b/crates/fakes/src/state/transactions.rs
@@ -1,10 +1,10 @@
-//! Transactions: writes that are executed together, under conditions on versions of keys.
+//! Transactions: writes that are executed atomically, under conditions on the versions of keys.
 
-use super::{Entry, FakeState, Response};
+use super::{Entry, FakeStateService, Response};
 use wire::state::{Change, Txn, TxnResponse, Write};
 
-impl FakeState {
-    /// Executes a transaction, unless it is beyond the limits.
+impl FakeStateService {
+    /// Executes a transaction unless it exceeds the limits.
     pub(super) fn serve_txn(&mut self, now: u64, body: &[u8]) -> Response {
         let Ok(txn) = wire::decode::<Txn>(body) else {
             return (400, vec![]);
@@ -15,7 +15,7 @@
         }
     }
 
-    /// Status of a transaction that goes beyond the limits.
+    /// Status of the response to a transaction that exceeds the limits, or `None` if it does not.
     fn refusal(&mut self, now: u64, txn: &Txn) -> Option<u16> {
         let limits = self.limits?;
         let is_large = |w: &Write| match w {
@@ -24,16 +24,16 @@
         };
         let has_many = txn.writes.len() > limits.txn_ops || txn.compares.len() > 4 * limits.txn_ops;
         if has_many || txn.writes.iter().any(is_large) {
-            self.too_large += 1;
+            self.oversized_txns += 1;
             return Some(400);
         }
         let wanted = txn.writes.len() as f64;
         let granted = self.write_tokens.take(now, limits.write_rps, wanted);
-        self.too_many += u64::from(!granted);
+        self.throttled_txns += u64::from(!granted);
         (!granted).then_some(429)
     }
 
-    /// Executes a transaction if its conditions hold and its leases exist.
+    /// Executes a transaction if its conditions hold and the leases of its writes exist.
     pub(super) fn commit(&mut self, txn: Txn) -> Response {
         let compares = txn.compares.iter();
         let failed: Vec<String> = compares
@@ -52,22 +52,22 @@
             return (400, b"no such lease".to_vec());
         }
         self.revision += u64::from(!txn.writes.is_empty());
-        self.writes += txn.writes.len() as u64;
+        self.write_count += txn.writes.len() as u64;
         for write in txn.writes {
             match write {
                 Write::Put { key, value, lease } => self.put(key, value, lease),
                 Write::Delete { key } => self.remove(&key),
             }
         }
-        let answer = TxnResponse {
+        let response = TxnResponse {
             failed: vec![],
             revision: self.revision,
         };
-        (200, wire::encode(&answer))
+        (200, wire::encode(&response))
     }
 
     fn put(&mut self, key: String, value: ciborium::Value, lease: Option<u64>) {
-        self.bytes_written += wire::json_bytes(&value);
+        self.written_bytes += wire::json_bytes(&value);
         let version = self.revision;
         self.log.push(Change {
             put: Some(key.clone()),
@@ -83,7 +83,7 @@
         self.entries.insert(key, entry);
     }
 
-    /// Removes a key under the present revision, if it exists.
+    /// Removes a key at the current revision, if the key exists.
     pub(super) fn remove(&mut self, key: &str) {
         if self.entries.remove(key).is_some() {
             self.log.push(Change {
--- a/crates/fakes/src/turns.rs
+++ b/crates/fakes/src/turns.rs
@@ -1,55 +1,55 @@
-//! Turns of nodes: what each is about and how long it took.
+//! Turns of nodes: the handling of one input or one wake-up each, with its kind and duration.
 
 use crate::HEARTBEAT_PATH;
 use control::{Input, Stopwatch};
 use wire::peers::PeerMessage;
 
-/// What a turn of a node is about.
+/// Kind of a turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TurnAbout {
-    /// A worker's report, directly or forwarded by a peer, or the answer to one that was forwarded.
+pub enum TurnKind {
+    /// A worker's report, directly or forwarded by a peer, or the response to a forwarded report.
     WorkerHeartbeat,
     /// Partitions: grants, permits, recalls.
     Partitions,
-    /// Another message, reply or request.
+    /// Any other message, reply or request.
     Other,
-    /// Time that passed.
+    /// Wake-up of the node by its timer.
     Tick,
 }
 
-impl TurnAbout {
-    /// The subject of an input.
+impl TurnKind {
+    /// Kind of the turn that handles an input.
     pub(crate) fn of(input: &Input) -> Self {
         match input {
-            Input::Request { target, .. } if target == HEARTBEAT_PATH => TurnAbout::WorkerHeartbeat,
+            Input::Request { target, .. } if target == HEARTBEAT_PATH => TurnKind::WorkerHeartbeat,
             Input::Peer { message, .. } => match message {
                 PeerMessage::Forward { target, .. } if target == HEARTBEAT_PATH => {
-                    TurnAbout::WorkerHeartbeat
+                    TurnKind::WorkerHeartbeat
                 }
-                PeerMessage::Forwarded { .. } => TurnAbout::WorkerHeartbeat,
-                PeerMessage::Partitions(_) => TurnAbout::Partitions,
-                _ => TurnAbout::Other,
+                PeerMessage::Forwarded { .. } => TurnKind::WorkerHeartbeat,
+                PeerMessage::Partitions(_) => TurnKind::Partitions,
+                _ => TurnKind::Other,
             },
-            _ => TurnAbout::Other,
+            _ => TurnKind::Other,
         }
     }
 }
 
-/// A turn of a node.
+/// The handling of one input or wake-up by a node.
 #[derive(Debug, Clone, Copy)]
 pub struct Turn {
-    /// The node.
+    /// Index of the node.
     pub node: usize,
-    /// What it was about.
-    pub about: TurnAbout,
-    /// Microseconds of the stopwatch that it took.
+    /// Kind of the turn.
+    pub kind: TurnKind,
+    /// Duration in microseconds, as measured by [`crate::World::stopwatch`].
     pub took_us: u64,
 }
 
 /// Records a turn that began at `started`, if turns are recorded.
-pub(crate) fn note_turn(
+pub(crate) fn record_turn(
     turns: &mut Option<Vec<Turn>>,
-    (node, about): (usize, TurnAbout),
+    (node, kind): (usize, TurnKind),
     started: u64,
     stopwatch: Stopwatch,
 ) {
@@ -57,7 +57,7 @@
         let took_us = stopwatch().saturating_sub(started);
         turns.push(Turn {
             node,
-            about,
+            kind,
             took_us,
         });
     }
--- a/crates/fakes/src/users.rs
+++ b/crates/fakes/src/users.rs
@@ -1,85 +1,97 @@
-//! Users: their requests, and the answers to them.
+//! Simulation of the users: their requests, and the responses to them.
 
-use crate::{Behaviour, Cut, Party, Question, World, DELAY_MS};
+use crate::{ConnectionFault, Party, RequestKind, TaskBehaviour, World, MESSAGE_DELAY_MS};
 use control::Input;
 use std::collections::BTreeSet;
 use wire::users::{JobStatus, Phase, Submission, SubmissionId};
 
+/// Steps of simulated time for which [`World::send_and_wait`] waits for a response: 3 s.
+const MAX_RESPONSE_STEPS: u64 = 300;
+
 impl World {
-    /// Sends a request to a node and waits for the answer, for 3 s at most.
-    pub fn ask(
+    /// Sends a user request to a node and waits up to 3 s for the response. Returns status 0 if there is none.
+    pub fn send_and_wait(
         &mut self,
         node: usize,
         method: &str,
         target: &str,
         body: Vec<u8>,
     ) -> (u16, Vec<u8>) {
-        let id = self.send(node, method, target, body);
-        for _ in 0..300 {
-            if let Some(answer) = self.answers.remove(&id) {
-                return answer;
+        let id = self.send_user_request(node, method, target, body);
+        for _ in 0..MAX_RESPONSE_STEPS {
+            if let Some(response) = self.responses.remove(&id) {
+                return response;
             }
             self.step();
         }
         (0, vec![])
     }
 
-    /// Sends a request of a user and does not wait: [`World::answer`] has the answer later.
-    pub fn send(&mut self, node: usize, method: &str, target: &str, body: Vec<u8>) -> u64 {
-        let question = match (method, target.strip_prefix("/submissions")) {
+    /// Sends a user request without waiting. [`World::take_response`] returns the response later.
+    pub fn send_user_request(
+        &mut self,
+        node: usize,
+        method: &str,
+        target: &str,
+        body: Vec<u8>,
+    ) -> u64 {
+        let kind_and_job = match (method, target.strip_prefix("/submissions")) {
             ("POST", Some("")) => wire::decode(&body)
                 .ok()
-                .map(|submitted: SubmissionId| (Question::Submit, submitted.id)),
+                .map(|submitted: SubmissionId| (RequestKind::Submit, submitted.id)),
             (_, Some(rest)) => {
                 let rest = rest.trim_start_matches('/');
                 Some(match rest.strip_suffix("/abort") {
-                    Some(id) => (Question::Abort, id.to_string()),
-                    None => (Question::Status, rest.to_string()),
+                    Some(id) => (RequestKind::Abort, id.to_string()),
+                    None => (RequestKind::Status, rest.to_string()),
                 })
             }
             _ => None,
         };
-        let lost = [Cut::Requests, Cut::Refused]
+        let lost = [ConnectionFault::RequestsLost, ConnectionFault::Refused]
             .iter()
-            .any(|cut| self.troubles.is_cut(node, Party::Users, *cut));
+            .any(|fault| self.faults.has_connection_fault(node, Party::Users, *fault));
         let id = if lost {
-            self.next_request += 1;
-            self.next_request
+            self.last_request_id += 1;
+            self.last_request_id
         } else {
             self.request(node, method, target, body)
         };
-        if let Some((question, job)) = question {
-            self.rules.sent(id, question, &job, self.now);
-            self.broken.append(&mut self.rules.broken);
+        if let Some((kind, job)) = kind_and_job {
+            self.rules.request_sent(id, kind, &job, self.now);
+            self.violations.append(&mut self.rules.violations);
         }
         id
     }
 
-    /// The answer to a request, once.
-    pub fn answer(&mut self, request: u64) -> Option<(u16, Vec<u8>)> {
-        self.answered_at.remove(&request);
-        self.answers.remove(&request)
+    /// Removes and returns the response to a request.
+    pub fn take_response(&mut self, request: u64) -> Option<(u16, Vec<u8>)> {
+        self.response_times.remove(&request);
+        self.responses.remove(&request)
     }
 
-    /// When a request was answered and with which status, once.
-    pub fn answer_at(&mut self, request: u64) -> Option<(u64, u16)> {
-        let at = self.answered_at.get(&request).copied()?;
-        self.answer(request).map(|(status, _)| (at, status))
+    /// Removes the response to a request, and returns its time and status.
+    pub fn take_response_time(&mut self, request: u64) -> Option<(u64, u16)> {
+        let at = self.response_times.get(&request).copied()?;
+        self.take_response(request).map(|(status, _)| (at, status))
     }
 
-    /// A node answers a user.
+    /// Records the response of a node to a user.
     pub(crate) fn respond(&mut self, request: u64, status: u16, body: Vec<u8>) {
-        let answer: Option<JobStatus> = wire::decode(&body).ok();
-        let dependencies = answer.as_ref().map(|answer| self.dependencies(&answer.id));
-        let about = (&self.jobs, &dependencies.unwrap_or_default());
-        let phase = answer.map(|answer| answer.phase);
-        self.rules.answered(request, status, phase, about, self.now);
-        self.broken.append(&mut self.rules.broken);
-        self.answers.insert(request, (status, body));
-        self.answered_at.insert(request, self.now);
+        let job_status: Option<JobStatus> = wire::decode(&body).ok();
+        let dependencies = job_status
+            .as_ref()
+            .map(|job_status| self.dependencies(&job_status.id));
+        let jobs_and_dependencies = (&self.jobs, &dependencies.unwrap_or_default());
+        let phase = job_status.map(|job_status| job_status.phase);
+        self.rules
+            .response_received(request, status, phase, jobs_and_dependencies, self.now);
+        self.violations.append(&mut self.rules.violations);
+        self.responses.insert(request, (status, body));
+        self.response_times.insert(request, self.now);
     }
 
-    /// Sends a request to a node.
+    /// Sends a request of a user or worker to a node.
     pub(crate) fn request(
         &mut self,
         node: usize,
@@ -87,58 +99,60 @@
         target: &str,
         body: Vec<u8>,
     ) -> u64 {
-        self.next_request += 1;
-        let id = self.next_request;
+        self.last_request_id += 1;
+        let id = self.last_request_id;
         let input = Input::Request {
             id,
             method: method.to_string(),
             target: target.to_string(),
             body,
         };
-        self.push_input(self.now + DELAY_MS, node, input);
+        self.schedule_input(self.now + MESSAGE_DELAY_MS, node, input);
         id
     }
 
-    /// Submits a job; returns the status.
-    pub fn submit(&mut self, node: usize, job: &Submission, behaviour: Behaviour) -> u16 {
-        self.describe(job, behaviour);
-        self.ask(node, "POST", "/submissions", wire::encode(job)).0
+    /// Submits a job and returns the status.
+    pub fn submit(&mut self, node: usize, job: &Submission, behaviour: TaskBehaviour) -> u16 {
+        self.upload_job(job, behaviour);
+        self.send_and_wait(node, "POST", "/submissions", wire::encode(job))
+            .0
     }
 
-    /// Uploads a job's description for the workers, as users do before they submit it.
-    pub fn describe(&mut self, job: &Submission, behaviour: Behaviour) {
+    /// Makes a job's description and the behaviour of its tasks known to the workers, as users do before they submit a
+    /// job.
+    pub fn upload_job(&mut self, job: &Submission, behaviour: TaskBehaviour) {
         if !self.rules.is_accepted(&job.id) {
             self.jobs.insert(job.id.clone(), job.clone());
         }
-        self.behaviour.insert(job.id.clone(), behaviour);
+        self.task_behaviour.insert(job.id.clone(), behaviour);
     }
 
-    /// Asks a node for the phases of many jobs at once.
+    /// Queries a node for the phases of many jobs at once.
     pub fn phases(&mut self, node: usize, ids: &[String]) -> Vec<Option<Phase>> {
         let targets = ids.iter().map(|id| format!("/submissions/{id}"));
         let sent: Vec<u64> = targets
-            .map(|t| self.send(node, "GET", &t, vec![]))
+            .map(|t| self.send_user_request(node, "GET", &t, vec![]))
             .collect();
-        self.run(2_000);
+        self.run_for(2_000);
         let read = |(status, body): (u16, Vec<u8>)| {
             let status: Option<JobStatus> = wire::decode(&body).ok().filter(|_| status == 200);
             status.map(|s| s.phase)
         };
         sent.iter()
-            .map(|id| self.answers.remove(id).and_then(read))
+            .map(|id| self.responses.remove(id).and_then(read))
             .collect()
     }
 
-    /// Asks for a job's phase.
+    /// Queries a node for the phase of a job.
     pub fn phase(&mut self, node: usize, id: &str) -> Option<Phase> {
-        let (status, body) = self.ask(node, "GET", &format!("/submissions/{id}"), vec![]);
+        let (status, body) = self.send_and_wait(node, "GET", &format!("/submissions/{id}"), vec![]);
         if status != 200 {
             return None;
         }
         wire::decode::<JobStatus>(&body).ok().map(|s| s.phase)
     }
 
-    /// Jobs that a job depends on, directly or through others.
+    /// Jobs that a job depends on, directly or transitively.
     fn dependencies(&self, id: &str) -> BTreeSet<String> {
         let mut all = BTreeSet::new();
         let mut stack = vec![id.to_string()];
@@ -152,9 +166,10 @@
         all
     }
 
-    /// Cancels a job.
+    /// Cancels a job and returns its phase, if the request was accepted.
     pub fn abort(&mut self, node: usize, id: &str) -> Option<Phase> {
-        let (status, body) = self.ask(node, "POST", &format!("/submissions/{id}/abort"), vec![]);
+        let (status, body) =
+            self.send_and_wait(node, "POST", &format!("/submissions/{id}/abort"), vec![]);
         if status != 200 {
             return None;
         }
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker, as the protocol page describes it: tokens, lease, orders, gangs.
+//! A simulated worker that follows the worker protocol: terms, lease, orders, gangs.
 
 mod orders;
 mod progress;
@@ -6,107 +6,107 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wire::workers::{EndCause, TaskPhase, TaskStatus, WorkerHeartbeat};
 
-/// A task on a fake machine.
+/// An attempt of a task on a simulated machine.
 #[derive(Debug, Clone)]
 pub struct FakeTask {
-    /// State.
+    /// Phase of the attempt.
     pub phase: TaskPhase,
-    /// Why it ended.
+    /// Cause of the end, if it has ended.
     pub cause: Option<EndCause>,
-    /// When it changes to the next state.
-    pub next_at: u64,
-    /// Since when other tasks of its gang are missing.
+    /// Time at which the current phase ends.
+    pub next_phase_at: u64,
+    /// Time since which other tasks of its gang have been missing.
     incomplete_since: Option<u64>,
 }
 
-/// Tasks of a gang's attempt on machines that don't hang.
+/// Numbers of tasks of one attempt of a gang, on machines that do not hang.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Gang {
+pub struct GangState {
     /// Tasks that have their image and have not ended.
     pub present: u32,
-    /// Those of them that wait for the others.
+    /// Present tasks that wait for the others.
     pub waiting: u32,
-    /// Those of them whose run time is over. They complete together.
+    /// Present tasks whose run time is over. The tasks of a gang complete together.
     pub due: u32,
 }
 
-/// How tasks of a job behave.
+/// Behaviour of the tasks of a job.
 #[derive(Debug, Clone, Copy)]
-pub struct Behaviour {
-    /// Milliseconds of image fetch.
-    pub fetch_ms: u64,
-    /// Milliseconds of running.
+pub struct TaskBehaviour {
+    /// Duration of the image fetch in milliseconds.
+    pub image_fetch_ms: u64,
+    /// Run time in milliseconds.
     pub run_ms: u64,
-    /// Milliseconds to save a checkpoint, 0 for tasks that take none.
-    pub save_ms: u64,
-    /// Size of its gang, 0 for arrays.
-    pub gang: u32,
-    /// Whether it ends with `error` when its run time is over, on every machine.
-    pub fails: bool,
+    /// Milliseconds to write a checkpoint, 0 for tasks without checkpoints.
+    pub checkpoint_write_ms: u64,
+    /// Number of tasks of the gang, 0 for arrays.
+    pub gang_size: u32,
+    /// Whether the tasks end with `error` after their run time, on every machine.
+    pub fails_after_run: bool,
 }
 
-/// One machine's worker.
+/// The simulated worker of one machine.
 pub struct FakeWorker {
-    /// Machine name.
+    /// Name of the machine.
     pub name: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Session.
+    /// Number of the session. A new session begins when the lease has expired.
     pub incarnation: u64,
-    /// Number of the last message.
+    /// Sequence number of the last report.
     pub seq: u64,
-    /// Highest token seen.
+    /// Highest term seen. Orders and responses of lower terms are ignored.
     pub term: u64,
     /// Tasks by name and attempt.
     pub tasks: BTreeMap<(String, u64), FakeTask>,
-    /// Node it reports to.
+    /// Index of the node that the worker reports to.
     pub node: usize,
-    /// When the next report is due.
-    pub report_at: u64,
-    /// Sent-time and number of the report in flight.
-    pub in_flight: Option<(u64, u64)>,
-    /// Sent-time of the last answered report, or start of the session.
-    pub lease_from: u64,
-    /// Until when it is cut off from the network.
-    pub cut_until: u64,
-    /// When the cloud takes it away, if it has given notice.
-    pub taken_at: Option<u64>,
-    /// Answers still to be lost on their way here.
-    pub lose_answers: u32,
-    /// Its reports arrive, but neither answers nor orders reach it.
-    pub one_way: bool,
-    /// Its reports reach no node, but direct orders reach it.
-    pub mute: bool,
-    /// Until when it hangs. Meanwhile it does nothing, and afterwards it executes what has arrived.
+    /// Time at which the next report is due.
+    pub next_report_at: u64,
+    /// Send time and sequence number of the report that awaits a response.
+    pub report_in_flight: Option<(u64, u64)>,
+    /// Start of the current lease: send time of the last answered report, or start of the session.
+    pub lease_start: u64,
+    /// Time until which the worker is disconnected from the network.
+    pub disconnected_until: u64,
+    /// Time at which the cloud reclaims the machine, if it has given notice.
+    pub reclaim_at: Option<u64>,
+    /// Number of responses to this worker that are still to be lost.
+    pub responses_to_lose: u32,
+    /// Whether responses and orders to the worker are lost, while its reports arrive.
+    pub receives_nothing: bool,
+    /// Whether the reports of the worker are lost, while direct orders reach it.
+    pub reports_lost: bool,
+    /// Time until which the worker hangs. It processes the messages that arrive meanwhile after this time.
     pub hung_until: u64,
-    /// When it was last active.
+    /// Time at which the worker was last active.
     active_at: u64,
-    /// The only node that it reaches and that reaches it.
-    pub only: Option<usize>,
-    /// Jobs whose image it has.
-    pub images: BTreeSet<String>,
+    /// The only node that can exchange messages with the worker, if not all can.
+    pub only_node: Option<usize>,
+    /// Jobs whose image is on the machine.
+    pub cached_images: BTreeSet<String>,
     /// Attempts started on this machine, in order.
-    pub started: Vec<(String, u64)>,
-    /// Every task ends with `error` here as soon as it has its image.
-    pub faulty: bool,
-    /// Redirects that it has followed since its last answer, and the most there were.
-    pub redirects: u32,
-    /// The most redirects that it followed until it was answered.
-    pub most_redirects: u32,
+    pub started_attempts: Vec<(String, u64)>,
+    /// Whether every task ends with `error` on this machine as soon as it has its image.
+    pub fails_all_tasks: bool,
+    /// Redirects followed since the last response of a leader or an owner.
+    pub redirect_count: u32,
+    /// Highest value of `redirect_count` so far.
+    pub max_redirect_count: u32,
 }
 
 impl FakeTask {
     fn end(&mut self, cause: EndCause) {
         self.phase = TaskPhase::Ended;
         self.cause = Some(cause);
-        self.next_at = u64::MAX;
+        self.next_phase_at = u64::MAX;
     }
 }
 
 impl FakeWorker {
-    /// A machine that has just come up.
+    /// The worker of a machine that has just booted.
     pub fn new(name: &str, zone: &str, spot: bool, now: u64) -> Self {
         FakeWorker {
             name: name.to_string(),
@@ -117,51 +117,51 @@
             term: 0,
             tasks: BTreeMap::new(),
             node: 0,
-            report_at: now,
-            in_flight: None,
-            lease_from: now,
-            cut_until: 0,
-            taken_at: None,
-            lose_answers: 0,
-            one_way: false,
-            mute: false,
+            next_report_at: now,
+            report_in_flight: None,
+            lease_start: now,
+            disconnected_until: 0,
+            reclaim_at: None,
+            responses_to_lose: 0,
+            receives_nothing: false,
+            reports_lost: false,
             hung_until: 0,
             active_at: now,
-            only: None,
-            images: BTreeSet::new(),
-            started: Vec::new(),
-            faulty: false,
-            redirects: 0,
-            most_redirects: 0,
+            only_node: None,
+            cached_images: BTreeSet::new(),
+            started_attempts: Vec::new(),
+            fails_all_tasks: false,
+            redirect_count: 0,
+            max_redirect_count: 0,
         }
     }
 
-    /// Whether the worker itself can exchange messages with all nodes.
-    pub fn is_reached(&self, now: u64) -> bool {
-        let is_connected = !self.one_way && !self.mute && self.only.is_none();
-        is_connected && now >= self.cut_until && now >= self.hung_until
+    /// Whether the worker can exchange messages with all nodes, disregarding faults of the nodes and of the network.
+    pub fn is_reachable(&self, now: u64) -> bool {
+        let is_connected = !self.receives_nothing && !self.reports_lost && self.only_node.is_none();
+        is_connected && now >= self.disconnected_until && now >= self.hung_until
     }
 
-    /// Ends its troubles, apart from the notice that it has.
-    pub fn heal(&mut self, now: u64) {
-        self.cut_until = self.cut_until.min(now);
+    /// Ends the worker's connection faults and hangs. A notice of the cloud stays in force.
+    pub fn end_faults(&mut self, now: u64) {
+        self.disconnected_until = self.disconnected_until.min(now);
         self.hung_until = self.hung_until.min(now);
-        self.lose_answers = 0;
-        self.one_way = false;
-        self.mute = false;
-        self.only = None;
+        self.responses_to_lose = 0;
+        self.receives_nothing = false;
+        self.reports_lost = false;
+        self.only_node = None;
     }
 
-    /// Adds a task to the counts of its gang's attempt.
-    pub fn join(&self, task: &str, attempt: u64, gang: &mut Gang, now: u64) {
+    /// Adds a task of this worker to the counts of its gang's attempt.
+    pub fn add_to_gang(&self, task: &str, attempt: u64, gang: &mut GangState, now: u64) {
         if let Some(state) = self.tasks.get(&(task.to_string(), attempt)) {
             gang.present += 1;
             gang.waiting += u32::from(state.phase == TaskPhase::Waiting);
-            gang.due += u32::from(state.phase == TaskPhase::Running && now >= state.next_at);
+            gang.due += u32::from(state.phase == TaskPhase::Running && now >= state.next_phase_at);
         }
     }
 
-    /// Its present report, under the next number.
+    /// The current report, with the next sequence number.
     pub fn report(&mut self, kind: &str, now: u64) -> WorkerHeartbeat {
         self.seq += 1;
         WorkerHeartbeat {
@@ -174,7 +174,7 @@
             seq: self.seq,
             term: self.term,
             notice_s: self
-                .taken_at
+                .reclaim_at
                 .map(|at| at.saturating_sub(now) as f64 / 1000.0),
             tasks: self
                 .tasks
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Tasks that occupy their place.
-    pub fn live(&self) -> impl Iterator<Item = (&String, u64)> {
+    /// Attempts that have their image and have not ended.
+    pub fn active_tasks(&self) -> impl Iterator<Item = (&String, u64)> {
         let is_live =
             |state: &FakeTask| !matches!(state.phase, TaskPhase::Ended | TaskPhase::Fetching);
         self.tasks
@@ -200,14 +200,14 @@
             .map(|((task, attempt), _)| (task, *attempt))
     }
 
-    /// Checks its clock. Ends its session if no report was answered for the time of a lease, also while it hangs.
-    /// After it has hung, its tasks continue where they were.
-    pub fn wake(&mut self, now: u64, lease_ms: u64) {
-        if now > self.lease_from + lease_ms {
+    /// Updates the worker to the current time. Starts a new session without tasks if no report was answered for the
+    /// duration of a lease, also while the worker hangs. After a hang, the tasks resume with their remaining time.
+    pub fn update_clock(&mut self, now: u64, lease_ms: u64) {
+        if now > self.lease_start + lease_ms {
             self.tasks.clear();
             self.incarnation += 1;
-            self.lease_from = now;
-            self.in_flight = None;
+            self.lease_start = now;
+            self.report_in_flight = None;
         }
         if now < self.hung_until {
             return;
@@ -216,7 +216,7 @@
         self.active_at = now.max(self.hung_until);
         if hung_ms > 0 && self.hung_until > 0 {
             for task in self.tasks.values_mut() {
-                task.next_at = task.next_at.saturating_add(hung_ms);
+                task.next_phase_at = task.next_phase_at.saturating_add(hung_ms);
             }
         }
     }
--- a/crates/fakes/src/worker/progress.rs
+++ b/crates/fakes/src/worker/progress.rs
@@ -1,41 +1,41 @@
-//! The progress of a worker's tasks.
+//! Progress of a worker's tasks over time.
 
-use super::orders::CHANGE_REPORT_MS;
-use super::{Behaviour, FakeTask, FakeWorker, Gang};
+use super::orders::CHANGE_REPORT_DELAY_MS;
+use super::{FakeTask, FakeWorker, GangState, TaskBehaviour};
 use crate::jobs::job_of;
 use wire::workers::{EndCause, TaskPhase};
 
-/// Milliseconds for which a task waits for the others of its gang.
-const GANG_WAIT_MS: u64 = 35_000;
+/// Milliseconds for which a task waits until all tasks of its gang are ready to run.
+const GANG_START_TIMEOUT_MS: u64 = 35_000;
 
-/// What has become of a task.
+/// Outcome of one step of a task.
 enum Progress {
     Unchanged,
     Changed,
-    /// It has completed just now.
+    /// The task has completed in this step.
     Completed,
 }
 
-/// What the progress of a task depends on.
-struct Context {
+/// Inputs to the progress of a task.
+struct StepContext {
     now: u64,
-    behaviour: Behaviour,
-    gang: Gang,
+    behaviour: TaskBehaviour,
+    gang: GangState,
     /// Milliseconds after which the running tasks of an incomplete gang end.
-    peer_ms: u64,
+    gang_peer_timeout_ms: u64,
 }
 
 impl FakeWorker {
-    /// Lets time pass for its tasks, given the time after which the tasks of an incomplete gang end. `gang` tells
-    /// which tasks of an attempt are present, `has_result` which tasks have completed before. Returns tasks that
-    /// completed.
-    pub fn advance(
+    /// Advances the tasks to the current time. Running tasks of an incomplete gang end after `gang_peer_timeout_ms`.
+    /// `gang` returns the counts of a gang's attempt, and `has_result` whether a task has completed before. Returns the
+    /// tasks that completed.
+    pub fn advance_tasks(
         &mut self,
         now: u64,
-        peer_ms: u64,
-        behave: impl Fn(&str) -> Option<Behaviour>,
+        gang_peer_timeout_ms: u64,
+        behaviour_of: impl Fn(&str) -> Option<TaskBehaviour>,
         has_result: impl Fn(&str) -> bool,
-        gang: impl Fn(&str, u64) -> Gang,
+        gang: impl Fn(&str, u64) -> GangState,
     ) -> Vec<String> {
         if now < self.hung_until {
             return Vec::new();
@@ -43,22 +43,22 @@
         let mut completed = Vec::new();
         let mut has_changed = false;
         for ((name, attempt), task) in &mut self.tasks {
-            let Some(behaviour) = behave(name) else {
+            let Some(behaviour) = behaviour_of(name) else {
                 continue;
             };
-            let context = Context {
+            let context = StepContext {
                 now,
                 behaviour,
-                gang: match behaviour.gang {
-                    0 => Gang::default(),
+                gang: match behaviour.gang_size {
+                    0 => GangState::default(),
                     _ => gang(job_of(name), *attempt),
                 },
-                peer_ms,
+                gang_peer_timeout_ms,
             };
             let progress = match task.phase {
-                TaskPhase::Fetching if now >= task.next_at => {
-                    self.images.insert(job_of(name).to_string());
-                    task.begin(&context, self.faulty, || has_result(name));
+                TaskPhase::Fetching if now >= task.next_phase_at => {
+                    self.cached_images.insert(job_of(name).to_string());
+                    task.finish_fetch(&context, self.fails_all_tasks, || has_result(name));
                     Progress::Changed
                 }
                 _ => task.advance(&context),
@@ -69,57 +69,62 @@
             }
         }
         if has_changed {
-            self.report_at = self.report_at.min(now + CHANGE_REPORT_MS);
+            self.next_report_at = self.next_report_at.min(now + CHANGE_REPORT_DELAY_MS);
         }
         completed
     }
 }
 
 impl FakeTask {
-    /// The image has been fetched.
-    fn begin(&mut self, context: &Context, is_faulty: bool, has_result: impl Fn() -> bool) {
+    /// Ends the image fetch: the task ends, waits for its gang, or runs.
+    fn finish_fetch(
+        &mut self,
+        context: &StepContext,
+        is_faulty: bool,
+        has_result: impl Fn() -> bool,
+    ) {
         if is_faulty {
             self.end(EndCause::Error);
         } else if has_result() {
             self.end(EndCause::Done);
-        } else if context.behaviour.gang > 0 {
+        } else if context.behaviour.gang_size > 0 {
             self.phase = TaskPhase::Waiting;
-            self.next_at = context.now + GANG_WAIT_MS;
+            self.next_phase_at = context.now + GANG_START_TIMEOUT_MS;
         } else {
             self.run(context);
         }
     }
 
-    fn run(&mut self, context: &Context) {
+    fn run(&mut self, context: &StepContext) {
         self.phase = TaskPhase::Running;
-        self.next_at = context.now + context.behaviour.run_ms;
+        self.next_phase_at = context.now + context.behaviour.run_ms;
     }
 
-    /// Advances a task that has its image.
-    fn advance(&mut self, context: &Context) -> Progress {
-        let is_due = context.now >= self.next_at;
+    /// Advances a task that is not fetching its image.
+    fn advance(&mut self, context: &StepContext) -> Progress {
+        let is_due = context.now >= self.next_phase_at;
         match self.phase {
-            TaskPhase::Waiting if context.gang.waiting >= context.behaviour.gang => {
+            TaskPhase::Waiting if context.gang.waiting >= context.behaviour.gang_size => {
                 self.run(context);
                 Progress::Changed
             }
-            TaskPhase::Waiting if is_due => self.ended(EndCause::Alone),
+            TaskPhase::Waiting if is_due => self.end_with(EndCause::Alone),
             TaskPhase::Running => self.advance_running(context),
-            TaskPhase::Saving if is_due => self.ended(EndCause::Stopped),
+            TaskPhase::Saving if is_due => self.end_with(EndCause::Stopped),
             _ => Progress::Unchanged,
         }
     }
 
-    fn advance_running(&mut self, context: &Context) -> Progress {
-        let is_due = context.now >= self.next_at;
-        let (gang, size) = (context.gang, context.behaviour.gang);
-        if context.behaviour.fails && is_due {
-            return self.ended(EndCause::Error);
+    fn advance_running(&mut self, context: &StepContext) -> Progress {
+        let is_due = context.now >= self.next_phase_at;
+        let (gang, size) = (context.gang, context.behaviour.gang_size);
+        if context.behaviour.fails_after_run && is_due {
+            return self.end_with(EndCause::Error);
         }
         if gang.present < size {
             let since = *self.incomplete_since.get_or_insert(context.now);
-            return match context.now >= since + context.peer_ms {
-                true => self.ended(EndCause::Peers),
+            return match context.now >= since + context.gang_peer_timeout_ms {
+                true => self.end_with(EndCause::Peers),
                 false => Progress::Unchanged,
             };
         }
@@ -130,7 +135,7 @@
         Progress::Unchanged
     }
 
-    fn ended(&mut self, cause: EndCause) -> Progress {
+    fn end_with(&mut self, cause: EndCause) -> Progress {
         self.end(cause);
         Progress::Changed
     }
--- a/crates/fakes/src/world/nodes.rs
+++ b/crates/fakes/src/world/nodes.rs
@@ -1,20 +1,21 @@
-//! The controllers: starting, stopping and crashing them, and what they report of themselves.
+//! The controllers: starting, stopping and crashing them, and their own status.
 
 use super::World;
 use crate::events::NodeSlot;
-use crate::DELAY_MS;
+use crate::MESSAGE_DELAY_MS;
 use control::{Input, Node, Operator};
 
-/// Boot numbers between two starts: more than there are nodes, so that no two processes share one.
-const BOOTS_PER_START: u64 = 1000;
+/// Difference between the boot numbers of two successive processes of a node. It exceeds the number of nodes, so that
+/// no two processes have the same boot number.
+const BOOT_NUMBER_STEP: u64 = 1000;
 
 impl World {
     /// Starts a new process of a node.
     pub fn start(&mut self, i: usize) {
         let now = self.clock();
         let slot = &mut self.nodes[i];
-        slot.start += 1;
-        let boot = BOOTS_PER_START * slot.start + i as u64;
+        slot.process_epoch += 1;
+        let boot = BOOT_NUMBER_STEP * slot.process_epoch + i as u64;
         slot.node = Some(Node::new(
             self.settings[i].clone(),
             self.operators[i].clone(),
@@ -29,33 +30,33 @@
         self.operators[i] = operator;
     }
 
-    /// Asks a node to stop; its process ends once it has nothing left to do.
+    /// Requests a node to stop. Its process ends once it has nothing left to do.
     pub fn stop(&mut self, i: usize) {
         let now = self.clock();
         if let Some(node) = &mut self.nodes[i].node {
             node.handle(now, Input::Stop);
         }
-        self.drain(i);
+        self.send_outputs(i);
     }
 
-    /// The state of a staged upgrade, as a node knows it.
+    /// State of the staged upgrade as a node knows it.
     pub fn rollout_status(&self, i: usize) -> Option<control::RolloutStatus> {
         self.nodes[i].node.as_ref()?.rollout_status()
     }
 
-    /// What a node knows of partitions of the fleet, if it runs and they are switched on.
+    /// State of the fleet's partitions as a node knows it, if the node runs and partitions are enabled.
     pub fn partitions_status(&self, i: usize) -> Option<control::PartitionsStatus> {
         self.nodes[i].node.as_ref()?.partitions_status()
     }
 
-    /// Notifies a node whether its sockets are short.
+    /// Tells a node whether its sockets are running short.
     pub fn set_crowded(&mut self, i: usize, is_crowded: bool) {
         if let Some(node) = &mut self.nodes[i].node {
             node.set_crowded(is_crowded);
         }
     }
 
-    /// Asks the leader to move a partition. Returns false if it does not.
+    /// Requests the leader to move a partition. Returns false if there is no leader or it does not move the partition.
     pub fn move_partition(&mut self, partition: u16, to: usize) -> bool {
         let (now, to) = (self.clock(), self.settings[to].label.clone());
         let Some(leader) = self.leader() else {
@@ -65,19 +66,21 @@
         node.is_some_and(|node| node.move_partition(partition, &to, now))
     }
 
-    /// Ends a node without warning.
+    /// Ends a node's process without warning. Connections of the other nodes to it are refused.
     pub fn crash(&mut self, i: usize) {
         self.nodes[i].node = None;
-        self.nodes[i].start += 1;
-        self.state.watches.retain(|watch| watch.waiter.node != i);
+        self.nodes[i].process_epoch += 1;
+        self.state_service
+            .watches
+            .retain(|watch| watch.caller.node != i);
         let from = self.settings[i].label.clone();
         for j in (0..self.nodes.len()).filter(|j| *j != i) {
             let input = Input::PeerRefused { from: from.clone() };
-            self.push_input(self.now + DELAY_MS, j, input);
+            self.schedule_input(self.now + MESSAGE_DELAY_MS, j, input);
         }
     }
 
-    /// The node that leads, if any does.
+    /// The leader with the highest term, if any node leads.
     pub fn leader(&self) -> Option<usize> {
         let term = |slot: &NodeSlot| slot.node.as_ref().and_then(Node::leads);
         (0..self.nodes.len())
@@ -85,12 +88,12 @@
             .max_by_key(|&i| term(&self.nodes[i]))
     }
 
-    /// Term of a node, if it leads.
+    /// Term of a node, if the node leads.
     pub fn term_of(&self, i: usize) -> Option<u64> {
         self.nodes[i].node.as_ref().and_then(Node::leads)
     }
 
-    /// How many controllers there are, those that are down included.
+    /// Number of controllers, including those that are down.
     pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
--- a/crates/standins/src/services.rs
+++ b/crates/standins/src/services.rs
@@ -2,7 +2,7 @@
 
 use crate::connections::serve;
 use crate::{lock, Shared};
-use fakes::{FakeState, Waiter};
+use fakes::{Caller, FakeStateService};
 use serde::de::DeserializeOwned;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 
 /// The records and open watches.
 struct Store {
-    state: Mutex<FakeState>,
+    state: Mutex<FakeStateService>,
     /// Number of the last request.
     last_call: Mutex<u64>,
     answers: Mutex<Answers>,
@@ -37,7 +37,7 @@
     /// Starts to serve, and the thread that expires leases and answers watches.
     pub fn start(shared: Arc<Shared>) -> Arc<Self> {
         let store = Arc::new(Store {
-            state: Mutex::new(FakeState::default()),
+            state: Mutex::new(FakeStateService::default()),
             last_call: Mutex::new(0),
             answers: Mutex::new(Answers::new()),
             answered: Condvar::new(),
@@ -71,8 +71,8 @@
     fn tick(&self, now: u64) {
         let due = {
             let mut state = lock(&self.state);
-            state.expire(now);
-            state.due_watches(now, |_| false)
+            state.expire_leases(now);
+            state.take_due_watches(now, |_| false)
         };
         if due.is_empty() {
             return;
@@ -91,7 +91,7 @@
             *last_call
         };
         let now = shared.now_ms();
-        let waiter = Waiter { node: 0, call };
+        let waiter = Caller { node: 0, call };
         let served = lock(&self.state).serve(now, waiter, method, target, body);
         served.unwrap_or_else(|| self.wait(shared, call))
     }
@@ -139,9 +139,9 @@
 }
 
 fn machine_types() -> MachineTypes {
-    let (cpus, gpus, mem_gb) = fakes::MACHINE;
+    let (cpus, gpus, mem_gb) = fakes::MACHINE_RESOURCES;
     let machine = MachineType {
-        name: fakes::KIND.into(),
+        name: fakes::MACHINE_TYPE.into(),
         cpus,
         gpus,
         mem_gb,
@@ -161,7 +161,7 @@
     let listed = |id: &String| ListedMachine {
         id: id.clone(),
         addr: None,
-        kind: fakes::KIND.into(),
+        kind: fakes::MACHINE_TYPE.into(),
         zone: "a".into(),
         spot: false,
         phase: MachinePhase::Running,
--- a/crates/standins/src/users.rs
+++ b/crates/standins/src/users.rs
@@ -2,7 +2,7 @@
 
 use crate::connections::call;
 use crate::{lock, Shared};
-use fakes::{array, Behaviour};
+use fakes::{array_job, TaskBehaviour};
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
@@ -22,15 +22,15 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How the tasks of a job behave: some seconds each, by its number.
-pub(crate) fn behaviour(task: &str) -> Behaviour {
+pub(crate) fn behaviour(task: &str) -> TaskBehaviour {
     let job = task.split('/').next().unwrap_or_default();
     let number: u64 = job.trim_start_matches("run-").parse().unwrap_or(0);
-    Behaviour {
-        fetch_ms: 50,
+    TaskBehaviour {
+        image_fetch_ms: 50,
         run_ms: 500 + 400 * (number % 5),
-        save_ms: 0,
-        gang: 0,
-        fails: false,
+        checkpoint_write_ms: 0,
+        gang_size: 0,
+        fails_after_run: false,
     }
 }
 
@@ -48,7 +48,7 @@
     while !shared.is_over() && lock(&shared.history).takes_jobs() {
         number += 1;
         let id = format!("run-{number:06}");
-        let body = wire::encode(&array(&id, 1 + number % 4));
+        let body = wire::encode(&array_job(&id, 1 + number % 4));
         if let Some((_, now)) = call_any(shared, "POST", "/submissions", &body) {
             lock(&shared.history).accepted(&id, now);
         }
--- a/crates/standins/src/workers.rs
+++ b/crates/standins/src/workers.rs
@@ -3,7 +3,7 @@
 use crate::connections::Client;
 use crate::users::behaviour;
 use crate::{lock, Shared};
-use fakes::{FakeWorker, Gang, KIND};
+use fakes::{FakeWorker, GangState, MACHINE_TYPE};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -40,28 +40,31 @@
 fn step(shared: &Shared, worker: &mut FakeWorker, client: &mut Client) {
     let now = shared.now_ms();
     let incarnation = worker.incarnation;
-    worker.wake(now, LEASE_MS);
+    worker.update_clock(now, LEASE_MS);
     if worker.incarnation != incarnation {
         lock(&shared.history).lease_expired();
     }
-    let completed = worker.advance(
+    let completed = worker.advance_tasks(
         now,
         GANG_PEER_MS,
         |task| Some(behaviour(task)),
         |_| false,
-        |_, _| Gang::default(),
+        |_, _| GangState::default(),
     );
-    let live: BTreeSet<String> = worker.live().map(|(task, _)| task.clone()).collect();
+    let live: BTreeSet<String> = worker
+        .active_tasks()
+        .map(|(task, _)| task.clone())
+        .collect();
     lock(&shared.history).on_machine(&worker.name, live, completed);
-    if now < worker.report_at {
+    if now < worker.next_report_at {
         return std::thread::sleep(STEP);
     }
     report(shared, worker, client, now);
 }
 
 fn report(shared: &Shared, worker: &mut FakeWorker, client: &mut Client, now: u64) {
-    worker.report_at = now + REPORT_MS;
-    let body = wire::encode(&worker.report(KIND, now));
+    worker.next_report_at = now + REPORT_MS;
+    let body = wire::encode(&worker.report(MACHINE_TYPE, now));
     let addr = shared.controllers[worker.node];
     let answer = client.call(addr, "POST", "/v1/report", &body, REPORT_TIMEOUT);
     let nodes = shared.controllers.len();
@@ -80,7 +83,7 @@
             match leader.filter(|leader| *leader != worker.node) {
                 Some(leader) => {
                     worker.node = leader;
-                    worker.report_at = now;
+                    worker.next_report_at = now;
                 }
                 None => try_next(worker, now, nodes),
             }
@@ -91,7 +94,7 @@
 
 fn try_next(worker: &mut FakeWorker, now: u64, nodes: usize) {
     worker.node = (worker.node + 1) % nodes;
-    worker.report_at = now + NEXT_NODE_MS;
+    worker.next_report_at = now + NEXT_NODE_MS;
 }
 
 fn execute(shared: &Shared, worker: &mut FakeWorker, sent: u64, answer: &HeartbeatResponse) {
@@ -99,12 +102,12 @@
         return;
     }
     worker.term = answer.term;
-    worker.lease_from = sent;
+    worker.lease_start = sent;
     let now = shared.now_ms();
-    let started = worker.execute(&answer.orders, |task| Some(behaviour(task)), now);
+    let started = worker.execute_orders(&answer.orders, |task| Some(behaviour(task)), now);
     let tasks: Vec<String> = started.into_iter().map(|(task, _)| task).collect();
     if !tasks.is_empty() {
-        worker.report_at = worker.report_at.min(now + START_REPORT_MS);
+        worker.next_report_at = worker.next_report_at.min(now + START_REPORT_MS);
         lock(&shared.history).started(&worker.name, &tasks, now);
     }
 }
