--- a/crates/control/tests/bad_input.rs
+++ b/crates/control/tests/bad_input.rs
@@ -4,7 +4,7 @@
 
 use ciborium::Value;
 use common::*;
-use fakes::{array, gang, World};
+use fakes::{array_job, gang_job, World};
 use wire::records::*;
 use wire::users::{Phase, Submission};
 
@@ -14,10 +14,10 @@
 /// A submission with every optional field set.
 fn complete_submission() -> Submission {
     Submission {
-        machine_types: Some(vec![fakes::KIND.into()]),
+        machine_types: Some(vec![fakes::MACHINE_TYPE.into()]),
         zone: Some("a".into()),
         due_s: Some(900.0),
-        ..array(JOB_ID, 2)
+        ..array_job(JOB_ID, 2)
     }
 }
 
@@ -43,12 +43,12 @@
 }
 
 fn submit_body(w: &mut World, body: Vec<u8>) -> u16 {
-    let (status, _) = w.ask(0, "POST", "/submissions", body);
+    let (status, _) = w.send_and_wait(0, "POST", "/submissions", body);
     status
 }
 
 fn is_unknown(w: &mut World, id: &str) -> bool {
-    let (status, _) = w.ask(0, "GET", &format!("/submissions/{id}"), vec![]);
+    let (status, _) = w.send_and_wait(0, "GET", &format!("/submissions/{id}"), vec![]);
     status == 404
 }
 
@@ -107,7 +107,7 @@
         ("shards", text_value("2")),
         ("bundle", text_value("")),
         ("bundle", Value::Bool(true)),
-        ("breeds", text_value(fakes::KIND)),
+        ("breeds", text_value(fakes::MACHINE_TYPE)),
         ("breeds", Value::Array(vec![text_value("")])),
         ("breeds", Value::Array(vec![text_value("g4"); 100])),
         ("valley", text_value("")),
@@ -167,7 +167,7 @@
     }
     // A class without an objective, and a machine type that the cloud doesn't have next to one that it has.
     bodies.push(with_field("cohort", Some(text_value("never seen"))));
-    let types = vec![text_value("never seen"), text_value(fakes::KIND)];
+    let types = vec![text_value("never seen"), text_value(fakes::MACHINE_TYPE)];
     bodies.push(with_field("breeds", Some(Value::Array(types))));
     for (n, body) in bodies.into_iter().enumerate() {
         let id = format!("run-{}", 100 + n);
@@ -177,7 +177,7 @@
         };
         map.retain(|(name, _)| *name != text_value("id"));
         map.push((text_value("id"), text_value(&id)));
-        w.describe(&array(&id, 2), runs(500));
+        w.upload_job(&array_job(&id, 2), runs(500));
         let status = submit_body(&mut w, wire::encode(&Value::Map(map)));
         assert_eq!(status, 201, "{id}");
     }
@@ -190,7 +190,7 @@
 #[test]
 fn a_job_that_can_never_run_is_refused_with_422_and_stays_unknown() {
     let mut w = world(1, 1, 8.0);
-    let job = || array(JOB_ID, 1);
+    let job = || array_job(JOB_ID, 1);
     let changed_job = |change: fn(&mut Submission)| {
         let mut job = job();
         change(&mut job);
@@ -223,7 +223,7 @@
             "a task over its team's limit",
             changed_job(|j| j.gpus = 9.0),
         ),
-        ("a gang over its team's limit", gang(JOB_ID, 3)),
+        ("a gang over its team's limit", gang_job(JOB_ID, 3)),
         (
             "a dependency that was never submitted",
             after(job(), &["run-999"]),
@@ -239,13 +239,13 @@
     }
     assert!(is_unknown(&mut w, JOB_ID));
     // An array can run although its tasks don't all fit into the limit at once, and so can a gang that just fits.
-    for job in [array("run-2", 9), gang("run-3", 2)] {
+    for job in [array_job("run-2", 9), gang_job("run-3", 2)] {
         assert_eq!(submit_body(&mut w, wire::encode(&job)), 201, "{}", job.id);
     }
     // A known id is answered before the submission is checked.
     let known = Submission {
         team: "never seen".into(),
-        ..array("run-2", 9)
+        ..array_job("run-2", 9)
     };
     assert_eq!(submit_body(&mut w, wire::encode(&known)), 200);
     clean(&w);
@@ -254,15 +254,15 @@
 #[test]
 fn a_cancellation_answers_done_for_a_completed_job_and_404_for_an_unknown_one() {
     let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array(JOB_ID, 2), runs(500)), 201);
+    assert_eq!(w.submit(0, &array_job(JOB_ID, 2), runs(500)), 201);
     assert!(done(&mut w, JOB_ID, 20_000));
     for node in 0..3 {
         assert_eq!(w.abort(node, JOB_ID), Some(Phase::Done), "node {node}");
-        let (status, _) = w.ask(node, "POST", "/submissions/run-2/abort", vec![]);
+        let (status, _) = w.send_and_wait(node, "POST", "/submissions/run-2/abort", vec![]);
         assert_eq!(status, 404, "node {node}");
         w.crash(node);
         w.start(node);
-        w.run(5_000);
+        w.run_for(5_000);
         assert_eq!(
             w.abort(node, JOB_ID),
             Some(Phase::Done),
@@ -275,10 +275,14 @@
         "/submissions/run-1/x",
         "/x",
     ] {
-        assert_eq!(w.ask(0, "GET", target, vec![]).0, 404, "{target}");
+        assert_eq!(w.send_and_wait(0, "GET", target, vec![]).0, 404, "{target}");
     }
     for (method, target) in [("PUT", "/submissions"), ("DELETE", "/submissions/run-1")] {
-        assert_eq!(w.ask(0, method, target, vec![]).0, 405, "{method} {target}");
+        assert_eq!(
+            w.send_and_wait(0, method, target, vec![]).0,
+            405,
+            "{method} {target}"
+        );
     }
     clean(&w);
 }
@@ -288,30 +292,32 @@
 fn unreadable_records_stop_no_other_work() {
     let mut w = world(3, 2, 0.0);
     let unreadable = "not a record";
-    w.state.write(&job_key("run-7"), &unreadable, None);
-    w.state.write(&final_record_key("run-8"), &unreadable, None);
-    w.state.write("j/not-an-id", &7, None);
-    w.run(1_000);
+    w.state_service.write(&job_key("run-7"), &unreadable, None);
+    w.state_service
+        .write(&final_record_key("run-8"), &unreadable, None);
+    w.state_service.write("j/not-an-id", &7, None);
+    w.run_for(1_000);
     for round in 0..2 {
         let leader = w.leader().expect("leader");
         for node in 0..3 {
             for id in ["run-7", "run-8"] {
-                let (status, _) = w.ask(node, "GET", &format!("/submissions/{id}"), vec![]);
+                let (status, _) =
+                    w.send_and_wait(node, "GET", &format!("/submissions/{id}"), vec![]);
                 assert_eq!(status, 503, "{id} exists, and its state can't be read");
             }
         }
         let id = format!("run-1{round}");
-        assert_eq!(w.submit(leader, &array(&id, 4), runs(500)), 201);
+        assert_eq!(w.submit(leader, &array_job(&id, 4), runs(500)), 201);
         assert!(done(&mut w, &id, 20_000), "round {round}");
         // The next leader has to read all records, including the unreadable ones.
         w.crash(leader);
-        assert!(w.until(6_000, |w| w.leader().is_some()));
+        assert!(w.run_until(6_000, |w| w.leader().is_some()));
         w.start(leader);
-        w.run(2_000);
+        w.run_for(2_000);
     }
     // Reports that can't be decoded.
     for body in [vec![], vec![0xff; 40], wire::encode(&unreadable)] {
-        assert_eq!(w.ask(0, "POST", "/v1/report", body).0, 400);
+        assert_eq!(w.send_and_wait(0, "POST", "/v1/report", body).0, 400);
     }
     assert!(w.leader().is_some());
     clean(&w);
@@ -337,12 +343,12 @@
     };
     let mut w = cluster(5, 9, settings);
     for n in 0..10 {
-        let job = array(&format!("run-{n}"), 6);
+        let job = array_job(&format!("run-{n}"), 6);
         assert_eq!(w.submit(n % 5, &job, runs(2_000)), 201);
     }
     for n in 0..10 {
         assert!(done(&mut w, &format!("run-{n}"), 30_000), "job {n}");
     }
-    assert_eq!(w.state.too_frequent, 0);
+    assert_eq!(w.state_service.throttled_requests, 0);
     clean(&w);
 }
--- a/crates/control/tests/cancellations.rs
+++ b/crates/control/tests/cancellations.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, World};
+use fakes::{array_job, World};
 use wire::users::Phase;
 
 /// Time in which the tasks of a cancelled job must have ended (`cancel_s`), with a margin.
@@ -12,8 +12,11 @@
 
 /// Submits a job whose tasks run for minutes, and waits until all of them are on machines.
 fn start_long_job(w: &mut World, id: &str, tasks: u64) {
-    assert_eq!(w.submit(follower(w), &array(id, tasks), runs(600_000)), 201);
-    assert!(w.until(10_000, |w| w.on_machines(id).len() as u64 == tasks));
+    assert_eq!(
+        w.submit(follower(w), &array_job(id, tasks), runs(600_000)),
+        201
+    );
+    assert!(w.run_until(10_000, |w| w.placed_tasks(id).len() as u64 == tasks));
 }
 
 /// A cluster in which a job was cancelled through a follower while the leader, whose index is returned, can't read the
@@ -24,9 +27,9 @@
     let other_node = follower(&w);
     start_long_job(&mut w, "run-1", 2);
     // The open jobs can't be read any more, and all other requests are answered.
-    (w.break_watches, w.break_lists) = (true, true);
-    w.run(3_500);
-    w.silent_peers.insert(leader);
+    (w.fail_watches, w.fail_lists) = (true, true);
+    w.run_for(3_500);
+    w.isolated_from_peers.insert(leader);
     assert_eq!(w.abort(other_node, "run-1"), Some(Phase::Aborted));
     (w, leader)
 }
@@ -36,7 +39,7 @@
     for _ in 0..1_000 {
         match w.leader().filter(|l| *l != old_leader) {
             Some(new_leader) => return new_leader,
-            None => w.run(10),
+            None => w.run_for(10),
         }
     }
     panic!("no node was elected");
@@ -51,21 +54,21 @@
         for id in ["run-1", "run-2", "run-3"] {
             start_long_job(&mut w, id, 3);
         }
-        w.refused.insert(old_leader);
-        w.run(wait_ms / 2);
+        w.refused_by_state_service.insert(old_leader);
+        w.run_for(wait_ms / 2);
         for id in ["run-1", "run-2"] {
             assert_eq!(w.abort(other_node, id), Some(Phase::Aborted));
         }
-        w.run(wait_ms / 2);
-        w.state_down = true;
-        w.run(14_000);
-        w.refused.clear();
-        w.run(CANCEL_DEADLINE_MS + 20_000);
+        w.run_for(wait_ms / 2);
+        w.state_service_down = true;
+        w.run_for(14_000);
+        w.refused_by_state_service.clear();
+        w.run_for(CANCEL_DEADLINE_MS + 20_000);
         for id in ["run-1", "run-2"] {
-            assert!(w.on_machines(id).is_empty(), "{id} after {wait_ms} ms");
+            assert!(w.placed_tasks(id).is_empty(), "{id} after {wait_ms} ms");
         }
         assert_eq!(
-            w.on_machines("run-3").len(),
+            w.placed_tasks("run-3").len(),
             3,
             "leases are renewed after {wait_ms} ms"
         );
@@ -78,16 +81,16 @@
 #[test]
 fn a_successful_lease_renewal_does_not_make_up_for_a_lost_notification() {
     let (mut w, leader) = cluster_with_unread_cancellation();
-    w.silent_peers.clear();
-    w.run(4_000);
+    w.isolated_from_peers.clear();
+    w.run_for(4_000);
     assert_eq!(
         w.leader(),
         Some(leader),
         "the leader's lease is renewed all the time"
     );
-    w.state_down = true;
-    w.run(CANCEL_DEADLINE_MS);
-    assert!(w.on_machines("run-1").is_empty());
+    w.state_service_down = true;
+    w.run_for(CANCEL_DEADLINE_MS);
+    assert!(w.placed_tasks("run-1").is_empty());
     clean(&w);
 }
 
@@ -95,11 +98,11 @@
 #[test]
 fn a_leader_that_can_not_read_open_jobs_stops_answering_in_time() {
     let (mut w, leader) = cluster_with_unread_cancellation();
-    w.run(CANCEL_DEADLINE_MS);
-    assert!(w.on_machines("run-1").is_empty());
-    w.silent_peers.clear();
-    (w.break_watches, w.break_lists) = (false, false);
-    assert!(w.until(20_000, |w| w.phase(leader, "run-1") == Some(Phase::Aborted)));
+    w.run_for(CANCEL_DEADLINE_MS);
+    assert!(w.placed_tasks("run-1").is_empty());
+    w.isolated_from_peers.clear();
+    (w.fail_watches, w.fail_lists) = (false, false);
+    assert!(w.run_until(20_000, |w| w.phase(leader, "run-1") == Some(Phase::Aborted)));
     clean(&w);
 }
 
@@ -111,18 +114,18 @@
         let old_leader = w.leader().expect("leader");
         let other_node = follower(&w);
         start_long_job(&mut w, "run-1", 3);
-        w.refused.insert(old_leader);
-        w.silent_peers.insert(old_leader);
+        w.refused_by_state_service.insert(old_leader);
+        w.isolated_from_peers.insert(old_leader);
         assert_eq!(w.abort(other_node, "run-1"), Some(Phase::Aborted));
         wait_for_new_leader(&mut w, old_leader);
-        w.silent_peers.clear();
-        w.run(10 * steps);
-        w.state_down = true;
-        w.run(CANCEL_DEADLINE_MS);
-        assert!(w.on_machines("run-1").is_empty(), "after {steps} steps");
-        w.state_down = false;
-        w.refused.clear();
-        w.run(20_000);
+        w.isolated_from_peers.clear();
+        w.run_for(10 * steps);
+        w.state_service_down = true;
+        w.run_for(CANCEL_DEADLINE_MS);
+        assert!(w.placed_tasks("run-1").is_empty(), "after {steps} steps");
+        w.state_service_down = false;
+        w.refused_by_state_service.clear();
+        w.run_for(20_000);
         assert_eq!(w.phase(other_node, "run-1"), Some(Phase::Aborted));
         clean(&w);
     }
@@ -135,19 +138,19 @@
         let mut w = world(3, 3, 0.0);
         let old_leader = w.leader().expect("leader");
         start_long_job(&mut w, "run-1", 3);
-        w.refused.insert(old_leader);
+        w.refused_by_state_service.insert(old_leader);
         let new_leader = wait_for_new_leader(&mut w, old_leader);
         let third_node = (0..3)
             .find(|n| *n != old_leader && *n != new_leader)
             .expect("third");
-        w.run(10 * steps);
+        w.run_for(10 * steps);
         // No watch reports the cancellation, and the reading of the records completes.
-        w.break_watches = true;
+        w.fail_watches = true;
         assert_eq!(w.abort(third_node, "run-1"), Some(Phase::Aborted));
-        w.run(150);
-        w.state_down = true;
-        w.run(CANCEL_DEADLINE_MS);
-        assert!(w.on_machines("run-1").is_empty(), "after {steps} steps");
+        w.run_for(150);
+        w.state_service_down = true;
+        w.run_for(CANCEL_DEADLINE_MS);
+        assert!(w.placed_tasks("run-1").is_empty(), "after {steps} steps");
         clean(&w);
     }
 }
@@ -161,24 +164,27 @@
         settings
     });
     w.add_machine("vm-000000", "a");
-    assert!(w.until(6_000, |w| w.leader().is_some()), "a leader");
-    w.run(4_000);
+    assert!(w.run_until(6_000, |w| w.leader().is_some()), "a leader");
+    w.run_for(4_000);
     start_long_job(&mut w, "run-1", 1);
     let old_leader = w.leader().expect("leader");
     let other_node = follower(&w);
     // There is no leader for most of a lease after the cancellation.
-    w.silent_peers.insert(old_leader);
-    w.refused.insert(old_leader);
+    w.isolated_from_peers.insert(old_leader);
+    w.refused_by_state_service.insert(old_leader);
     assert_eq!(w.abort(other_node, "run-1"), Some(Phase::Aborted));
     w.crash(old_leader);
-    w.state_down = true;
-    w.run(5_000);
-    w.state_down = false;
+    w.state_service_down = true;
+    w.run_for(5_000);
+    w.state_service_down = false;
     // The worker receives one answer of the next leader and nothing after it.
-    assert!(w.until(8_000, |w| w.workers["vm-000000"].term > 1));
-    w.workers.get_mut("vm-000000").expect("worker").one_way = true;
-    w.run(20_000);
-    assert!(w.on_machines("run-1").is_empty());
+    assert!(w.run_until(8_000, |w| w.workers["vm-000000"].term > 1));
+    w.workers
+        .get_mut("vm-000000")
+        .expect("worker")
+        .receives_nothing = true;
+    w.run_for(20_000);
+    assert!(w.placed_tasks("run-1").is_empty());
     clean(&w);
 }
 
@@ -188,12 +194,12 @@
     let mut w = world(3, 2, 0.0);
     start_long_job(&mut w, "run-1", 2);
     assert_eq!(w.abort(1, "run-1"), Some(Phase::Aborted));
-    w.run(20);
-    w.state_down = true;
+    w.run_for(20);
+    w.state_service_down = true;
     for node in 0..3 {
         assert_eq!(w.phase(node, "run-1"), Some(Phase::Aborted));
         assert_eq!(w.abort(node, "run-1"), Some(Phase::Aborted));
-        assert_eq!(w.submit(node, &array("run-1", 2), runs(1)), 200);
+        assert_eq!(w.submit(node, &array_job("run-1", 2), runs(1)), 200);
     }
     clean(&w);
 }
--- a/crates/control/tests/failing_jobs.rs
+++ b/crates/control/tests/failing_jobs.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, Behaviour, World};
+use fakes::{array_job, gang_job, TaskBehaviour, World};
 use wire::users::{Phase, Submission};
 
 /// Number of machines of the cluster, each with 4 GPUs.
@@ -24,16 +24,16 @@
 }
 
 /// Tasks that run for two seconds and exit with `error`.
-fn failing_behaviour() -> Behaviour {
-    Behaviour {
-        fails: true,
+fn failing_behaviour() -> TaskBehaviour {
+    TaskBehaviour {
+        fails_after_run: true,
         ..runs(2_000)
     }
 }
 
 /// Number of task starts of a job so far, on the machines that still exist.
 fn start_count(w: &World, job: &str) -> usize {
-    let started = w.workers.values().flat_map(|m| m.started.iter());
+    let started = w.workers.values().flat_map(|m| m.started_attempts.iter());
     started
         .filter(|(task, _)| task.split('/').next() == Some(job))
         .count()
@@ -47,19 +47,23 @@
 
 /// Runs the cluster for `ms` and returns the number of writes to the state service.
 fn count_writes(w: &mut World, ms: u64) -> u64 {
-    let before = w.state.writes;
-    w.run(ms);
-    w.state.writes - before
+    let before = w.state_service.write_count;
+    w.run_for(ms);
+    w.state_service.write_count - before
 }
 
 /// Asserts that no initial machine was returned, and that tasks of one GPU can occupy all GPUs of the cluster except
 /// `busy_gpus`, so that every machine is used.
 fn assert_all_machines_are_used(w: &mut World, id: &str, busy_gpus: usize) {
     assert_eq!(returned_machines(w), Vec::<String>::new());
-    let job = of_team("u", array(id, (CLUSTER_GPUS - busy_gpus) as u64));
+    let job = of_team("u", array_job(id, (CLUSTER_GPUS - busy_gpus) as u64));
     assert_eq!(w.submit(0, &job, runs(20_000)), 201);
-    let all_placed = |w: &mut World| w.on_machines(id).len() == CLUSTER_GPUS - busy_gpus;
-    assert!(w.until(15_000, all_placed), "{}", w.on_machines(id).len());
+    let all_placed = |w: &mut World| w.placed_tasks(id).len() == CLUSTER_GPUS - busy_gpus;
+    assert!(
+        w.run_until(15_000, all_placed),
+        "{}",
+        w.placed_tasks(id).len()
+    );
     assert!(done(w, id, 60_000));
 }
 
@@ -67,8 +71,8 @@
 fn failing_jobs_of_each_shape_back_off_and_leave_capacity_to_others() {
     let mut w = two_team_cluster(1);
     let ids = ["run-1", "run-2", "run-3"];
-    let failing_gang = Behaviour {
-        gang: 3,
+    let failing_gang = TaskBehaviour {
+        gang_size: 3,
         ..failing_behaviour()
     };
     // The jobs have long estimated run times. If failed tasks counted as samples of the run time, these jobs would be
@@ -80,7 +84,7 @@
     assert_eq!(
         w.submit(
             0,
-            &with_long_estimate(array("run-1", 1)),
+            &with_long_estimate(array_job("run-1", 1)),
             failing_behaviour()
         ),
         201
@@ -88,13 +92,13 @@
     assert_eq!(
         w.submit(
             0,
-            &with_long_estimate(array("run-2", 400)),
+            &with_long_estimate(array_job("run-2", 400)),
             failing_behaviour()
         ),
         201
     );
     assert_eq!(
-        w.submit(0, &with_long_estimate(gang("run-3", 3)), failing_gang),
+        w.submit(0, &with_long_estimate(gang_job("run-3", 3)), failing_gang),
         201
     );
     let mut most_on_machines = 0;
@@ -105,13 +109,13 @@
                 // Small jobs of both teams are done within seconds throughout.
                 let team = ["t", "u"][second / 10 % 2];
                 let id = format!("run-{}", 100 + 10 * minute + second / 10);
-                let job = of_team(team, array(&id, 2));
+                let job = of_team(team, array_job(&id, 2));
                 assert_eq!(w.submit(0, &job, runs(1_000)), 201);
                 assert!(done(&mut w, &id, 9_000), "minute {minute}, second {second}");
             }
-            w.run(1_000);
+            w.run_for(1_000);
             if minute > 0 {
-                most_on_machines = most_on_machines.max(w.on_machines("run-2").len());
+                most_on_machines = most_on_machines.max(w.placed_tasks("run-2").len());
             }
         }
         if minute > 0 {
@@ -148,9 +152,9 @@
     for id in ids {
         assert_eq!(w.abort(0, id), Some(Phase::Aborted));
     }
-    let all_ended = |w: &mut World| ids.iter().all(|id| w.on_machines(id).is_empty());
-    assert!(w.until(4_000, all_ended), "all tasks end at once");
-    w.run(5_000);
+    let all_ended = |w: &mut World| ids.iter().all(|id| w.placed_tasks(id).is_empty());
+    assert!(w.run_until(4_000, all_ended), "all tasks end at once");
+    w.run_for(5_000);
     let writes_without_failing_jobs = count_writes(&mut w, 120_000);
     // Two attempts of each job, with a write for its assignments before and after each attempt.
     let failing_job_writes = writes_with_failing_jobs.saturating_sub(writes_without_failing_jobs);
@@ -174,12 +178,12 @@
     let mut w = two_team_cluster(1);
     for n in 0..20 {
         let id = format!("run-{}", 100 + n);
-        assert_eq!(w.submit(0, &array(&id, 1), failing_behaviour()), 201);
+        assert_eq!(w.submit(0, &array_job(&id, 1), failing_behaviour()), 201);
     }
     for n in 0..12 {
         let team = ["t", "u"][n % 2];
         let id = format!("run-{}", 200 + n);
-        let job = of_team(team, array(&id, 2));
+        let job = of_team(team, array_job(&id, 2));
         assert_eq!(w.submit(0, &job, runs(1_000)), 201);
         assert!(done(&mut w, &id, 9_000), "{id}");
     }
@@ -194,17 +198,17 @@
     let mut w = two_team_cluster(3);
     let mut ids: Vec<String> = (100..110).map(|n| format!("run-{n}")).collect();
     for id in &ids {
-        assert_eq!(w.submit(0, &array(id, 1), failing_behaviour()), 201);
+        assert_eq!(w.submit(0, &array_job(id, 1), failing_behaviour()), 201);
     }
     for id in ["run-1", "run-2"] {
-        assert_eq!(w.submit(0, &array(id, 300), failing_behaviour()), 201);
+        assert_eq!(w.submit(0, &array_job(id, 300), failing_behaviour()), 201);
         ids.push(id.into());
     }
     // The tasks of a healthy job keep running under the new leader.
-    let healthy_job = of_team("u", array("run-3", 8));
+    let healthy_job = of_team("u", array_job("run-3", 8));
     assert_eq!(w.submit(0, &healthy_job, runs(600_000)), 201);
-    w.run(200_000);
-    let placed = w.on_machines("run-3");
+    w.run_for(200_000);
+    let placed = w.placed_tasks("run-3");
     let start_counts = |w: &World| {
         ids.iter()
             .map(|id| start_count(w, id))
@@ -213,7 +217,7 @@
     let starts_before = start_counts(&w);
     let leader = w.leader().expect("leader");
     w.crash(leader);
-    w.run(60_000);
+    w.run_for(60_000);
     let starts_after = start_counts(&w);
     let new_starts: Vec<usize> = starts_after
         .iter()
@@ -225,9 +229,9 @@
         "{new_starts:?} starts of {ids:?}"
     );
     assert!(new_starts.contains(&1), "failing jobs are still attempted");
-    assert_eq!(w.on_machines("run-3"), placed);
+    assert_eq!(w.placed_tasks("run-3"), placed);
     w.start(leader);
-    w.run(4_000);
+    w.run_for(4_000);
     assert_all_machines_are_used(&mut w, "run-50", 8);
     clean(&w);
 }
@@ -236,17 +240,20 @@
 #[test]
 fn a_machine_on_which_every_job_fails_gets_few_tasks_and_is_returned() {
     let mut w = two_team_cluster(1);
-    w.workers.get_mut("vm-000003").expect("worker").faulty = true;
+    w.workers
+        .get_mut("vm-000003")
+        .expect("worker")
+        .fails_all_tasks = true;
     for n in 0..3 {
         let id = format!("run-{}", 100 + n);
-        assert_eq!(w.submit(0, &array(&id, 1), failing_behaviour()), 201);
+        assert_eq!(w.submit(0, &array_job(&id, 1), failing_behaviour()), 201);
     }
     let mut starts_there = 0;
     for n in 0..40 {
-        let job = of_team("u", array(&format!("run-{}", 200 + n), 4));
+        let job = of_team("u", array_job(&format!("run-{}", 200 + n), 4));
         assert_eq!(w.submit(0, &job, runs(8_000)), 201);
-        w.run(2_000);
-        let there = w.workers.get("vm-000003").map(|m| m.started.len());
+        w.run_for(2_000);
+        let there = w.workers.get("vm-000003").map(|m| m.started_attempts.len());
         starts_there = there.unwrap_or(starts_there);
     }
     assert_eq!(
--- a/crates/control/tests/four_thousand_machines.rs
+++ b/crates/control/tests/four_thousand_machines.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, World};
+use fakes::{array_job, World};
 use std::collections::BTreeSet;
 use wire::records::*;
 use wire::users::Phase;
@@ -51,21 +51,21 @@
         let zone = if machine % 2 == 0 { "a" } else { "b" };
         w.add_machine(&format!("vm-{machine:06}"), zone);
     }
-    w.run(12_000);
+    w.run_for(12_000);
     for number in 0..RUNNING_JOBS {
-        let job = array(&running_id(number), TASKS_PER_JOB);
-        w.describe(&job, runs(600_000));
+        let job = array_job(&running_id(number), TASKS_PER_JOB);
+        w.upload_job(&job, runs(600_000));
         record_open_job(&mut w, job);
     }
     for number in 0..WAITING_JOBS {
-        let mut job = array(&waiting_id(number), 1);
+        let mut job = array_job(&waiting_id(number), 1);
         job.zone = Some("c".into());
-        w.describe(&job, runs(1_000));
+        w.upload_job(&job, runs(1_000));
         record_open_job(&mut w, job);
     }
     let running_tasks = RUNNING_JOBS * TASKS_PER_JOB as usize;
     assert!(
-        w.until(120_000, |w| tasks_on_machines(w) == running_tasks),
+        w.run_until(120_000, |w| tasks_on_machines(w) == running_tasks),
         "{} tasks run",
         tasks_on_machines(&w)
     );
@@ -77,25 +77,25 @@
 }
 
 fn start_count(w: &World) -> usize {
-    w.workers.values().map(|m| m.started.len()).sum()
+    w.workers.values().map(|m| m.started_attempts.len()).sum()
 }
 
 #[test]
 fn a_change_of_leader_at_4_000_machines_ends_no_lease_and_restarts_no_task() {
     let mut w = loaded_cluster();
-    let record_pages = w.state.keys(PAGE_PREFIX).len();
+    let record_pages = w.state_service.keys(PAGE_PREFIX).len();
     assert!(record_pages < 120, "{record_pages} pages of records");
     let incarnations_before: u64 = w.workers.values().map(|worker| worker.incarnation).sum();
     let starts_before = start_count(&w);
     // All workers detect the broken connection at once and report to any node that runs.
     for worker in w.workers.values_mut() {
-        worker.report_at = w.now;
+        worker.next_report_at = w.now;
     }
     let old_leader = w.leader().expect("leader");
     w.crash(old_leader);
-    let (requests, crashed_at) = (w.state.requests, w.now);
+    let (requests, crashed_at) = (w.state_service.request_count, w.now);
     let has_new_leader = |w: &World| w.leader().is_some_and(|l| l != old_leader);
-    assert!(w.until(6_000, |w| has_new_leader(w)), "a new leader");
+    assert!(w.run_until(6_000, |w| has_new_leader(w)), "a new leader");
     let term = w.leader().and_then(|l| w.term_of(l)).expect("term");
     let answered = |w: &World| {
         w.workers
@@ -104,7 +104,7 @@
             .count()
     };
     assert!(
-        w.until(30_000, |w| answered(w) == MACHINES),
+        w.run_until(30_000, |w| answered(w) == MACHINES),
         "{} workers have seen the new term {} ms after the crash",
         answered(&w),
         w.now - crashed_at
@@ -116,12 +116,13 @@
     );
     assert_eq!(start_count(&w), starts_before, "no task was started again");
     assert_eq!(tasks_on_machines(&w), RUNNING_JOBS * TASKS_PER_JOB as usize);
-    let requests = w.state.requests - requests;
+    let requests = w.state_service.request_count - requests;
     assert!(requests < 400, "{requests} requests to the state service");
     // The machine list is read completely, page by page.
-    let pages_before = w.listed_pages;
+    let pages_before = w.served_list_pages;
     let pages_per_list = (MACHINES / 500) as u64;
-    assert!(w.until(60_000, |w| w.listed_pages >= pages_before + pages_per_list));
+    assert!(w.run_until(60_000, |w| w.served_list_pages
+        >= pages_before + pages_per_list));
     assert_eq!(w.workers.len(), MACHINES, "no machine was returned");
     clean(&w);
 }
@@ -130,13 +131,13 @@
 fn counts_of_2_000_open_jobs_reach_every_node_so_that_status_queries_need_few_reads() {
     let mut w = loaded_cluster();
     // Two messages carry the counts of all jobs.
-    w.run(4_000);
+    w.run_for(4_000);
     let ids: BTreeSet<String> = (0..RUNNING_JOBS)
         .map(running_id)
         .chain((0..WAITING_JOBS).map(waiting_id))
         .collect();
     let ids: Vec<String> = ids.into_iter().collect();
-    let counts_before = w.state.counts;
+    let counts_before = w.state_service.request_counts;
     for node in 0..NODES {
         // As many queries as one node accepts at a time, spread over the whole range of ids.
         let queried_ids: Vec<String> = ids.iter().skip(node).step_by(20).cloned().collect();
@@ -149,7 +150,7 @@
             assert_eq!(phase, Some(expected), "{id} at node {node}");
         }
     }
-    let requests = w.state.counts.since(&counts_before);
-    assert!(requests.questions() < 60, "{requests:?}");
+    let requests = w.state_service.request_counts.since(&counts_before);
+    assert!(requests.reads_and_comparisons() < 60, "{requests:?}");
     clean(&w);
 }
--- a/crates/control/tests/guest_teams.rs
+++ b/crates/control/tests/guest_teams.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, Behaviour, World};
+use fakes::{array_job, gang_job, TaskBehaviour, World};
 use vetchmount_control::settings::Team;
 use wire::records::JOB_PREFIX;
 use wire::users::{Phase, Submission};
@@ -39,12 +39,12 @@
 /// Number of tasks of a team that are on machines.
 fn tasks_on_machines_of(w: &World, team: &str) -> usize {
     let jobs = w.jobs.values().filter(|j| j.team == team);
-    jobs.map(|j| w.on_machines(&j.id).len()).sum()
+    jobs.map(|j| w.placed_tasks(&j.id).len()).sum()
 }
 
 /// Number of task starts of a team so far.
 fn start_count(w: &World, team: &str) -> usize {
-    let started = w.workers.values().flat_map(|m| m.started.iter());
+    let started = w.workers.values().flat_map(|m| m.started_attempts.iter());
     let of_team = |task: &str| {
         let job = task.split('/').next().and_then(|id| w.jobs.get(id));
         job.is_some_and(|j| j.team == team)
@@ -55,34 +55,34 @@
 #[test]
 fn guest_tasks_are_preempted_for_a_guarantee_and_not_vice_versa() {
     let mut w = cluster_with_guest();
-    let guest_job = of_team("guest", array("run-1", 64));
+    let guest_job = of_team("guest", array_job("run-1", 64));
     assert_eq!(w.submit(0, &guest_job, runs(300_000)), 201);
-    assert!(w.until(10_000, |w| w.on_machines("run-1").len() == 32));
+    assert!(w.run_until(10_000, |w| w.placed_tasks("run-1").len() == 32));
     // The guest uses the whole cluster. Each other team gets its guarantee within seconds, and no more.
     // (Arrays of more than seven tasks would wait for their pilot tasks first, which preempt nothing.)
     for n in 0..3 {
         for (first_id, name) in [(10, "t"), (20, "u")] {
-            let job = of_team(name, array(&format!("run-{}", first_id + n), 6));
+            let job = of_team(name, array_job(&format!("run-{}", first_id + n), 6));
             assert_eq!(w.submit(0, &job, runs(120_000)), 201);
         }
     }
     let have_guarantees =
         |w: &mut World| ["t", "u"].map(|team| tasks_on_machines_of(w, team)) == [12, 12];
-    assert!(w.until(10_000, have_guarantees));
-    assert_eq!(w.on_machines("run-1").len(), 8);
+    assert!(w.run_until(10_000, have_guarantees));
+    assert_eq!(w.placed_tasks("run-1").len(), 8);
     // More jobs of the guest, with a deadline or as a gang, preempt no task of the other teams.
     let job_with_deadline = Submission {
         due_s: Some(30.0),
-        ..of_team("guest", array("run-4", 8))
+        ..of_team("guest", array_job("run-4", 8))
     };
     assert_eq!(w.submit(0, &job_with_deadline, runs(5_000)), 201);
-    let behaviour = Behaviour {
-        gang: 2,
+    let behaviour = TaskBehaviour {
+        gang_size: 2,
         ..runs(5_000)
     };
-    let guest_gang = of_team("guest", gang("run-5", 2));
+    let guest_gang = of_team("guest", gang_job("run-5", 2));
     assert_eq!(w.submit(0, &guest_gang, behaviour), 201);
-    w.run(60_000);
+    w.run_for(60_000);
     assert!(have_guarantees(&mut w));
     assert_eq!(
         [start_count(&w, "t"), start_count(&w, "u")],
@@ -94,7 +94,7 @@
 
 /// Number of jobs of a team that are not final.
 fn open_job_count(w: &World, team: &str) -> usize {
-    let open = w.state.keys(JOB_PREFIX);
+    let open = w.state_service.keys(JOB_PREFIX);
     let ids = open.iter().filter_map(|key| key.strip_prefix(JOB_PREFIX));
     ids.filter(|id| w.jobs[*id].team == team).count()
 }
@@ -111,7 +111,7 @@
     let mut w = cluster_with_guest();
     // Idle-time arrays, one huge array, single tasks and gangs of two whole machines.
     let mut jobs: Vec<GuestJob> = Vec::new();
-    let mut submit = |w: &mut World, job: Submission, behaviour: Behaviour| {
+    let mut submit = |w: &mut World, job: Submission, behaviour: TaskBehaviour| {
         let job = of_team("guest", job);
         assert_eq!(w.submit(0, &job, behaviour), 201);
         jobs.push(GuestJob {
@@ -123,7 +123,7 @@
     for n in 0..6 {
         let job = Submission {
             estimated_run_s: 30.0,
-            ..array(&format!("run-{}", 100 + n), 6)
+            ..array_job(&format!("run-{}", 100 + n), 6)
         };
         submit(&mut w, job, runs(30_000));
     }
@@ -132,15 +132,15 @@
         gpus: 0.0,
         mem_gb: 0.5,
         estimated_run_s: 5.0,
-        ..array(id, tasks)
+        ..array_job(id, tasks)
     };
     submit(&mut w, small_tasks("run-200", 5_000), runs(5_000));
     for n in 0..4 {
-        let gang_behaviour = Behaviour {
-            gang: 2,
+        let gang_behaviour = TaskBehaviour {
+            gang_size: 2,
             ..runs(15_000)
         };
-        let job = gang(&format!("run-{}", 300 + n), 2);
+        let job = gang_job(&format!("run-{}", 300 + n), 2);
         submit(&mut w, job, gang_behaviour);
     }
     for n in 0..60 {
@@ -155,17 +155,17 @@
     for _ in 0..80 {
         for name in ["t", "u"] {
             while open_job_count(&w, name) < 3 {
-                let job = of_team(name, array(&format!("run-{next_job}"), 8));
+                let job = of_team(name, array_job(&format!("run-{next_job}"), 8));
                 assert_eq!(w.submit(0, &job, runs(10_000)), 201);
                 next_job += 1;
             }
         }
         for job in &mut jobs {
-            if job.began_at.is_none() && !w.on_machines(&job.id).is_empty() {
+            if job.began_at.is_none() && !w.placed_tasks(&job.id).is_empty() {
                 job.began_at = Some(w.now);
             }
         }
-        w.run(3_000);
+        w.run_for(3_000);
     }
     let ids: Vec<String> = jobs.iter().map(|j| j.id.clone()).collect();
     let phases = w.phases(0, &ids);
--- a/crates/control/tests/large_arrays.rs
+++ b/crates/control/tests/large_arrays.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, World};
+use fakes::{array_job, World};
 use std::sync::atomic::{AtomicU64, Ordering};
 use wire::records::*;
 use wire::users::Submission;
@@ -27,7 +27,7 @@
     w.stopwatch = stopwatch;
     w.crash(0);
     w.start(0);
-    w.run(6_000);
+    w.run_for(6_000);
     w
 }
 
@@ -38,7 +38,7 @@
         gpus: 0.0,
         mem_gb: 0.5,
         estimated_run_s: 5.0,
-        ..array(id, tasks)
+        ..array_job(id, tasks)
     }
 }
 
@@ -53,27 +53,28 @@
 fn an_array_of_25_000_tasks_takes_bounded_records_and_rounds_and_delays_no_other_job() {
     static STOPWATCH_READINGS: AtomicU64 = AtomicU64::new(0);
     let mut w = cluster_with_stopwatch(|| STOPWATCH_READINGS.fetch_add(1, Ordering::Relaxed));
-    let (writes_before, bytes_before) = (w.state.writes, w.state.bytes_written);
+    let (writes_before, bytes_before) =
+        (w.state_service.write_count, w.state_service.written_bytes);
     assert_eq!(
         w.submit(0, &small_tasks("run-1", ARRAY_TASKS), runs(5_000)),
         201
     );
-    w.run(3_000);
+    w.run_for(3_000);
     let mut most_readings = 0;
     for n in 0..10 {
         let readings_before = STOPWATCH_READINGS.load(Ordering::Relaxed);
         // The first small task waits until the array's pilot tasks, a twentieth of its tasks, have been placed.
         let within_ms = if n == 0 { 12_000 } else { 5_000 };
         assert_small_task_is_done(&mut w, &format!("run-{}", 100 + n), within_ms);
-        w.run(5_000);
+        w.run_for(5_000);
         most_readings =
             most_readings.max(STOPWATCH_READINGS.load(Ordering::Relaxed) - readings_before);
-        let largest_page_bytes = w.state.largest(PAGE_PREFIX);
+        let largest_page_bytes = w.state_service.largest_value_bytes(PAGE_PREFIX);
         assert!(
             largest_page_bytes <= 8 * 1024,
             "a page of {largest_page_bytes} bytes"
         );
-        assert!(w.on_machines("run-1").len() <= MACHINES * 128);
+        assert!(w.placed_tasks("run-1").len() <= MACHINES * 128);
     }
     let tasks_done: u64 = parts(&w)
         .iter()
@@ -91,8 +92,8 @@
         "{most_readings} stopwatch readings in ten seconds"
     );
     let (writes, bytes) = (
-        w.state.writes - writes_before,
-        w.state.bytes_written - bytes_before,
+        w.state_service.write_count - writes_before,
+        w.state_service.written_bytes - bytes_before,
     );
     assert!(writes <= 300, "{writes} writes");
     let bytes_per_write = bytes as u64 / writes;
@@ -106,27 +107,27 @@
 #[test]
 fn many_one_task_jobs_stay_within_the_state_services_write_rate() {
     let mut w = cluster_with_stopwatch(|| 0);
-    let writes_before = w.state.writes;
+    let writes_before = w.state_service.write_count;
     // Eight jobs a second for forty seconds; the state service accepts 50 writes a second.
     for n in 0..ONE_TASK_JOBS {
         let id = format!("run-{}", 1_000 + n);
         let body = wire::encode(&small_tasks(&id, 1));
-        w.describe(&small_tasks(&id, 1), runs(3_000));
-        w.send(0, "POST", "/submissions", body);
-        w.run(120);
+        w.upload_job(&small_tasks(&id, 1), runs(3_000));
+        w.send_user_request(0, "POST", "/submissions", body);
+        w.run_for(120);
         if n % 80 == 40 {
             assert_small_task_is_done(&mut w, &format!("run-{}", 100 + n), 5_000);
         }
     }
     assert!(
-        w.until(20_000, |w| w.state.keys(JOB_PREFIX).is_empty()),
+        w.run_until(20_000, |w| w.state_service.keys(JOB_PREFIX).is_empty()),
         "all jobs are final"
     );
     assert_eq!(
-        w.state.too_many, 0,
+        w.state_service.throttled_txns, 0,
         "no write was refused by the rate limit"
     );
-    let writes = w.state.writes - writes_before;
+    let writes = w.state_service.write_count - writes_before;
     assert!(writes <= 1_600, "{writes} writes for {ONE_TASK_JOBS} jobs");
     clean(&w);
 }
--- a/crates/control/tests/one_sided_cuts.rs
+++ b/crates/control/tests/one_sided_cuts.rs
@@ -5,13 +5,13 @@
 mod common;
 
 use common::*;
-use fakes::{array, Cut, Party, World};
+use fakes::{array_job, ConnectionFault, Party, World};
 
 /// A connection fault of one controller.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     /// The connection to this party fails in this way.
-    Connection(Party, Cut),
+    Connection(Party, ConnectionFault),
     /// Frames to peers are lost.
     FramesToPeers,
     /// Frames from peers are lost.
@@ -26,14 +26,16 @@
 fn start_fault(w: &mut World, node: usize, fault: Fault) {
     for other in [(node + 1) % 3, (node + 2) % 3] {
         if matches!(fault, FramesToPeers | AllPeerFrames) {
-            w.troubles.lost_frames.insert((node, other), u64::MAX);
+            w.faults.frames_lost_until.insert((node, other), u64::MAX);
         }
         if matches!(fault, FramesFromPeers | AllPeerFrames) {
-            w.troubles.lost_frames.insert((other, node), u64::MAX);
+            w.faults.frames_lost_until.insert((other, node), u64::MAX);
         }
     }
     if let Connection(party, connection_fault) = fault {
-        w.troubles.cuts.insert((node, party, connection_fault));
+        w.faults
+            .connection_faults
+            .insert((node, party, connection_fault));
     }
 }
 
@@ -45,8 +47,8 @@
 /// Submits a job to one node after another until one accepts it, as users do.
 fn submit_anywhere(w: &mut World, id: &str, run_ms: u64) {
     let accepted = (0..30).any(|n| {
-        let status = w.submit(n % 3, &array(id, 2), runs(run_ms));
-        w.run(300);
+        let status = w.submit(n % 3, &array_job(id, 2), runs(run_ms));
+        w.run_for(300);
         matches!(status, 200 | 201)
     });
     assert!(accepted, "{id}");
@@ -65,16 +67,19 @@
 fn a_leader_can_place_tasks_within_seconds_of_any_connection_fault_of_one_node() {
     // Each fault with the largest permitted number of new terms if it affects the leader.
     let faults = [
-        (Connection(Party::State, Cut::Requests), 1),
-        (Connection(Party::State, Cut::Answers), 1),
-        (Connection(Party::State, Cut::Refused), 1),
+        (Connection(Party::State, ConnectionFault::RequestsLost), 1),
+        (Connection(Party::State, ConnectionFault::ResponsesLost), 1),
+        (Connection(Party::State, ConnectionFault::Refused), 1),
         // Workers' reports reach the leader through its peers.
-        (Connection(Party::Workers, Cut::Requests), 0),
-        (Connection(Party::Workers, Cut::Answers), 1),
-        (Connection(Party::Workers, Cut::Refused), 0),
-        (Connection(Party::Users, Cut::Requests), 0),
-        (Connection(Party::Users, Cut::Answers), 0),
-        (Connection(Party::Users, Cut::Refused), 0),
+        (Connection(Party::Workers, ConnectionFault::RequestsLost), 0),
+        (
+            Connection(Party::Workers, ConnectionFault::ResponsesLost),
+            1,
+        ),
+        (Connection(Party::Workers, ConnectionFault::Refused), 0),
+        (Connection(Party::Users, ConnectionFault::RequestsLost), 0),
+        (Connection(Party::Users, ConnectionFault::ResponsesLost), 0),
+        (Connection(Party::Users, ConnectionFault::Refused), 0),
         (FramesToPeers, 0),
         (FramesFromPeers, 0),
         (AllPeerFrames, 0),
@@ -83,12 +88,12 @@
         for of_leader in [true, false] {
             let mut w = world(3, 4, 0.0);
             let leader = w.leader().expect("leader");
-            assert_eq!(w.submit(leader, &array("run-1", 4), runs(150_000)), 201);
-            assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 4));
+            assert_eq!(w.submit(leader, &array_job("run-1", 4), runs(150_000)), 201);
+            assert!(w.run_until(8_000, |w| w.placed_tasks("run-1").len() == 4));
             let node = if of_leader { leader } else { (leader + 1) % 3 };
             let first_term = leader_term(&w);
             start_fault(&mut w, node, fault);
-            w.run(2_000);
+            w.run_for(2_000);
             submit_anywhere(&mut w, "run-2", 5_000);
             let is_leader_impaired =
                 of_leader && matches!(fault, Connection(Party::State | Party::Workers, _));
@@ -97,17 +102,17 @@
             } else {
                 PLACED_WITH_HEALTHY_LEADER_MS
             };
-            let placed = w.until(within_ms, |w| !w.on_machines("run-2").is_empty());
+            let placed = w.run_until(within_ms, |w| !w.placed_tasks("run-2").is_empty());
             let case = format!("{fault:?}, of the leader: {of_leader}");
             assert!(placed, "{case}");
-            w.run(90_000);
+            w.run_for(90_000);
             let max_new_terms = if of_leader { max_new_terms } else { 0 };
             assert!(
                 leader_term(&w) - first_term <= max_new_terms,
                 "{case}: term {}",
                 leader_term(&w)
             );
-            w.heal();
+            w.end_faults();
             assert!(
                 done(&mut w, "run-2", 30_000) && done(&mut w, "run-1", 200_000),
                 "{case}"
@@ -122,18 +127,18 @@
     let (state, workers) = (Party::State, Party::Workers);
     let fault_sets = [
         [
-            Connection(state, Cut::Requests),
-            Connection(workers, Cut::Requests),
+            Connection(state, ConnectionFault::RequestsLost),
+            Connection(workers, ConnectionFault::RequestsLost),
             AllPeerFrames,
         ],
         [
-            Connection(state, Cut::Refused),
-            Connection(workers, Cut::Refused),
+            Connection(state, ConnectionFault::Refused),
+            Connection(workers, ConnectionFault::Refused),
             FramesToPeers,
         ],
         [
-            Connection(state, Cut::Answers),
-            Connection(workers, Cut::Answers),
+            Connection(state, ConnectionFault::ResponsesLost),
+            Connection(workers, ConnectionFault::ResponsesLost),
             FramesFromPeers,
         ],
     ];
@@ -145,10 +150,10 @@
             for (n, fault) in faults.into_iter().enumerate() {
                 start_fault(&mut w, (leader + rotation + n) % 3, fault);
             }
-            w.run(2_000);
+            w.run_for(2_000);
             submit_anywhere(&mut w, "run-1", 5_000);
-            let placed = w.until(PLACED_WITH_FAULTS_EVERYWHERE_MS, |w| {
-                !w.on_machines("run-1").is_empty()
+            let placed = w.run_until(PLACED_WITH_FAULTS_EVERYWHERE_MS, |w| {
+                !w.placed_tasks("run-1").is_empty()
             });
             let case = format!("{faults:?}, rotation {rotation}");
             assert!(placed, "{case}: {} terms", leader_term(&w) - first_term);
@@ -158,13 +163,13 @@
                 "{case}: {} terms",
                 settled_term - first_term
             );
-            w.run(240_000);
+            w.run_for(240_000);
             assert_eq!(
                 leader_term(&w),
                 settled_term,
                 "{case}: leadership changed again"
             );
-            w.heal();
+            w.end_faults();
             assert!(done(&mut w, "run-1", 30_000), "{case}");
             clean(&w);
         }
@@ -175,25 +180,29 @@
 /// are no machines.
 #[test]
 fn leaders_do_not_alternate_while_no_worker_reaches_any_node() {
-    for fault in [Cut::Requests, Cut::Answers, Cut::Refused] {
+    for fault in [
+        ConnectionFault::RequestsLost,
+        ConnectionFault::ResponsesLost,
+        ConnectionFault::Refused,
+    ] {
         let mut w = world(3, 4, 0.0);
         let first_term = leader_term(&w);
         for node in 0..3 {
             start_fault(&mut w, node, Connection(Party::Workers, fault));
         }
         // Machines are rented for the job again and again.
-        w.capacity = 60;
+        w.cloud_capacity = 60;
         submit_anywhere(&mut w, "run-0", 5_000);
-        w.run(300_000);
+        w.run_for(300_000);
         let new_terms = leader_term(&w) - first_term;
         assert!(new_terms <= 3, "{fault:?}: {new_terms} terms");
-        w.heal();
+        w.end_faults();
         submit_anywhere(&mut w, "run-1", 5_000);
         assert!(done(&mut w, "run-1", 30_000), "{fault:?}");
         clean(&w);
     }
     let mut w = world(3, 0, 0.0);
     let first_term = leader_term(&w);
-    w.run(300_000);
+    w.run_for(300_000);
     assert_eq!(leader_term(&w), first_term, "without machines");
 }
--- a/crates/control/tests/operations.rs
+++ b/crates/control/tests/operations.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, KIND};
+use fakes::{array_job, MACHINE_TYPE};
 use wire::users::{Phase, Submission};
 use wire::workers::HeartbeatResponse;
 
@@ -15,21 +15,21 @@
     let mut w = world(3, 4, 0.0);
     let guest = Submission {
         estimated_run_s: 30.0,
-        ..array("run-900", 96)
+        ..array_job("run-900", 96)
     };
     assert_eq!(w.submit(0, &guest, runs(30_000)), 201);
-    w.run(3_000);
+    w.run_for(3_000);
     for n in 0..8 {
         let job = Submission {
             estimated_run_s: 4.0,
             due_s: Some(45.0),
-            ..array(&format!("run-{n}"), 6)
+            ..array_job(&format!("run-{n}"), 6)
         };
         assert_eq!(w.submit(n % 3, &job, runs(4_000)), 201);
-        w.run(4_000);
+        w.run_for(4_000);
     }
     // The guest's tasks fill all machines when the jobs with deadlines arrive; freed capacity goes to these jobs.
-    w.run(30_000);
+    w.run_for(30_000);
     let ids: Vec<String> = (0..8).map(|n| format!("run-{n}")).collect();
     let phases = w.phases(0, &ids);
     let done_count = phases.iter().filter(|p| **p == Some(Phase::Done)).count();
@@ -45,12 +45,12 @@
 #[test]
 fn a_job_resumes_at_the_end_of_its_backoff_without_other_events() {
     let mut w = world(3, 2, 0.0);
-    let job = array("run-1", 1);
+    let job = array_job("run-1", 1);
     // The job's description has not been uploaded yet, so that the worker refuses the start.
     let body = wire::encode(&job);
-    assert_eq!(w.ask(0, "POST", "/submissions", body).0, 201);
-    w.run(2_000);
-    w.describe(&job, runs(1_000));
+    assert_eq!(w.send_and_wait(0, "POST", "/submissions", body).0, 201);
+    w.run_for(2_000);
+    w.upload_job(&job, runs(1_000));
     assert!(done(&mut w, "run-1", 8_000));
     clean(&w);
 }
@@ -61,13 +61,13 @@
 #[test]
 fn a_report_delayed_until_its_session_has_ended_changes_nothing() {
     let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-1", 8), runs(120_000)), 201);
-    w.run(6_000);
+    assert_eq!(w.submit(0, &array_job("run-1", 8), runs(120_000)), 201);
+    w.run_for(6_000);
     let disconnected_machine = "vm-000000";
     let now = w.now;
     let worker = w.workers.get_mut(disconnected_machine).expect("worker");
-    worker.cut_until = now + 60_000;
-    let delayed_report = worker.report(KIND, now);
+    worker.disconnected_until = now + 60_000;
+    let delayed_report = worker.report(MACHINE_TYPE, now);
     assert!(!delayed_report.tasks.is_empty(), "the machine runs tasks");
     let assignments_there = |w: &fakes::World| {
         let assignments = parts(w).into_iter().flat_map(|part| part.chunk.assignments);
@@ -76,24 +76,25 @@
             .count()
     };
     assert!(
-        w.until(30_000, |w| assignments_there(w) == 0),
+        w.run_until(30_000, |w| assignments_there(w) == 0),
         "released when the lease expired"
     );
 
     let leader = w.leader().expect("leader");
-    let (status, body) = w.ask(leader, "POST", "/v1/report", wire::encode(&delayed_report));
+    let (status, body) =
+        w.send_and_wait(leader, "POST", "/v1/report", wire::encode(&delayed_report));
     assert_eq!(status, 200);
     let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
     assert_eq!(answer.orders, vec![], "no stop orders");
     // The restarted tasks fill the other machine.
-    assert_eq!(w.submit(0, &array("run-2", 1), runs(1_000)), 201);
-    w.run(2_000);
+    assert_eq!(w.submit(0, &array_job("run-2", 1), runs(1_000)), 201);
+    w.run_for(2_000);
     assert_eq!(
         assignments_there(&w),
         0,
         "no tasks for a disconnected machine"
     );
-    w.heal();
+    w.end_faults();
     assert!(done(&mut w, "run-2", 60_000));
     clean(&w);
 }
@@ -103,33 +104,33 @@
 fn a_node_isolated_from_state_service_and_peers_is_not_ready_but_all_stay_ready_in_an_outage() {
     let mut w = world(3, 2, 0.0);
     let ready_statuses = |w: &mut fakes::World| -> Vec<u16> {
-        let status_of = |node| w.ask(node, "GET", "/ready", vec![]).0;
+        let status_of = |node| w.send_and_wait(node, "GET", "/ready", vec![]).0;
         (0..3).map(status_of).collect()
     };
     let isolated_node = w.leader().expect("leader");
-    w.refused.insert(isolated_node);
-    w.run(8_000);
+    w.refused_by_state_service.insert(isolated_node);
+    w.run_for(8_000);
     assert_eq!(
         ready_statuses(&mut w),
         [200; 3],
         "requests are served through a peer"
     );
-    w.silent_peers.insert(isolated_node);
-    w.run(6_000);
+    w.isolated_from_peers.insert(isolated_node);
+    w.run_for(6_000);
     let statuses = ready_statuses(&mut w);
     assert_eq!(statuses[isolated_node], 503);
     assert_eq!(statuses.iter().filter(|s| **s == 200).count(), 2);
-    w.heal();
-    w.run(2_000);
+    w.end_faults();
+    w.run_for(2_000);
     assert_eq!(ready_statuses(&mut w), [200; 3]);
-    w.state_down = true;
-    w.run(20_000);
+    w.state_service_down = true;
+    w.run_for(20_000);
     assert_eq!(
         ready_statuses(&mut w),
         [200; 3],
         "ready in an outage that affects all nodes"
     );
-    w.state_down = false;
-    w.run(5_000);
+    w.state_service_down = false;
+    w.run_for(5_000);
     clean(&w);
 }
--- a/crates/control/tests/partitions.rs
+++ b/crates/control/tests/partitions.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, Behaviour, CopyTo, Cut, Party, World};
+use fakes::{array_job, gang_job, ConnectionFault, DuplicateTarget, Party, TaskBehaviour, World};
 use std::collections::{BTreeMap, BTreeSet};
 use vetchmount_control::settings::{Finalization, PartitionSettings, PinSettings, RolloutSettings};
 use vetchmount_control::Operator;
@@ -79,11 +79,11 @@
         );
     }
     assert!(
-        world.until(10_000, |world| world.leader().is_some()),
+        world.run_until(10_000, |world| world.leader().is_some()),
         "a leader"
     );
     assert!(
-        world.until(REBALANCE_MS_MAX, |world| is_balanced(world)),
+        world.run_until(REBALANCE_MS_MAX, |world| is_balanced(world)),
         "{:?}",
         partition_counts(&world)
     );
@@ -101,8 +101,11 @@
 /// Owner and epoch of each partition, as stored in the state service.
 fn recorded_owners(world: &World) -> Vec<(String, u64)> {
     let mut rows = Vec::new();
-    for key in world.state.keys(OWNERSHIP_TABLE_PREFIX) {
-        let record: OwnershipTableRecord = world.state.read(&key).expect("a record of the table");
+    for key in world.state_service.keys(OWNERSHIP_TABLE_PREFIX) {
+        let record: OwnershipTableRecord = world
+            .state_service
+            .read(&key)
+            .expect("a record of the table");
         let row = |row: &PartitionRow| (record.owners[usize::from(row.owner)].clone(), row.epoch);
         rows.extend(record.rows.iter().map(row));
     }
@@ -162,12 +165,12 @@
 
 /// Submits a job whose tasks occupy all machines for this long.
 fn submit_job_on_all_machines(world: &mut World, id: &str, run_ms: u64) {
-    let job = array(id, 4 * MACHINE_COUNT as u64);
+    let job = array_job(id, 4 * MACHINE_COUNT as u64);
     let accepted = |world: &mut World| {
         let node = running_node(world);
         world.submit(node, &job, runs(run_ms)) == 201
     };
-    assert!(world.until(10_000, accepted), "{id} is accepted");
+    assert!(world.run_until(10_000, accepted), "{id} is accepted");
 }
 
 /// The first node that runs.
@@ -190,7 +193,7 @@
     submit_job_on_all_machines(&mut world, "run-1", 240_000);
     let most = |world: &mut World| steady_machine_count(world) >= MACHINE_COUNT * 2 / 3;
     assert!(
-        world.until(60_000, most),
+        world.run_until(60_000, most),
         "{} machines are steady",
         steady_machine_count(&world)
     );
@@ -228,7 +231,7 @@
 fn assert_recovery(world: &mut World, done: &[&str], cancelled: &[&str]) {
     assert_jobs_end(world, done, cancelled);
     assert!(
-        world.until(REBALANCE_MS_MAX * 8, |world| is_balanced(world)),
+        world.run_until(REBALANCE_MS_MAX * 8, |world| is_balanced(world)),
         "{:?}",
         partition_counts(world)
     );
@@ -237,14 +240,18 @@
 
 /// Asserts that the jobs end as expected and that no rule was broken.
 fn assert_jobs_end(world: &mut World, done: &[&str], cancelled: &[&str]) {
-    world.heal();
+    world.end_faults();
     let all: Vec<&str> = done.iter().chain(cancelled).copied().collect();
-    let outcome = |world: &World, id: &str| world.state.read::<JobOutcome>(&final_record_key(id));
+    let outcome = |world: &World, id: &str| {
+        world
+            .state_service
+            .read::<JobOutcome>(&final_record_key(id))
+    };
     let over = |world: &mut World| all.iter().all(|id| outcome(world, id).is_some());
     assert!(
-        world.until(900_000, over),
+        world.run_until(900_000, over),
         "{:?}",
-        world.state.keys(JOB_PREFIX)
+        world.state_service.keys(JOB_PREFIX)
     );
     for id in done {
         assert_eq!(outcome(world, id), Some(JobOutcome::Done), "{id}");
@@ -267,7 +274,7 @@
 /// The largest number of starts of any task.
 fn max_starts_per_task(world: &World) -> usize {
     let mut starts: BTreeMap<&String, usize> = BTreeMap::new();
-    for (task, _) in world.workers.values().flat_map(|m| &m.started) {
+    for (task, _) in world.workers.values().flat_map(|m| &m.started_attempts) {
         *starts.entry(task).or_default() += 1;
     }
     starts.values().copied().max().unwrap_or(0)
@@ -276,7 +283,7 @@
 #[test]
 fn partitions_are_balanced_over_the_controllers_and_the_leader_owns_the_fewest() {
     let mut world = partitioned_cluster(3);
-    world.run(REBALANCE_MS_MAX);
+    world.run_for(REBALANCE_MS_MAX);
     let counts = partition_counts(&world);
     let leader = controller_label(world.leader().expect("a leader"));
     assert!(counts.values().all(|count| *count < 32), "{counts:?}");
@@ -288,7 +295,7 @@
     );
     // No partition moves once they are balanced.
     let before = recorded_owners(&world);
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!(recorded_owners(&world), before);
     submit_job_on_all_machines(&mut world, "run-1", 30_000);
     assert_recovery(&mut world, &["run-1"], &[]);
@@ -300,7 +307,7 @@
     let mut world = busy_cluster(3);
     let incarnations: u64 = world.workers.values().map(|m| m.incarnation).sum();
     let leader = world.leader().expect("a leader");
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!(
         world.workers.values().map(|m| m.incarnation).sum::<u64>(),
         incarnations
@@ -311,7 +318,7 @@
         at_leader < MACHINE_COUNT / 2,
         "{at_leader} machines report to the leader"
     );
-    let most = world.workers.values().map(|m| m.most_redirects).max();
+    let most = world.workers.values().map(|m| m.max_redirect_count).max();
     assert!(most <= Some(3), "{most:?} redirects in a row");
     assert_recovery(&mut world, &["run-1"], &[]);
     assert_eq!(max_starts_per_task(&world), 1);
@@ -324,7 +331,7 @@
     for machine in 0..MACHINE_COUNT {
         world.add_machine(&machine_name(machine), "a");
     }
-    assert!(world.until(10_000, |world| world.leader().is_some()));
+    assert!(world.run_until(10_000, |world| world.leader().is_some()));
     submit_job_on_all_machines(&mut world, "run-1", 20_000);
     assert!(done(&mut world, "run-1", 120_000));
     assert_eq!(steady_machine_count(&world), 0);
@@ -337,19 +344,19 @@
 fn a_gang_starts_while_the_partitions_of_its_machines_move() {
     for offset in [0, 150, 300, 600, 1_200] {
         let mut world = partitioned_cluster(3);
-        let job = gang("run-7", 6);
-        let behaviour = Behaviour {
-            gang: 6,
-            fetch_ms: 900,
+        let job = gang_job("run-7", 6);
+        let behaviour = TaskBehaviour {
+            gang_size: 6,
+            image_fetch_ms: 900,
             ..runs(20_000)
         };
         assert_eq!(world.submit(0, &job, behaviour), 201);
-        world.run(offset);
+        world.run_for(offset);
         let machines: Vec<String> = world.workers.keys().cloned().collect();
         for machine in &machines {
             let (partition, _, other) = partition_owner_and_other(&world, machine);
             world.move_partition(partition, other);
-            world.run(50);
+            world.run_for(50);
         }
         assert_recovery(&mut world, &["run-7"], &[]);
         assert_eq!(max_starts_per_task(&world), 1, "offset {offset}");
@@ -379,18 +386,18 @@
             let leader = world.leader().expect("a leader");
             let epoch = recorded_owners(&world)[usize::from(partition)].1;
             let victims: Vec<usize> = roles.iter().map(|role| [leader, old, new][*role]).collect();
-            world.counted_keys = OWNERSHIP_TABLE_PREFIX;
+            world.counted_key_prefix = OWNERSHIP_TABLE_PREFIX;
             if delay_ms == 0 && roles[0] == 0 {
-                world.crash_at_counted_write = Some((world.counted_writes + 1, is_executed));
+                world.crash_at_counted_txn = Some((world.counted_txns + 1, is_executed));
             }
             assert!(world.move_partition(partition, new));
-            world.run(delay_ms.max(10));
+            world.run_for(delay_ms.max(10));
             for victim in &victims {
                 if !world.is_down(*victim) {
                     world.crash(*victim);
                 }
             }
-            world.run(down_ms.min(20_000));
+            world.run_for(down_ms.min(20_000));
             if down_ms <= 20_000 {
                 victims.iter().for_each(|victim| world.start(*victim));
             }
@@ -403,7 +410,7 @@
                         .is_some_and(|n| !world.is_down(n) && granted_partition_count(world, n) > 0)
             };
             assert!(
-                world.until(2 * OWNER_RECOVERY_MS_MAX, owned),
+                world.run_until(2 * OWNER_RECOVERY_MS_MAX, owned),
                 "{roles:?} {is_executed} {down_ms} {delay_ms}: {:?} without owner",
                 recorded_owners(&world)[usize::from(partition)]
             );
@@ -437,12 +444,12 @@
     let leader = world.leader().expect("a leader");
     for (from, to) in [(owner, leader), (leader, owner)] {
         world
-            .troubles
-            .lost_frames
+            .faults
+            .frames_lost_until
             .insert((from, to), world.now + 60_000);
     }
     let incarnations: u64 = world.workers.values().map(|m| m.incarnation).sum();
-    world.run(45_000);
+    world.run_for(45_000);
     assert_eq!(granted_partition_count(&world, owner), 0);
     assert_eq!(
         world.workers.values().map(|m| m.incarnation).sum::<u64>(),
@@ -461,11 +468,11 @@
     let machine = machine_of_follower(&world);
     let (_, owner, _) = partition_owner_and_other(&world, &machine);
     world
-        .troubles
-        .cuts
-        .insert((owner, Party::Workers, Cut::Refused));
+        .faults
+        .connection_faults
+        .insert((owner, Party::Workers, ConnectionFault::Refused));
     let incarnations: u64 = world.workers.values().map(|m| m.incarnation).sum();
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!(
         world.workers.values().map(|m| m.incarnation).sum::<u64>(),
         incarnations,
@@ -477,8 +484,8 @@
     let mut world = busy_cluster(3);
     let machine = machine_of_follower(&world);
     let (_, owner, _) = partition_owner_and_other(&world, &machine);
-    world.refused.insert(owner);
-    world.run(30_000);
+    world.refused_by_state_service.insert(owner);
+    world.run_for(30_000);
     assert!(
         granted_partition_count(&world, owner) > 0,
         "the leader's grants suffice"
@@ -495,9 +502,12 @@
         let mut world = busy_cluster(3);
         let machine = machine_of_follower(&world);
         let (_, owner, _) = partition_owner_and_other(&world, &machine);
-        world.troubles.frozen.insert(owner, world.now + frozen_ms);
-        world.run(frozen_ms + 100);
-        world.run(20_000);
+        world
+            .faults
+            .frozen_until
+            .insert(owner, world.now + frozen_ms);
+        world.run_for(frozen_ms + 100);
+        world.run_for(20_000);
         assert_recovery(&mut world, &["run-1"], &[]);
     }
 }
@@ -510,8 +520,8 @@
         for from in 0..3 {
             for to in 0..3 {
                 world
-                    .troubles
-                    .slow_frames
+                    .faults
+                    .max_frame_delay_ms
                     .insert((from, to), 1_500 + 500 * seed);
             }
         }
@@ -519,9 +529,9 @@
             let machine = machine_name(step % MACHINE_COUNT);
             let (partition, _, other) = partition_owner_and_other(&world, &machine);
             world.move_partition(partition, other);
-            world.run(1_500);
+            world.run_for(1_500);
             if world.leader().is_none() {
-                world.until(20_000, |world| world.leader().is_some());
+                world.run_until(20_000, |world| world.leader().is_some());
             }
         }
         assert_recovery(&mut world, &["run-1"], &[]);
@@ -541,10 +551,10 @@
             world.crash(leader);
             ended.push(leader);
             assert!(
-                world.until(10_000, |world| world.leader().is_some()),
+                world.run_until(10_000, |world| world.leader().is_some()),
                 "a leader"
             );
-            world.run(600);
+            world.run_for(600);
         }
         ended.iter().for_each(|node| world.start(*node));
         assert_recovery(&mut world, &["run-1"], &[]);
@@ -570,23 +580,24 @@
         // The leader's direct orders and its own answers to heartbeats are lost for longer than the
         // tasks of a cancelled job may go on. Answers that an owner passes on arrive, since workers
         // open those connections.
-        world
-            .troubles
-            .cuts
-            .insert((leader, Party::Workers, Cut::Answers));
+        world.faults.connection_faults.insert((
+            leader,
+            Party::Workers,
+            ConnectionFault::ResponsesLost,
+        ));
         if refused {
-            world.refused.insert(leader);
+            world.refused_by_state_service.insert(leader);
             world
-                .troubles
-                .lost_frames
+                .faults
+                .frames_lost_until
                 .insert((old, leader), world.now + 30_000);
         }
         world.move_partition(partition, new);
-        world.run(delay);
+        world.run_for(delay);
         let answered = world.abort(old, "run-1");
         assert_eq!(answered, Some(JobPhase::Aborted));
-        world.run(40_000);
-        assert!(world.on_machines("run-1").is_empty());
+        world.run_for(40_000);
+        assert!(world.placed_tasks("run-1").is_empty());
         assert_recovery(&mut world, &[], &["run-1"]);
         assert_no_late_start(&world);
     }
@@ -599,15 +610,16 @@
     for delay in [0, 700, 1_900, 3_300] {
         let mut world = busy_cluster_with(3, settings_with_rare_heartbeats);
         let leader = world.leader().expect("a leader");
-        world.run(delay);
-        world
-            .troubles
-            .cuts
-            .insert((leader, Party::Workers, Cut::Answers));
+        world.run_for(delay);
+        world.faults.connection_faults.insert((
+            leader,
+            Party::Workers,
+            ConnectionFault::ResponsesLost,
+        ));
         let answered = world.abort(usize::from(leader == 0), "run-1");
         assert_eq!(answered, Some(JobPhase::Aborted));
-        world.run(40_000);
-        assert!(world.on_machines("run-1").is_empty());
+        world.run_for(40_000);
+        assert!(world.placed_tasks("run-1").is_empty());
         assert_recovery(&mut world, &[], &["run-1"]);
         assert_no_late_start(&world);
     }
@@ -623,19 +635,19 @@
         let machine = machine_of_follower(&world);
         let (_, _, confirming) = partition_owner_and_other(&world, &machine);
         let leader = world.leader().expect("a leader");
-        world.run(delay);
+        world.run_for(delay);
         let others = (0..4).filter(|n| *n != confirming);
         others.for_each(|n| {
             world
-                .troubles
-                .lost_frames
+                .faults
+                .frames_lost_until
                 .insert((confirming, n), world.now + 60_000);
         });
-        world.refused.insert(leader);
+        world.refused_by_state_service.insert(leader);
         let answered = world.abort(confirming, "run-1");
         assert_eq!(answered, Some(JobPhase::Aborted));
-        world.state_down = true;
-        world.run(60_000);
+        world.state_service_down = true;
+        world.run_for(60_000);
         clean(&world);
         assert_recovery(&mut world, &[], &["run-1"]);
         assert_no_late_start(&world);
@@ -654,20 +666,20 @@
     let mut slowest = 0;
     for number in 0..16 {
         let id = format!("run-{}", 100 + number);
-        let mut job = array(&id, 2);
+        let mut job = array_job(&id, 2);
         job.priority = wire::users::Priority::Critical;
         assert_eq!(world.submit(follower, &job, runs(8_000)), 201);
-        world.run(60 + 20 * number);
-        world.refused.insert(leader);
-        world.run(2_200);
-        world.refused.remove(&leader);
+        world.run_for(60 + 20 * number);
+        world.refused_by_state_service.insert(leader);
+        world.run_for(2_200);
+        world.refused_by_state_service.remove(&leader);
         let since = world.now;
-        assert!(world.until(30_000, |world| !world.on_machines(&id).is_empty()));
+        assert!(world.run_until(30_000, |world| !world.placed_tasks(&id).is_empty()));
         slowest = slowest.max(world.now - since);
-        world.run(2_500);
+        world.run_for(2_500);
     }
     assert!(slowest < 7_000, "{slowest} ms until the start");
-    world.heal();
+    world.end_faults();
     clean(&world);
 }
 
@@ -676,32 +688,36 @@
     for seed in 0..6 {
         let mut world = busy_cluster(3);
         world.seed(seed);
-        let to = [CopyTo::Same, CopyTo::Any, CopyTo::NextLeader][seed as usize % 3];
-        world.troubles.late_reports = Some((0.4, to));
+        let to = [
+            DuplicateTarget::SameNode,
+            DuplicateTarget::AnyNode,
+            DuplicateTarget::NextLeader,
+        ][seed as usize % 3];
+        world.faults.duplicate_reports = Some((0.4, to));
         // Short jobs of high priority preempt others, so that starts are sent continually.
         let mut ids = vec!["run-1".to_string()];
         for number in 0..10 {
             let id = format!("run-{}", 100 + number);
-            let mut job = array(&id, 3);
+            let mut job = array_job(&id, 3);
             job.priority = wire::users::Priority::Critical;
             let node = running_node(&world);
             assert_eq!(world.submit(node, &job, runs(2_000)), 201);
             for machine in world.workers.values_mut() {
-                machine.lose_answers = u32::from(number % 3 == 0);
+                machine.responses_to_lose = u32::from(number % 3 == 0);
             }
             let machine = machine_name((number + seed as usize) % MACHINE_COUNT);
             let (partition, _, other) = partition_owner_and_other(&world, &machine);
             world.move_partition(partition, other);
-            world.run(3_000);
+            world.run_for(3_000);
             if number == 5 {
                 let leader = world.leader().expect("a leader");
                 world.crash(leader);
                 world.start(leader);
-                assert!(world.until(15_000, |world| world.leader().is_some()));
+                assert!(world.run_until(15_000, |world| world.leader().is_some()));
             }
             ids.push(id);
         }
-        world.troubles.late_reports = None;
+        world.faults.duplicate_reports = None;
         let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
         assert_recovery(&mut world, &ids, &[]);
     }
@@ -717,14 +733,14 @@
     let incarnations: u64 = world.workers.values().map(|m| m.incarnation).sum();
     for turn in 0..40 {
         world.move_partition(partition, if turn % 2 == 0 { other } else { owner });
-        world.run(3_000);
+        world.run_for(3_000);
     }
     assert_eq!(
         world.workers.values().map(|m| m.incarnation).sum::<u64>(),
         incarnations,
         "a lease expired"
     );
-    let most = world.workers.values().map(|m| m.most_redirects).max();
+    let most = world.workers.values().map(|m| m.max_redirect_count).max();
     assert!(most <= Some(4), "{most:?} redirects in a row");
     assert_recovery(&mut world, &["run-1"], &[]);
     assert_eq!(max_starts_per_task(&world), 1);
@@ -735,9 +751,9 @@
     let mut epochs = Vec::new();
     for _ in 0..6 {
         world.crash(flapping);
-        world.run(9_000);
+        world.run_for(9_000);
         world.start(flapping);
-        world.run(9_000);
+        world.run_for(9_000);
         epochs.push(
             recorded_owners(&world)
                 .iter()
@@ -758,7 +774,7 @@
     let leader = world.leader().expect("a leader");
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     others.iter().for_each(|n| world.crash(*n));
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!(
         partition_counts(&world).keys().collect::<Vec<_>>(),
         [&controller_label(leader)]
@@ -776,7 +792,7 @@
         let machine = machine_of_follower(&world);
         let (_, owner, _) = partition_owner_and_other(&world, &machine);
         let tasks = |world: &World| {
-            let on = world.on_machines("run-1");
+            let on = world.placed_tasks("run-1");
             let there = on.into_iter().filter(|(m, _, _)| *m == machine);
             there.map(|(_, task, _)| task).collect::<BTreeSet<String>>()
         };
@@ -784,8 +800,8 @@
         assert_eq!(lost.len(), 4);
         let worker = world.workers.get_mut(&machine).expect("the machine");
         match unreached {
-            true => worker.one_way = true,
-            false => worker.cut_until = u64::MAX,
+            true => worker.receives_nothing = true,
+            false => worker.disconnected_until = u64::MAX,
         }
         if owner_goes {
             world.crash(owner);
@@ -794,7 +810,7 @@
         world.add_machine("vm-000500", "a");
         world.add_machine("vm-000501", "b");
         let elsewhere = |world: &mut World| {
-            let on = world.on_machines("run-1");
+            let on = world.placed_tasks("run-1");
             let elsewhere = on.into_iter().filter(|(m, _, _)| *m != machine);
             let there: BTreeSet<String> = elsewhere.map(|(_, task, _)| task).collect();
             lost.is_subset(&there)
@@ -802,7 +818,7 @@
         // The bound consists of a lease after the last answer, the duration of the grant, and the
         // time to place the tasks.
         assert!(
-            world.until(32_000, elsewhere),
+            world.run_until(32_000, elsewhere),
             "unreached {unreached}, without owner {owner_goes}"
         );
         assert_recovery(&mut world, &["run-1"], &[]);
@@ -814,18 +830,18 @@
 #[test]
 fn partitions_leave_an_overloaded_controller_and_stay_where_loads_are_equal() {
     let mut world = busy_cluster(4);
-    world.run(REBALANCE_MS_MAX);
+    world.run_for(REBALANCE_MS_MAX);
     let leader = world.leader().expect("a leader");
     let crowded = (0..4).find(|n| *n != leader).expect("a follower");
     let before = partition_counts(&world)[&controller_label(crowded)];
     world.set_crowded(crowded, true);
-    world.run(60_000);
+    world.run_for(60_000);
     let after = partition_counts(&world)[&controller_label(crowded)];
     assert!(after * 2 <= before, "{before} partitions, then {after}");
     (0..4).for_each(|n| world.set_crowded(n, true));
-    world.run(15_000);
+    world.run_for(15_000);
     let table = recorded_owners(&world);
-    world.run(120_000);
+    world.run_for(120_000);
     assert_eq!(recorded_owners(&world), table);
     assert_eq!(
         world.workers.values().filter(|m| m.incarnation > 1).count(),
@@ -854,8 +870,8 @@
     for machine in 0..MACHINE_COUNT {
         world.add_machine(&machine_name(machine), "a");
     }
-    assert!(world.until(10_000, |world| world.leader().is_some()));
-    world.run(REBALANCE_MS_MAX);
+    assert!(world.run_until(10_000, |world| world.leader().is_some()));
+    world.run_for(REBALANCE_MS_MAX);
     let table = recorded_owners(&world);
     for (partition, owner) in [(0, "n1"), (1, "n1"), (63, "n1"), (7, "n2")] {
         assert_eq!(table[partition].0, owner);
@@ -864,10 +880,10 @@
     assert!((31..=35).contains(&share), "{share} partitions at n1");
     // Without their controller the pinned partitions move to others, and they return with it.
     world.crash(1);
-    world.run(30_000);
+    world.run_for(30_000);
     assert_ne!(recorded_owners(&world)[0].0, "n1");
     world.start(1);
-    assert!(world.until(120_000, |world| recorded_owners(world)[0].0 == "n1"));
+    assert!(world.run_until(120_000, |world| recorded_owners(world)[0].0 == "n1"));
     clean(&world);
 }
 
@@ -889,8 +905,8 @@
     world.crash(node);
     world.start(node);
     let none_granted = |world: &mut World| (0..3).all(|n| granted_partition_count(world, n) == 0);
-    assert!(world.until(20_000, none_granted));
-    world.run(20_000);
+    assert!(world.run_until(20_000, none_granted));
+    world.run_for(20_000);
     world.set_operator(node, operator(Vec::new()));
     world.crash(node);
     world.start(node);
@@ -902,13 +918,13 @@
 fn an_incompatible_ownership_table_is_not_overwritten_and_the_leader_answers_all_workers() {
     let mut world = busy_cluster(3);
     let key = ownership_table_key(1);
-    let mut record: OwnershipTableRecord = world.state.read(&key).expect("a record");
+    let mut record: OwnershipTableRecord = world.state_service.read(&key).expect("a record");
     record.partition_count = 32;
-    world.state.write(&key, &record, None);
-    let version = world.state.version(&key);
+    world.state_service.write(&key, &record, None);
+    let version = world.state_service.version(&key);
     restart_all(&mut world, &operator(Vec::new()));
-    world.run(60_000);
-    assert_eq!(world.state.version(&key), version);
+    world.run_for(60_000);
+    assert_eq!(world.state_service.version(&key), version);
     assert!((0..3).all(|n| granted_partition_count(&world, n) == 0));
     assert_eq!(
         world.workers.values().filter(|m| m.incarnation > 1).count(),
@@ -963,31 +979,31 @@
             }
             2 => {
                 let (node, until) = (rng.usize(..nodes), world.now + rng.u64(1_000..9_000));
-                world.troubles.frozen.insert(node, until);
+                world.faults.frozen_until.insert(node, until);
             }
             3 => {
                 let (from, to) = (rng.usize(..nodes), rng.usize(..nodes));
                 let until = world.now + rng.u64(2_000..12_000);
-                world.troubles.lost_frames.insert((from, to), until);
+                world.faults.frames_lost_until.insert((from, to), until);
             }
-            4 => world.troubles.late_reports = Some((0.2, CopyTo::Any)),
+            4 => world.faults.duplicate_reports = Some((0.2, DuplicateTarget::AnyNode)),
             5 => {
-                world.troubles.late_reports = None;
-                world.troubles.slow_frames.clear();
+                world.faults.duplicate_reports = None;
+                world.faults.max_frame_delay_ms.clear();
             }
             6 if has_late_frames => {
                 let (from, to) = (rng.usize(..nodes), rng.usize(..nodes));
-                world.troubles.slow_frames.insert((from, to), 2_500);
+                world.faults.max_frame_delay_ms.insert((from, to), 2_500);
             }
             7 => {
                 let machine = machine_name(rng.usize(..MACHINE_COUNT));
                 if let Some(worker) = world.workers.get_mut(&machine) {
-                    worker.cut_until = world.now + rng.u64(1_000..20_000);
+                    worker.disconnected_until = world.now + rng.u64(1_000..20_000);
                 }
             }
             _ => {}
         }
-        world.run(rng.u64(500..3_000));
+        world.run_for(rng.u64(500..3_000));
     }
     println!(
         "seed {seed}: {} done, {} cancelled",
@@ -1012,28 +1028,28 @@
 ) {
     let is_gang = rng.u8(..4) == 0;
     let job = match is_gang {
-        true => gang(id, rng.u64(2..=4)),
-        false => array(id, rng.u64(1..=20)),
+        true => gang_job(id, rng.u64(2..=4)),
+        false => array_job(id, rng.u64(1..=20)),
     };
-    let behaviour = Behaviour {
-        gang: if is_gang { job.tasks as u32 } else { 0 },
+    let behaviour = TaskBehaviour {
+        gang_size: if is_gang { job.tasks as u32 } else { 0 },
         ..runs(rng.u64(2_000..40_000))
     };
     let submit = |world: &mut World| {
         let node = running_node(world);
         (200..300).contains(&world.submit(node, &job, behaviour))
     };
-    assert!(world.until(60_000, submit), "{id} is accepted");
+    assert!(world.run_until(60_000, submit), "{id} is accepted");
     if rng.u8(..5) > 0 {
         return done.push(id.to_string());
     }
-    world.run(rng.u64(0..4_000));
+    world.run_for(rng.u64(0..4_000));
     let abort = |world: &mut World| {
         let node = running_node(world);
         world.abort(node, id).is_some()
     };
-    assert!(world.until(60_000, abort), "{id} is cancelled");
-    match world.rules.end(id) {
+    assert!(world.run_until(60_000, abort), "{id} is cancelled");
+    match world.rules.final_phase(id) {
         Some(JobPhase::Done) => done.push(id.to_string()),
         _ => cancelled.push(id.to_string()),
     }
--- a/crates/control/tests/scenarios.rs
+++ b/crates/control/tests/scenarios.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, Behaviour, World};
+use fakes::{array_job, gang_job, TaskBehaviour, World};
 use wire::records::*;
 use wire::users::{Phase, Shape};
 use wire::workers::{EndCause, HeartbeatResponse, TaskPhase, TaskStatus};
@@ -11,7 +11,7 @@
 #[test]
 fn a_job_runs_and_stays_done_for_every_node_and_after_every_restart() {
     let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-1", 3), runs(2_000)), 201);
+    assert_eq!(w.submit(0, &array_job("run-1", 3), runs(2_000)), 201);
     assert_eq!(w.phase(1, "run-1"), Some(Phase::Queued));
     assert!(done(&mut w, "run-1", 15_000));
     for i in 0..3 {
@@ -20,45 +20,52 @@
     for i in 0..3 {
         w.start(i);
     }
-    w.run(5_000);
+    w.run_for(5_000);
     for i in 0..3 {
         assert_eq!(w.phase(i, "run-1"), Some(Phase::Done));
-        assert_eq!(w.submit(i, &array("run-1", 3), runs(2_000)), 200);
+        assert_eq!(w.submit(i, &array_job("run-1", 3), runs(2_000)), 200);
     }
-    assert!(w.on_machines("run-1").is_empty(), "done tasks stay done");
+    assert!(w.placed_tasks("run-1").is_empty(), "done tasks stay done");
     clean(&w);
 }
 
 #[test]
 fn answers_follow_the_protocol_before_and_after_a_job_is_known() {
     let mut w = world(1, 1, 4.0);
-    let post_submission = |w: &mut World, body: Vec<u8>| w.ask(0, "POST", "/submissions", body).0;
+    let post_submission =
+        |w: &mut World, body: Vec<u8>| w.send_and_wait(0, "POST", "/submissions", body).0;
     assert_eq!(post_submission(&mut w, b"not cbor".to_vec()), 400);
-    let mut nan_cpus = array("run-2", 1);
+    let mut nan_cpus = array_job("run-2", 1);
     nan_cpus.cpus = f64::NAN;
     assert_eq!(post_submission(&mut w, wire::encode(&nan_cpus)), 400);
-    let mut no_tasks = array("run-2", 0);
+    let mut no_tasks = array_job("run-2", 0);
     assert_eq!(post_submission(&mut w, wire::encode(&no_tasks)), 400);
     no_tasks.tasks = 100_001;
     assert_eq!(post_submission(&mut w, wire::encode(&no_tasks)), 400);
-    let mut too_many_gpus = array("run-3", 1);
+    let mut too_many_gpus = array_job("run-3", 1);
     too_many_gpus.gpus = 5.0;
     assert_eq!(post_submission(&mut w, wire::encode(&too_many_gpus)), 422);
-    let mut unknown_team = array("run-3", 1);
+    let mut unknown_team = array_job("run-3", 1);
     unknown_team.team = "nobody".into();
     assert_eq!(post_submission(&mut w, wire::encode(&unknown_team)), 422);
     assert_eq!(
-        post_submission(&mut w, wire::encode(&gang("run-3", 2))),
+        post_submission(&mut w, wire::encode(&gang_job("run-3", 2))),
         422
     );
     assert_eq!(w.phase(0, "run-3"), None);
-    assert_eq!(w.ask(0, "GET", "/submissions/run-3", vec![]).0, 404);
+    assert_eq!(
+        w.send_and_wait(0, "GET", "/submissions/run-3", vec![]).0,
+        404
+    );
     // Once an id is known, every submission under it is answered with 200 and changes nothing.
-    assert_eq!(w.submit(0, &array("run-2", 2), runs(60_000)), 201);
-    for body in [wire::encode(&nan_cpus), wire::encode(&array("run-2", 9))] {
-        assert_eq!(w.ask(0, "POST", "/submissions", body).0, 200);
+    assert_eq!(w.submit(0, &array_job("run-2", 2), runs(60_000)), 201);
+    for body in [
+        wire::encode(&nan_cpus),
+        wire::encode(&array_job("run-2", 9)),
+    ] {
+        assert_eq!(w.send_and_wait(0, "POST", "/submissions", body).0, 200);
     }
-    let record: JobRecord = w.state.read(&job_key("run-2")).expect("recorded");
+    let record: JobRecord = w.state_service.read(&job_key("run-2")).expect("recorded");
     assert_eq!(record.spec.tasks, 2);
 }
 
@@ -66,16 +73,19 @@
 fn without_the_state_service_users_are_refused_at_once_or_served_through_a_peer() {
     let mut w = world(3, 1, 0.0);
     let refused_node = follower(&w);
-    w.refused.insert(refused_node);
-    w.run(3_000);
+    w.refused_by_state_service.insert(refused_node);
+    w.run_for(3_000);
     let sent_at = w.now;
-    assert_eq!(w.submit(refused_node, &array("run-4", 1), runs(1_000)), 201);
+    assert_eq!(
+        w.submit(refused_node, &array_job("run-4", 1), runs(1_000)),
+        201
+    );
     assert!(w.now - sent_at < 500, "answered promptly through a peer");
-    w.refused.clear();
-    w.state_down = true;
-    w.run(3_000);
+    w.refused_by_state_service.clear();
+    w.state_service_down = true;
+    w.run_for(3_000);
     let sent_at = w.now;
-    assert_eq!(w.submit(0, &array("run-5", 1), runs(1_000)), 503);
+    assert_eq!(w.submit(0, &array_job("run-5", 1), runs(1_000)), 503);
     assert!(w.now - sent_at < 100, "refused without delay");
     clean(&w);
 }
@@ -87,18 +97,21 @@
         w.leader().expect("leader"),
         w.leader().and_then(|l| w.term_of(l)),
     );
-    assert_eq!(w.submit(old_leader, &array("run-6", 2), runs(20_000)), 201);
-    w.run(4_000);
-    let placed = w.on_machines("run-6");
+    assert_eq!(
+        w.submit(old_leader, &array_job("run-6", 2), runs(20_000)),
+        201
+    );
+    w.run_for(4_000);
+    let placed = w.placed_tasks("run-6");
     assert_eq!(placed.len(), 2);
     w.crash(old_leader);
     // The peers see their connections to it refused and do not wait for the end of its 3 s lease.
-    assert!(w.until(1_500, |w| w.leader().is_some_and(|l| l != old_leader)));
+    assert!(w.run_until(1_500, |w| w.leader().is_some_and(|l| l != old_leader)));
     assert!(w.leader().and_then(|l| w.term_of(l)) > term);
-    w.run(5_000);
-    assert_eq!(w.on_machines("run-6"), placed, "its tasks keep running");
+    w.run_for(5_000);
+    assert_eq!(w.placed_tasks("run-6"), placed, "its tasks keep running");
     let new_leader = w.leader().expect("leader");
-    assert!(w.until(30_000, |w| w.phase(new_leader, "run-6")
+    assert!(w.run_until(30_000, |w| w.phase(new_leader, "run-6")
         == Some(Phase::Done)));
     clean(&w);
 }
@@ -108,17 +121,20 @@
     let mut w = world(3, 2, 0.0);
     let old_leader = w.leader().expect("leader");
     // The old leader's transactions reach the state service only after another node has been elected.
-    w.late_txns.insert(old_leader, 12_000);
+    w.txn_delay_ms.insert(old_leader, 12_000);
     let other_node = follower(&w);
-    assert_eq!(w.submit(other_node, &array("run-7", 2), runs(3_000)), 201);
-    w.run(1_000);
-    w.refused.insert(old_leader);
-    assert!(w.until(10_000, |w| w.leader().is_some_and(|l| l != old_leader)));
-    assert!(w.until(20_000, |w| w.phase(other_node, "run-7")
+    assert_eq!(
+        w.submit(other_node, &array_job("run-7", 2), runs(3_000)),
+        201
+    );
+    w.run_for(1_000);
+    w.refused_by_state_service.insert(old_leader);
+    assert!(w.run_until(10_000, |w| w.leader().is_some_and(|l| l != old_leader)));
+    assert!(w.run_until(20_000, |w| w.phase(other_node, "run-7")
         == Some(Phase::Done)));
-    w.run(15_000);
+    w.run_for(15_000);
     assert_eq!(
-        w.state.keys(JOB_PREFIX),
+        w.state_service.keys(JOB_PREFIX),
         Vec::<String>::new(),
         "no job record was written again"
     );
@@ -129,10 +145,13 @@
 #[test]
 fn a_lost_start_is_sent_again_and_runs_once() {
     let mut w = world(1, 1, 0.0);
-    w.workers.get_mut("vm-000000").expect("worker").lose_answers = 2;
-    assert_eq!(w.submit(0, &array("run-8", 1), runs(3_000)), 201);
+    w.workers
+        .get_mut("vm-000000")
+        .expect("worker")
+        .responses_to_lose = 2;
+    assert_eq!(w.submit(0, &array_job("run-8", 1), runs(3_000)), 201);
     assert!(done(&mut w, "run-8", 40_000));
-    let started = &w.workers["vm-000000"].started;
+    let started = &w.workers["vm-000000"].started_attempts;
     assert_eq!(started.len(), 1, "{started:?}");
     clean(&w);
 }
@@ -140,17 +159,17 @@
 #[test]
 fn an_abort_stops_running_tasks_and_is_not_overridden_by_later_completions() {
     let mut w = world(3, 1, 0.0);
-    assert_eq!(w.submit(0, &array("run-9", 4), runs(6_000)), 201);
-    w.run(4_000);
+    assert_eq!(w.submit(0, &array_job("run-9", 4), runs(6_000)), 201);
+    w.run_for(4_000);
     assert_eq!(w.abort(1, "run-9"), Some(Phase::Aborted));
-    assert!(w.until(6_000, |w| w.on_machines("run-9").is_empty()));
-    w.run(10_000);
+    assert!(w.run_until(6_000, |w| w.placed_tasks("run-9").is_empty()));
+    w.run_for(10_000);
     for i in 0..3 {
         assert_eq!(w.phase(i, "run-9"), Some(Phase::Aborted));
         assert_eq!(w.abort(i, "run-9"), Some(Phase::Aborted));
     }
     // The reverse order: the job is done before it is cancelled.
-    assert_eq!(w.submit(0, &array("run-10", 1), runs(500)), 201);
+    assert_eq!(w.submit(0, &array_job("run-10", 1), runs(500)), 201);
     assert!(done(&mut w, "run-10", 10_000));
     assert_eq!(w.abort(2, "run-10"), Some(Phase::Done));
     clean(&w);
@@ -161,30 +180,33 @@
 fn an_abort_without_a_leader_is_carried_out_by_the_next_leader() {
     let mut w = world(3, 1, 0.0);
     let (old_leader, other_node) = (w.leader().expect("leader"), follower(&w));
-    assert_eq!(w.submit(other_node, &array("run-11", 2), runs(60_000)), 201);
-    w.run(4_000);
+    assert_eq!(
+        w.submit(other_node, &array_job("run-11", 2), runs(60_000)),
+        201
+    );
+    w.run_for(4_000);
     w.crash(old_leader);
     assert!(w.leader().is_none(), "there is no leader yet");
     assert_eq!(w.abort(other_node, "run-11"), Some(Phase::Aborted));
-    assert!(w.until(20_000, |w| w.on_machines("run-11").is_empty()));
+    assert!(w.run_until(20_000, |w| w.placed_tasks("run-11").is_empty()));
     clean(&w);
 }
 
 #[test]
 fn tasks_keep_running_without_a_second_start_when_all_nodes_restart() {
     let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-12", 6), runs(15_000)), 201);
-    w.run(4_000);
-    let placed = w.on_machines("run-12");
+    assert_eq!(w.submit(0, &array_job("run-12", 6), runs(15_000)), 201);
+    w.run_for(4_000);
+    let placed = w.placed_tasks("run-12");
     for i in 0..3 {
         w.crash(i);
     }
-    w.run(3_000);
+    w.run_for(3_000);
     for i in 0..3 {
         w.start(i);
     }
-    w.run(5_000);
-    assert_eq!(w.on_machines("run-12"), placed);
+    w.run_for(5_000);
+    assert_eq!(w.placed_tasks("run-12"), placed);
     assert!(done(&mut w, "run-12", 30_000));
     clean(&w);
 }
@@ -192,18 +214,18 @@
 #[test]
 fn an_outage_of_the_state_service_longer_than_a_lease_ends_no_task() {
     let mut w = world(3, 1, 0.0);
-    assert_eq!(w.submit(0, &array("run-13", 3), runs(80_000)), 201);
-    w.run(4_000);
-    let placed = w.on_machines("run-13");
+    assert_eq!(w.submit(0, &array_job("run-13", 3), runs(80_000)), 201);
+    w.run_for(4_000);
+    let placed = w.placed_tasks("run-13");
     assert_eq!(placed.len(), 3);
-    w.state_down = true;
+    w.state_service_down = true;
     // Longer than `cancel_s`: the peers report that no cancellation was confirmed meanwhile.
-    w.run(60_000);
-    assert_eq!(w.on_machines("run-13"), placed, "leases are renewed");
-    w.state_down = false;
-    w.state.refresh_leases(w.now);
+    w.run_for(60_000);
+    assert_eq!(w.placed_tasks("run-13"), placed, "leases are renewed");
+    w.state_service_down = false;
+    w.state_service.renew_all_leases(w.now);
     assert!(done(&mut w, "run-13", 40_000));
-    let started = w.workers["vm-000000"].started.len();
+    let started = w.workers["vm-000000"].started_attempts.len();
     assert_eq!(started, 3, "each task started once");
     clean(&w);
 }
@@ -213,23 +235,30 @@
     let mut w = world(3, 2, 0.0);
     let (old_leader, other_node) = (w.leader().expect("leader"), follower(&w));
     for worker in w.workers.values_mut() {
-        worker.lose_answers = 1;
+        worker.responses_to_lose = 1;
     }
-    assert_eq!(w.submit(other_node, &array("run-26", 3), runs(5_000)), 201);
+    assert_eq!(
+        w.submit(other_node, &array_job("run-26", 3), runs(5_000)),
+        201
+    );
     let recorded = |w: &mut World| {
         let parts = parts(w);
         let of_job = parts.iter().filter(|entry| entry.job == "run-26");
         of_job.map(|entry| entry.chunk.assignments.len()).max() == Some(3)
     };
-    assert!(w.until(2_000, recorded));
+    assert!(w.run_until(2_000, recorded));
     assert!(
-        w.on_machines("run-26").is_empty(),
+        w.placed_tasks("run-26").is_empty(),
         "recorded but not started"
     );
     w.crash(old_leader);
-    assert!(w.until(40_000, |w| w.phase(other_node, "run-26")
+    assert!(w.run_until(40_000, |w| w.phase(other_node, "run-26")
         == Some(Phase::Done)));
-    let started: usize = w.workers.values().map(|worker| worker.started.len()).sum();
+    let started: usize = w
+        .workers
+        .values()
+        .map(|worker| worker.started_attempts.len())
+        .sum();
     assert_eq!(started, 3);
     clean(&w);
 }
@@ -237,12 +266,12 @@
 #[test]
 fn a_stale_report_neither_completes_nor_loses_a_task() {
     let mut w = world(1, 1, 0.0);
-    assert_eq!(w.submit(0, &array("run-27", 1), runs(8_000)), 201);
-    w.run(4_000);
-    let (machine, task, attempt) = w.on_machines("run-27")[0].clone();
+    assert_eq!(w.submit(0, &array_job("run-27", 1), runs(8_000)), 201);
+    w.run_for(4_000);
+    let (machine, task, attempt) = w.placed_tasks("run-27")[0].clone();
     let now = w.now;
     let worker = w.workers.get_mut(&machine).expect("worker");
-    let mut stale_report = worker.report(fakes::KIND, now);
+    let mut stale_report = worker.report(fakes::MACHINE_TYPE, now);
     stale_report.seq = 1;
     for (tasks, cause) in [(1, EndCause::Done), (0, EndCause::Error)] {
         stale_report.tasks = vec![
@@ -255,35 +284,35 @@
             };
             tasks
         ];
-        let (status, body) = w.ask(0, "POST", "/v1/report", wire::encode(&stale_report));
+        let (status, body) = w.send_and_wait(0, "POST", "/v1/report", wire::encode(&stale_report));
         let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
         assert_eq!((status, answer.orders.len()), (200, 0));
     }
-    w.run(1_000);
+    w.run_for(1_000);
     assert_ne!(w.phase(0, "run-27"), Some(Phase::Done));
-    assert_eq!(w.on_machines("run-27").len(), 1, "neither done nor lost");
+    assert_eq!(w.placed_tasks("run-27").len(), 1, "neither done nor lost");
     assert!(done(&mut w, "run-27", 20_000));
-    assert_eq!(w.workers[&machine].started.len(), 1);
+    assert_eq!(w.workers[&machine].started_attempts.len(), 1);
     clean(&w);
 }
 
 #[test]
 fn a_gang_under_reclaim_notice_saves_its_checkpoints_together_and_restarts() {
     let mut w = world(1, 6, 0.0);
-    let behaviour = Behaviour {
-        gang: 2,
-        save_ms: 1_000,
+    let behaviour = TaskBehaviour {
+        gang_size: 2,
+        checkpoint_write_ms: 1_000,
         ..runs(20_000)
     };
-    let mut job = gang("run-28", 2);
+    let mut job = gang_job("run-28", 2);
     (job.checkpoint_interval_s, job.checkpoint_write_s) = (5.0, 1.0);
     assert_eq!(w.submit(0, &job, behaviour), 201);
-    w.run(6_000);
-    let first_attempt = w.on_machines("run-28");
+    w.run_for(6_000);
+    let first_attempt = w.placed_tasks("run-28");
     assert_eq!(first_attempt.len(), 2);
     let reclaim_at = w.now + 12_000;
     let worker = w.workers.get_mut(&first_attempt[0].0).expect("worker");
-    worker.taken_at = Some(reclaim_at);
+    worker.reclaim_at = Some(reclaim_at);
     let saving = |w: &World, placed: &(String, String, u64)| {
         let task = w
             .workers
@@ -293,7 +322,7 @@
     };
     let mut saving_since = [None, None];
     for _ in 0..600 {
-        w.run(10);
+        w.run_for(10);
         for i in 0..2 {
             if saving_since[i].is_none() && saving(&w, &first_attempt[i]) {
                 saving_since[i] = Some(w.now);
@@ -305,7 +334,7 @@
     };
     assert!(first_ms.abs_diff(second_ms) < 8_000, "within gang_peer_s");
     assert!(done(&mut w, "run-28", 90_000));
-    let attempts = w.workers.values().flat_map(|m| m.started.iter());
+    let attempts = w.workers.values().flat_map(|m| m.started_attempts.iter());
     assert!(
         attempts
             .clone()
@@ -318,21 +347,21 @@
 #[test]
 fn a_lost_task_of_an_incomplete_gang_is_replaced_within_the_same_attempt() {
     let mut w = world(1, 6, 0.0);
-    let behaviour = Behaviour {
-        gang: 2,
-        fetch_ms: 9_000,
+    let behaviour = TaskBehaviour {
+        gang_size: 2,
+        image_fetch_ms: 9_000,
         ..runs(5_000)
     };
-    assert_eq!(w.submit(0, &gang("run-31", 2), behaviour), 201);
-    w.run(4_000);
-    let first_placed = w.on_machines("run-31");
+    assert_eq!(w.submit(0, &gang_job("run-31", 2), behaviour), 201);
+    w.run_for(4_000);
+    let first_placed = w.placed_tasks("run-31");
     assert_eq!(first_placed.len(), 2);
     w.workers.remove(&first_placed[0].0);
     assert!(done(&mut w, "run-31", 60_000));
     let attempts: Vec<u64> = w
         .workers
         .values()
-        .flat_map(|m| m.started.iter().map(|(_, a)| *a))
+        .flat_map(|m| m.started_attempts.iter().map(|(_, a)| *a))
         .collect();
     assert_eq!(
         attempts,
@@ -347,15 +376,15 @@
     let mut answers = Vec::new();
     for offset in 0..12 {
         let mut w = world(3, 1, 0.0);
-        assert_eq!(w.submit(0, &array("run-29", 1), runs(3_000)), 201);
-        w.run(3_000 + 250 * offset);
+        assert_eq!(w.submit(0, &array_job("run-29", 1), runs(3_000)), 201);
+        w.run_for(3_000 + 250 * offset);
         let answer = w.abort(1, "run-29").expect("an answer");
         answers.push(answer);
         for _ in 0..10 {
             for i in 0..3 {
                 assert_eq!(w.phase(i, "run-29"), Some(answer), "offset {offset}");
             }
-            w.run(1_000);
+            w.run_for(1_000);
         }
         clean(&w);
     }
@@ -371,13 +400,13 @@
 fn a_leader_that_workers_do_not_reach_gets_their_reports_through_its_peers() {
     let mut w = world(3, 2, 0.0);
     let leader = w.leader().expect("leader");
-    assert_eq!(w.submit(leader, &array("run-25", 4), runs(40_000)), 201);
-    w.run(4_000);
-    let placed = w.on_machines("run-25");
+    assert_eq!(w.submit(leader, &array_job("run-25", 4), runs(40_000)), 201);
+    w.run_for(4_000);
+    let placed = w.placed_tasks("run-25");
     assert_eq!(placed.len(), 4);
-    w.unreached.insert(leader);
-    w.run(30_000);
-    assert_eq!(w.on_machines("run-25"), placed, "no lease expired");
+    w.isolated_from_workers.insert(leader);
+    w.run_for(30_000);
+    assert_eq!(w.placed_tasks("run-25"), placed, "no lease expired");
     assert_eq!(w.leader(), Some(leader));
     assert!(done(&mut w, "run-25", 30_000));
     clean(&w);
@@ -388,30 +417,36 @@
     let mut w = world(3, 1, 0.0);
     let leader = w.leader().expect("leader");
     let others: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
-    assert_eq!(w.submit(leader, &array("run-24", 2), runs(500_000)), 201);
-    w.run(4_000);
-    assert_eq!(w.on_machines("run-24").len(), 2);
+    assert_eq!(
+        w.submit(leader, &array_job("run-24", 2), runs(500_000)),
+        201
+    );
+    w.run_for(4_000);
+    assert_eq!(w.placed_tasks("run-24").len(), 2);
     // The workers reach only the leader, which reaches neither the state service nor its peers.
-    w.refused.insert(leader);
-    w.silent_peers.insert(leader);
-    w.stuck_workers = Some(leader);
-    w.run(500);
+    w.refused_by_state_service.insert(leader);
+    w.isolated_from_peers.insert(leader);
+    w.only_reachable_node = Some(leader);
+    w.run_for(500);
     assert_eq!(w.abort(others[0], "run-24"), Some(Phase::Aborted));
-    w.run(60_000);
-    assert!(w.on_machines("run-24").is_empty());
+    w.run_for(60_000);
+    assert!(w.placed_tasks("run-24").is_empty());
     clean(&w);
 }
 
 #[test]
 fn tasks_of_a_disconnected_machine_start_elsewhere_only_after_its_lease() {
     let mut w = world(1, 1, 0.0);
-    assert_eq!(w.submit(0, &array("run-14", 1), runs(20_000)), 201);
-    w.run(4_000);
+    assert_eq!(w.submit(0, &array_job("run-14", 1), runs(20_000)), 201);
+    w.run_for(4_000);
     let disconnected_at = w.now;
-    w.workers.get_mut("vm-000000").expect("worker").cut_until = disconnected_at + 60_000;
+    w.workers
+        .get_mut("vm-000000")
+        .expect("worker")
+        .disconnected_until = disconnected_at + 60_000;
     w.add_machine("vm-000001", "a");
-    assert!(w.until(40_000, |w| w
-        .on_machines("run-14")
+    assert!(w.run_until(40_000, |w| w
+        .placed_tasks("run-14")
         .iter()
         .any(|p| p.0 == "vm-000001")));
     // The last answered report was sent up to one interval before the machine was disconnected.
@@ -433,7 +468,7 @@
     for name in names {
         w.add_machine(name, "a");
     }
-    w.run(6_000);
+    w.run_for(6_000);
     w
 }
 
@@ -443,15 +478,21 @@
 fn a_machine_disconnected_for_two_leases_is_kept_and_used_again() {
     let mut w = world_keeping_idle_machines(&["vm-000000", "vm-000001"]);
     let cut_until = w.now + 24_000;
-    w.workers.get_mut("vm-000001").expect("machine").cut_until = cut_until;
-    w.run(26_000);
+    w.workers
+        .get_mut("vm-000001")
+        .expect("machine")
+        .disconnected_until = cut_until;
+    w.run_for(26_000);
     assert!(w.workers.contains_key("vm-000001"), "not returned");
-    assert_eq!(w.submit(0, &array("run-36", 8), runs(5_000)), 201);
-    assert!(w.until(6_000, |w| w.on_machines("run-36").len() == 8));
+    assert_eq!(w.submit(0, &array_job("run-36", 8), runs(5_000)), 201);
+    assert!(w.run_until(6_000, |w| w.placed_tasks("run-36").len() == 8));
     let cut_until = w.now + 60_000;
-    w.workers.get_mut("vm-000001").expect("machine").cut_until = cut_until;
+    w.workers
+        .get_mut("vm-000001")
+        .expect("machine")
+        .disconnected_until = cut_until;
     assert!(
-        w.until(45_000, |w| !w.workers.contains_key("vm-000001")),
+        w.run_until(45_000, |w| !w.workers.contains_key("vm-000001")),
         "a machine that stays disconnected is returned"
     );
     clean(&w);
@@ -460,13 +501,13 @@
 #[test]
 fn a_gang_starts_complete_in_one_attempt_and_restarts_after_a_loss() {
     let mut w = world(1, 4, 0.0);
-    let behaviour = Behaviour {
-        gang: 2,
+    let behaviour = TaskBehaviour {
+        gang_size: 2,
         ..runs(15_000)
     };
-    assert_eq!(w.submit(0, &gang("run-15", 2), behaviour), 201);
-    w.run(5_000);
-    let first_attempt = w.on_machines("run-15");
+    assert_eq!(w.submit(0, &gang_job("run-15", 2), behaviour), 201);
+    w.run_for(5_000);
+    let first_attempt = w.placed_tasks("run-15");
     assert_eq!(first_attempt.len(), 2);
     assert_eq!(
         first_attempt[0].2, first_attempt[1].2,
@@ -480,7 +521,7 @@
     // One machine is lost: the remaining task is stopped, and all tasks start again under a new attempt.
     w.workers.remove(&first_attempt[0].0);
     assert!(done(&mut w, "run-15", 90_000));
-    let started = w.workers.values().flat_map(|m| m.started.iter());
+    let started = w.workers.values().flat_map(|m| m.started_attempts.iter());
     assert!(started
         .clone()
         .any(|(_, attempt)| *attempt > first_attempt[0].2));
@@ -490,19 +531,19 @@
 #[test]
 fn tasks_move_on_and_the_machine_is_returned_under_reclaim_notice() {
     let mut w = world(1, 2, 0.0);
-    let mut job = array("run-16", 2);
+    let mut job = array_job("run-16", 2);
     (job.checkpoint_interval_s, job.checkpoint_write_s) = (5.0, 1.0);
-    let behaviour = Behaviour {
-        save_ms: 1_000,
+    let behaviour = TaskBehaviour {
+        checkpoint_write_ms: 1_000,
         ..runs(20_000)
     };
     assert_eq!(w.submit(0, &job, behaviour), 201);
-    w.run(5_000);
-    let machine = w.on_machines("run-16")[0].0.clone();
+    w.run_for(5_000);
+    let machine = w.placed_tasks("run-16")[0].0.clone();
     let reclaim_at = w.now + 9_000;
-    w.workers.get_mut(&machine).expect("worker").taken_at = Some(reclaim_at);
-    w.run(8_000);
-    assert!(w.on_machines("run-16").iter().all(|p| p.0 != machine));
+    w.workers.get_mut(&machine).expect("worker").reclaim_at = Some(reclaim_at);
+    w.run_for(8_000);
+    assert!(w.placed_tasks("run-16").iter().all(|p| p.0 != machine));
     assert!(done(&mut w, "run-16", 60_000));
     clean(&w);
 }
@@ -512,14 +553,14 @@
 #[test]
 fn tasks_of_a_reclaimed_machine_start_elsewhere_at_once_when_its_notice_ends() {
     let mut w = world(1, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-16", 5), runs(20_000)), 201);
-    w.run(4_000);
-    let machine = w.on_machines("run-16")[0].0.clone();
+    assert_eq!(w.submit(0, &array_job("run-16", 5), runs(20_000)), 201);
+    w.run_for(4_000);
+    let machine = w.placed_tasks("run-16")[0].0.clone();
     let reclaim_at = w.now + 6_000;
-    w.workers.get_mut(&machine).expect("worker").taken_at = Some(reclaim_at);
-    w.run(6_000 + 4_500);
+    w.workers.get_mut(&machine).expect("worker").reclaim_at = Some(reclaim_at);
+    w.run_for(6_000 + 4_500);
     assert_eq!(
-        w.on_machines("run-16").len(),
+        w.placed_tasks("run-16").len(),
         4,
         "as many as the other machine holds"
     );
@@ -531,15 +572,15 @@
 #[test]
 fn a_gang_whose_image_fetch_exceeds_the_gang_wait_begins_with_its_second_attempt() {
     let mut w = world(1, 4, 0.0);
-    w.capacity = 0;
-    let slow_fetch = Behaviour {
-        gang: 2,
-        fetch_ms: 45_000,
+    w.cloud_capacity = 0;
+    let slow_fetch = TaskBehaviour {
+        gang_size: 2,
+        image_fetch_ms: 45_000,
         ..runs(5_000)
     };
     let worker_with_image = w.workers.get_mut("vm-000000").expect("machine");
-    worker_with_image.images.insert("run-38".into());
-    assert_eq!(w.submit(0, &gang("run-38", 2), slow_fetch), 201);
+    worker_with_image.cached_images.insert("run-38".into());
+    assert_eq!(w.submit(0, &gang_job("run-38", 2), slow_fetch), 201);
     assert!(done(&mut w, "run-38", 75_000));
     clean(&w);
 }
@@ -548,19 +589,19 @@
 #[test]
 fn a_leader_without_the_state_service_does_not_busy_loop() {
     let mut w = world(1, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-45", 12), runs(5_000)), 201);
-    w.run(1_000);
-    w.state_down = true;
-    w.run(4_000);
-    let ticks_before = w.ticks;
-    w.run(5_000);
-    let ticks = w.ticks - ticks_before;
+    assert_eq!(w.submit(0, &array_job("run-45", 12), runs(5_000)), 201);
+    w.run_for(1_000);
+    w.state_service_down = true;
+    w.run_for(4_000);
+    let ticks_before = w.node_wakeups;
+    w.run_for(5_000);
+    let ticks = w.node_wakeups - ticks_before;
     assert!(
         ticks < 250,
         "{ticks} wake-ups in 5 s, which are 500 simulation steps"
     );
-    w.state_down = false;
-    w.state.refresh_leases(w.now);
+    w.state_service_down = false;
+    w.state_service.renew_all_leases(w.now);
     assert!(done(&mut w, "run-45", 20_000));
     clean(&w);
 }
@@ -569,11 +610,14 @@
 #[test]
 fn jobs_are_discovered_although_every_watch_fails() {
     let mut w = world(2, 2, 0.0);
-    w.break_watches = true;
-    w.run(5_000);
+    w.fail_watches = true;
+    w.run_for(5_000);
     let other_node = follower(&w);
-    assert_eq!(w.submit(other_node, &array("run-39", 2), runs(2_000)), 201);
-    assert!(w.until(20_000, |w| w.phase(other_node, "run-39")
+    assert_eq!(
+        w.submit(other_node, &array_job("run-39", 2), runs(2_000)),
+        201
+    );
+    assert!(w.run_until(20_000, |w| w.phase(other_node, "run-39")
         == Some(Phase::Done)));
     clean(&w);
 }
@@ -581,9 +625,9 @@
 #[test]
 fn a_team_stays_within_its_limit_through_recovery() {
     let mut w = world(3, 3, 4.0);
-    assert_eq!(w.submit(0, &array("run-17", 12), runs(5_000)), 201);
-    w.run(4_000);
-    assert_eq!(w.on_machines("run-17").len(), 4);
+    assert_eq!(w.submit(0, &array_job("run-17", 12), runs(5_000)), 201);
+    w.run_for(4_000);
+    assert_eq!(w.placed_tasks("run-17").len(), 4);
     for i in 0..3 {
         w.crash(i);
     }
@@ -597,20 +641,20 @@
 #[test]
 fn a_failing_job_backs_off_while_others_run_and_its_machines_are_kept() {
     let mut w = world(1, 3, 0.0);
-    let failing = Behaviour {
-        fails: true,
+    let failing = TaskBehaviour {
+        fails_after_run: true,
         ..runs(1_000)
     };
     // One long task on each machine, so that no machine is returned as idle.
-    let mut long_tasks = array("run-30", 3);
+    let mut long_tasks = array_job("run-30", 3);
     long_tasks.cpus = 20.0;
     assert_eq!(w.submit(0, &long_tasks, runs(100_000)), 201);
-    w.run(2_000);
-    assert_eq!(w.submit(0, &array("run-18", 6), failing), 201);
-    assert_eq!(w.submit(0, &array("run-19", 4), runs(3_000)), 201);
+    w.run_for(2_000);
+    assert_eq!(w.submit(0, &array_job("run-18", 6), failing), 201);
+    assert_eq!(w.submit(0, &array_job("run-19", 4), runs(3_000)), 201);
     assert!(done(&mut w, "run-19", 20_000));
-    w.run(60_000);
-    let starts: usize = w.workers.values().map(|m| m.started.len()).sum();
+    w.run_for(60_000);
+    let starts: usize = w.workers.values().map(|m| m.started_attempts.len()).sum();
     assert!(starts < 80, "{starts} starts");
     assert!(
         w.workers.len() >= 3,
@@ -622,26 +666,26 @@
 #[test]
 fn machines_are_rented_on_demand_under_unique_names_and_returned_when_idle() {
     let mut w = world(3, 0, 0.0);
-    w.capacity = 8;
-    assert_eq!(w.submit(0, &array("run-20", 6), runs(4_000)), 201);
-    w.run(3_000);
+    w.cloud_capacity = 8;
+    assert_eq!(w.submit(0, &array_job("run-20", 6), runs(4_000)), 201);
+    w.run_for(3_000);
     let leader = w.leader().expect("leader");
     w.crash(leader);
-    w.run(3_000);
+    w.run_for(3_000);
     w.start(leader);
     assert!(done(&mut w, "run-20", 60_000));
     assert!(w.workers.len() <= 3, "no more than the work needs");
     assert!(
-        w.until(120_000, |w| w.workers.is_empty()),
+        w.run_until(120_000, |w| w.workers.is_empty()),
         "all machines are returned"
     );
-    let mut names = w.rentals.clone();
+    let mut names = w.executed_rentals.clone();
     names.sort();
     names.dedup();
-    assert_eq!(names.len(), w.rentals.len());
-    assert_eq!(w.capacity, 8);
+    assert_eq!(names.len(), w.executed_rentals.len());
+    assert_eq!(w.cloud_capacity, 8);
     assert!(
-        w.state.keys(RENTAL_PREFIX).is_empty(),
+        w.state_service.keys(RENTAL_PREFIX).is_empty(),
         "no rental record remains"
     );
     clean(&w);
@@ -651,18 +695,18 @@
 #[test]
 fn waiting_tasks_keep_only_as_many_idle_machines_as_they_fill() {
     let mut w = World::new(1, |i| settings(i, 1, 0.0));
-    w.capacity = 0;
+    w.cloud_capacity = 0;
     for m in 0..24 {
         w.add_machine(&format!("vm-{m:06}"), "a");
     }
-    w.run(6_000);
+    w.run_for(6_000);
     // Half of the gang must be in the other zone, where no machine is available.
-    let mut spread_gang = gang("run-37", 4);
+    let mut spread_gang = gang_job("run-37", 4);
     (spread_gang.one_zone, spread_gang.spread) = (false, true);
     assert_eq!(w.submit(0, &spread_gang, runs(5_000)), 201);
     for _ in 0..400 {
-        w.run(100);
-        w.capacity = 0;
+        w.run_for(100);
+        w.cloud_capacity = 0;
     }
     let machines_left = w.workers.len();
     assert!(
@@ -682,40 +726,40 @@
     w.stopwatch = || STOPWATCH_US.fetch_add(8_000, Ordering::Relaxed);
     w.crash(0);
     w.start(0);
-    w.run(4_000);
-    assert_eq!(w.submit(0, &array("run-23", 30), runs(60_000)), 201);
-    assert!(w.until(10_000, |w| w.on_machines("run-23").len() == 30));
+    w.run_for(4_000);
+    assert_eq!(w.submit(0, &array_job("run-23", 30), runs(60_000)), 201);
+    assert!(w.run_until(10_000, |w| w.placed_tasks("run-23").len() == 30));
     clean(&w);
 }
 
 #[test]
 fn a_service_runs_until_it_is_cancelled() {
     let mut w = world(1, 1, 0.0);
-    let mut service = array("run-22", 2);
+    let mut service = array_job("run-22", 2);
     service.shape = Shape::Service;
     service.estimated_run_s = 0.0;
     assert_eq!(w.submit(0, &service, runs(1_000_000)), 201);
-    w.run(30_000);
-    assert_eq!(w.on_machines("run-22").len(), 2);
+    w.run_for(30_000);
+    assert_eq!(w.placed_tasks("run-22").len(), 2);
     assert_eq!(w.phase(0, "run-22"), Some(Phase::Running));
     assert_eq!(w.abort(0, "run-22"), Some(Phase::Aborted));
-    assert!(w.until(6_000, |w| w.on_machines("run-22").is_empty()));
+    assert!(w.run_until(6_000, |w| w.placed_tasks("run-22").is_empty()));
     clean(&w);
 }
 
 #[test]
 fn a_very_large_array_is_stored_in_several_records_of_bounded_size() {
     let mut w = world(1, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-21", 100_000), runs(5_000)), 201);
-    w.run(20_000);
-    assert!(w.on_machines("run-21").len() <= 8);
-    for key in w.state.keys(PAGE_PREFIX) {
-        let record: PageRecord = w.state.read(&key).expect("record");
+    assert_eq!(w.submit(0, &array_job("run-21", 100_000), runs(5_000)), 201);
+    w.run_for(20_000);
+    assert!(w.placed_tasks("run-21").len() <= 8);
+    for key in w.state_service.keys(PAGE_PREFIX) {
+        let record: PageRecord = w.state_service.read(&key).expect("record");
         assert!(wire::encode(&record).len() < 8 * 1024, "{key}");
     }
     assert_eq!(w.phase(0, "run-21"), Some(Phase::Running));
     assert_eq!(w.abort(0, "run-21"), Some(Phase::Aborted));
-    assert!(w.until(10_000, |w| w.state.keys(JOB_PREFIX).is_empty()));
+    assert!(w.run_until(10_000, |w| w.state_service.keys(JOB_PREFIX).is_empty()));
     clean(&w);
 }
 
@@ -723,24 +767,24 @@
 #[test]
 fn assignments_of_many_jobs_share_few_records() {
     let mut w = world(1, 40, 0.0);
-    let writes_before = w.state.writes;
+    let writes_before = w.state_service.write_count;
     for n in 0..40 {
         let id = format!("run-{}", 400 + n);
-        assert_eq!(w.submit(0, &array(&id, 4), runs(20_000)), 201);
+        assert_eq!(w.submit(0, &array_job(&id, 4), runs(20_000)), 201);
     }
     let all_placed =
-        |w: &mut World| (400..440).all(|n| w.on_machines(&format!("run-{n}")).len() == 4);
-    assert!(w.until(10_000, all_placed));
-    let placement_writes = w.state.writes - writes_before - 40;
+        |w: &mut World| (400..440).all(|n| w.placed_tasks(&format!("run-{n}")).len() == 4);
+    assert!(w.run_until(10_000, all_placed));
+    let placement_writes = w.state_service.write_count - writes_before - 40;
     assert!(
         placement_writes <= 30,
         "{placement_writes} writes to place 160 tasks"
     );
-    assert!(w.until(60_000, |w| w.state.keys(JOB_PREFIX).is_empty()));
-    let writes = w.state.writes - writes_before;
+    assert!(w.run_until(60_000, |w| w.state_service.keys(JOB_PREFIX).is_empty()));
+    let writes = w.state_service.write_count - writes_before;
     assert!(writes < 40 * 4, "{writes} writes for 40 jobs");
     assert!(
-        w.state.keys(PAGE_PREFIX).len() <= 4,
+        w.state_service.keys(PAGE_PREFIX).len() <= 4,
         "empty pages are deleted"
     );
     clean(&w);
@@ -750,37 +794,37 @@
 #[test]
 fn nothing_is_lost_or_duplicated_when_transactions_go_unanswered_and_leaders_crash() {
     let mut w = world(3, 12, 0.0);
-    w.lose_txns = 7;
+    w.lost_txn_interval = 7;
     let ids: Vec<String> = (500..560).map(|n| format!("run-{n}")).collect();
     for (n, id) in ids.iter().enumerate() {
         let job = match n % 5 {
-            4 => gang(id, 2),
-            _ => array(id, 1 + n as u64 % 9),
+            4 => gang_job(id, 2),
+            _ => array_job(id, 1 + n as u64 % 9),
         };
         // The first attempt may go unanswered or arrive before the node is ready.
         let accepted = |w: &mut World| {
-            w.run(100);
+            w.run_for(100);
             matches!(w.submit(n % 3, &job, runs(6_000)), 200 | 201)
         };
         assert!((0..30).any(|_| accepted(&mut w)), "{id}");
-        w.run(300);
+        w.run_for(300);
         if n % 7 == 3 {
             w.abort(n % 3, id);
         }
         if n % 15 == 14 {
             let leader = w.leader().unwrap_or(0);
             w.crash(leader);
-            w.run(200);
+            w.run_for(200);
             w.start(leader);
         }
     }
-    w.lose_txns = 0;
+    w.lost_txn_interval = 0;
     let all_final = |w: &mut World| {
         let phase = |w: &mut World, id: &str| w.phase(0, id);
         ids.iter()
             .all(|id| matches!(phase(w, id), Some(Phase::Done | Phase::Aborted)))
     };
-    assert!(w.until(200_000, all_final));
+    assert!(w.run_until(200_000, all_final));
     clean(&w);
 }
 
@@ -788,24 +832,30 @@
 #[test]
 fn a_machine_that_receives_no_answers_gets_no_tasks_until_a_session_outlasts_a_lease() {
     let mut w = world_keeping_idle_machines(&["vm-000000", "vm-000001"]);
-    w.workers.get_mut("vm-000000").expect("worker").one_way = true;
-    assert_eq!(w.submit(0, &array("run-40", 8), runs(6_000)), 201);
+    w.workers
+        .get_mut("vm-000000")
+        .expect("worker")
+        .receives_nothing = true;
+    assert_eq!(w.submit(0, &array_job("run-40", 8), runs(6_000)), 201);
     assert!(
         done(&mut w, "run-40", 60_000),
         "no task waits for the machine forever"
     );
-    assert_eq!(w.submit(0, &array("run-41", 4), runs(3_000)), 201);
+    assert_eq!(w.submit(0, &array_job("run-41", 4), runs(3_000)), 201);
     assert!(
         done(&mut w, "run-41", 8_000),
         "new tasks are not placed there"
     );
-    let starts_there = |w: &World| w.workers["vm-000000"].started.len();
+    let starts_there = |w: &World| w.workers["vm-000000"].started_attempts.len();
     assert_eq!(starts_there(&w), 0);
-    w.workers.get_mut("vm-000000").expect("worker").one_way = false;
-    w.run(30_000);
-    assert_eq!(w.submit(0, &array("run-42", 8), runs(4_000)), 201);
+    w.workers
+        .get_mut("vm-000000")
+        .expect("worker")
+        .receives_nothing = false;
+    w.run_for(30_000);
+    assert_eq!(w.submit(0, &array_job("run-42", 8), runs(4_000)), 201);
     assert!(
-        w.until(8_000, |w| starts_there(w) > 0),
+        w.run_until(8_000, |w| starts_there(w) > 0),
         "used again once it receives answers"
     );
     clean(&w);
@@ -816,21 +866,25 @@
 fn a_late_duplicate_report_neither_restores_a_machine_nor_affects_a_new_leader() {
     let mut w = world(3, 2, 0.0);
     let (old_leader, other_node) = (w.leader().expect("leader"), follower(&w));
-    assert_eq!(w.submit(other_node, &array("run-43", 8), runs(14_000)), 201);
-    w.run(4_000);
+    assert_eq!(
+        w.submit(other_node, &array_job("run-43", 8), runs(14_000)),
+        201
+    );
+    w.run_for(4_000);
     let now = w.now;
     let removed_worker = w.workers.get_mut("vm-000001").expect("worker");
-    let duplicate_report = wire::encode(&removed_worker.report(fakes::KIND, now));
+    let duplicate_report = wire::encode(&removed_worker.report(fakes::MACHINE_TYPE, now));
     let tasks = removed_worker.tasks.len();
     assert!(tasks > 0);
     // The machine is removed with all its tasks, and the leader crashes.
     w.workers.remove("vm-000001");
     w.crash(old_leader);
-    assert!(w.until(6_000, |w| w.leader().is_some()));
+    assert!(w.run_until(6_000, |w| w.leader().is_some()));
     let leader = w.leader().expect("leader");
     for _ in 0..40 {
-        w.run(1_000);
-        let (status, body) = w.ask(leader, "POST", "/v1/report", duplicate_report.clone());
+        w.run_for(1_000);
+        let (status, body) =
+            w.send_and_wait(leader, "POST", "/v1/report", duplicate_report.clone());
         let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
         assert_eq!(
             (status, answer.orders.len()),
@@ -838,8 +892,8 @@
             "no orders for the removed machine"
         );
     }
-    assert!(w.until(60_000, |w| w.phase(leader, "run-43") == Some(Phase::Done)));
-    let starts_on_remaining = w.workers["vm-000000"].started.len();
+    assert!(w.run_until(60_000, |w| w.phase(leader, "run-43") == Some(Phase::Done)));
+    let starts_on_remaining = w.workers["vm-000000"].started_attempts.len();
     assert_eq!(
         starts_on_remaining, 8,
         "the tasks of the removed machine were started elsewhere, once each"
@@ -853,14 +907,14 @@
     let mut w = world(3, 1, 0.0);
     let ids: Vec<String> = (0..40).map(|n| format!("run-5{n:02}")).collect();
     for id in &ids {
-        assert_eq!(w.submit(0, &array(id, 1), runs(900_000)), 201);
+        assert_eq!(w.submit(0, &array_job(id, 1), runs(900_000)), 201);
     }
-    w.run(3_000);
+    w.run_for(3_000);
     for node in 0..3 {
-        let requests_before = w.state.requests;
+        let requests_before = w.state_service.request_count;
         let phases = w.phases(node, &ids);
         assert!(phases.iter().all(|p| p.is_some()), "{phases:?}");
-        let requests = w.state.requests - requests_before;
+        let requests = w.state_service.request_count - requests_before;
         assert!(
             requests < 30,
             "{requests} requests in 2 s, including lease renewals"
@@ -880,22 +934,22 @@
 #[test]
 fn a_large_gang_begins_although_small_jobs_keep_arriving() {
     let mut w = world(1, 12, 0.0);
-    let small_job = |n: u64| (array(&format!("run-6{n:03}"), 6), runs(7_000));
+    let small_job = |n: u64| (array_job(&format!("run-6{n:03}"), 6), runs(7_000));
     for n in 0..14 {
         let (job, behaviour) = small_job(n);
         assert_eq!(w.submit(0, &job, behaviour), 201);
     }
-    let behaviour = Behaviour {
-        gang: 6,
+    let behaviour = TaskBehaviour {
+        gang_size: 6,
         ..runs(20_000)
     };
-    let mut large_gang = gang("run-70", 6);
+    let mut large_gang = gang_job("run-70", 6);
     large_gang.estimated_run_s = 2_000.0;
     assert_eq!(w.submit(0, &large_gang, behaviour), 201);
     let has_begun = (14..130).any(|n| {
         let (job, behaviour) = small_job(n);
         assert_eq!(w.submit(0, &job, behaviour), 201);
-        w.run(1_000);
+        w.run_for(1_000);
         w.phase(0, "run-70") == Some(Phase::Running)
     });
     assert!(
@@ -911,24 +965,24 @@
     let mut w = world(3, 2, 0.0);
     let old_leader = w.leader().expect("leader");
     let old_term = w.term_of(old_leader);
-    w.late_txns.insert(old_leader, 3_000);
+    w.txn_delay_ms.insert(old_leader, 3_000);
     assert_eq!(
-        w.submit(follower(&w), &array("run-44", 4), runs(6_000)),
+        w.submit(follower(&w), &array_job("run-44", 4), runs(6_000)),
         201
     );
-    w.run(300);
+    w.run_for(300);
     w.crash(old_leader);
-    w.late_txns.clear();
-    w.run(100);
+    w.txn_delay_ms.clear();
+    w.run_for(100);
     w.start(old_leader);
     assert!(
-        w.until(2_000, |w| w.leader().is_some()),
+        w.run_until(2_000, |w| w.leader().is_some()),
         "a leader is elected soon"
     );
     let leader = w.leader().expect("leader");
     assert!(w.term_of(leader) > old_term);
-    assert!(w.until(30_000, |w| w.phase(leader, "run-44") == Some(Phase::Done)));
-    let started: usize = w.workers.values().map(|m| m.started.len()).sum();
+    assert!(w.run_until(30_000, |w| w.phase(leader, "run-44") == Some(Phase::Done)));
+    let started: usize = w.workers.values().map(|m| m.started_attempts.len()).sum();
     assert_eq!(started, 4, "each task started once");
     clean(&w);
 }
@@ -937,17 +991,17 @@
 #[test]
 fn a_gang_beyond_the_cloud_capacity_neither_holds_machines_forever_nor_blocks_other_jobs() {
     let mut w = world(1, 0, 0.0);
-    w.capacity = 4;
-    let behaviour = Behaviour {
-        gang: 6,
+    w.cloud_capacity = 4;
+    let behaviour = TaskBehaviour {
+        gang_size: 6,
         ..runs(5_000)
     };
-    assert_eq!(w.submit(0, &gang("run-80", 6), behaviour), 201);
-    w.run(60_000);
-    assert_eq!(w.submit(0, &array("run-81", 8), runs(4_000)), 201);
+    assert_eq!(w.submit(0, &gang_job("run-80", 6), behaviour), 201);
+    w.run_for(60_000);
+    assert_eq!(w.submit(0, &array_job("run-81", 8), runs(4_000)), 201);
     assert!(done(&mut w, "run-81", 60_000), "other jobs run");
     assert!(
-        w.until(400_000, |w| w.workers.is_empty()),
+        w.run_until(400_000, |w| w.workers.is_empty()),
         "idle machines are returned eventually"
     );
     assert_eq!(
@@ -955,9 +1009,9 @@
         Some(Phase::Queued),
         "the gang is still queued"
     );
-    w.capacity = 8;
+    w.cloud_capacity = 8;
     assert!(
-        w.until(700_000, |w| w.phase(0, "run-80") == Some(Phase::Done)),
+        w.run_until(700_000, |w| w.phase(0, "run-80") == Some(Phase::Done)),
         "retried once there is capacity"
     );
     clean(&w);
@@ -978,27 +1032,27 @@
     for m in 0..4 {
         w.add_machine(&format!("vm-{m:06}"), "a");
     }
-    w.run(6_000);
-    let behaviour = Behaviour {
-        gang: 2,
+    w.run_for(6_000);
+    let behaviour = TaskBehaviour {
+        gang_size: 2,
         ..runs(60_000)
     };
-    let mut slow_gang = gang("run-90", 2);
+    let mut slow_gang = gang_job("run-90", 2);
     slow_gang.estimated_run_s = 290.0;
     assert_eq!(w.submit(0, &slow_gang, behaviour), 201);
-    assert!(w.until(8_000, |w| w.on_machines("run-90").len() == 2));
+    assert!(w.run_until(8_000, |w| w.placed_tasks("run-90").len() == 2));
     for n in 0..40 {
         assert_eq!(
-            w.submit(0, &array(&format!("run-91{n:02}"), 4), runs(9_000)),
+            w.submit(0, &array_job(&format!("run-91{n:02}"), 4), runs(9_000)),
             201
         );
     }
-    w.run(3_000);
-    let lost_machine = w.on_machines("run-90")[0].0.clone();
+    w.run_for(3_000);
+    let lost_machine = w.placed_tasks("run-90")[0].0.clone();
     w.workers.remove(&lost_machine);
     let is_restarted =
-        |w: &mut World| w.on_machines("run-90").iter().filter(|p| p.2 > 1).count() == 2;
-    assert!(w.until(70_000, is_restarted), "a second attempt");
+        |w: &mut World| w.placed_tasks("run-90").iter().filter(|p| p.2 > 1).count() == 2;
+    assert!(w.run_until(70_000, is_restarted), "a second attempt");
     let begun = (0..40).filter(|n| w.phase(0, &format!("run-91{n:02}")) != Some(Phase::Queued));
     let begun = begun.count();
     assert!(
@@ -1030,16 +1084,16 @@
         ) = (90.0, 25.0, 20);
         settings
     });
-    w.capacity = 0;
+    w.cloud_capacity = 0;
     for m in 0..FLEET_MACHINES {
         w.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
     }
-    w.run(12_000);
+    w.run_for(12_000);
     for n in 0..300 {
-        let job = array(&format!("run-{}", 1_000 + n), 18);
+        let job = array_job(&format!("run-{}", 1_000 + n), 18);
         assert_eq!(w.submit(n % 5, &job, runs(150_000)), 201);
     }
-    assert!(w.until(20_000, |w| tasks_on_machines(w) == 5_400));
+    assert!(w.run_until(20_000, |w| tasks_on_machines(w) == 5_400));
     w
 }
 
@@ -1052,23 +1106,27 @@
 #[test]
 fn tasks_of_a_large_fleet_keep_running_without_a_second_start_when_all_nodes_crash() {
     let mut w = large_fleet();
-    let start_count = |w: &World| -> usize { w.workers.values().map(|m| m.started.len()).sum() };
-    let pages = w.state.keys(PAGE_PREFIX).len();
+    let start_count =
+        |w: &World| -> usize { w.workers.values().map(|m| m.started_attempts.len()).sum() };
+    let pages = w.state_service.keys(PAGE_PREFIX).len();
     assert!(pages < 90, "{pages} pages for 5,400 assignments");
     (0..5).for_each(|i| w.crash(i));
-    w.run(3_000);
-    let (requests, writes) = (w.state.requests, w.state.writes);
+    w.run_for(3_000);
+    let (requests, writes) = (w.state_service.request_count, w.state_service.write_count);
     (0..5).for_each(|i| w.start(i));
-    let job = array("run-2000", 40);
+    let job = array_job("run-2000", 40);
     let mut accepted = |w: &mut World| w.submit(3, &job, runs(5_000)) == 201;
-    assert!(w.until(4_000, &mut accepted));
-    assert!(w.until(6_000, |w| w.on_machines("run-2000").len() == 40));
-    let (requests, writes) = (w.state.requests - requests, w.state.writes - writes);
+    assert!(w.run_until(4_000, &mut accepted));
+    assert!(w.run_until(6_000, |w| w.placed_tasks("run-2000").len() == 40));
+    let (requests, writes) = (
+        w.state_service.request_count - requests,
+        w.state_service.write_count - writes,
+    );
     assert!(
         requests < 300 && writes < 40,
         "{requests} requests, {writes} writes"
     );
-    w.run(20_000);
+    w.run_for(20_000);
     assert_eq!(start_count(&w), 5_400 + 40, "each task started once");
     clean(&w);
 }
@@ -1080,24 +1138,24 @@
     let mut w = large_fleet();
     let cut_until = w.now + 72_000;
     for m in w.workers.values_mut().filter(|m| m.zone == "b") {
-        m.cut_until = cut_until;
+        m.disconnected_until = cut_until;
     }
     let tasks_in_zone_b = |w: &World| -> usize {
         let workers_in_b = w.workers.values().filter(|m| m.zone == "b");
         workers_in_b.map(|m| m.tasks.len()).sum()
     };
     let tasks_lost = tasks_in_zone_b(&w);
-    w.run(60_000);
+    w.run_for(60_000);
     assert_eq!(tasks_in_zone_b(&w), 0, "leases have expired");
     let tasks_running = tasks_on_machines(&w);
     assert!(
         tasks_running > 5_400 - tasks_lost,
         "{tasks_running} tasks run, {tasks_lost} were lost"
     );
-    w.run(20_000);
+    w.run_for(20_000);
     assert_eq!(w.workers.len(), FLEET_MACHINES, "no machine was returned");
     assert!(
-        w.until(30_000, |w| tasks_on_machines(w) == 5_400),
+        w.run_until(30_000, |w| tasks_on_machines(w) == 5_400),
         "{}",
         tasks_on_machines(&w)
     );
--- a/crates/control/tests/staged_upgrades.rs
+++ b/crates/control/tests/staged_upgrades.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, World};
+use fakes::{array_job, gang_job, World};
 use std::collections::BTreeMap;
 use vetchmount_control::settings::{Finalization, RolloutSettings};
 use vetchmount_control::Operator;
@@ -60,10 +60,10 @@
         world.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
     }
     assert!(
-        world.until(8_000, |world| world.leader().is_some()),
+        world.run_until(8_000, |world| world.leader().is_some()),
         "a leader"
     );
-    world.run(6_000);
+    world.run_for(6_000);
     world
 }
 
@@ -77,13 +77,16 @@
 
 /// The level record.
 fn level_record(world: &World) -> LevelRecord {
-    world.state.read(CLUSTER_LEVEL_KEY).expect("the level")
+    world
+        .state_service
+        .read(CLUSTER_LEVEL_KEY)
+        .expect("the level")
 }
 
 /// The active level, or 0 if it is not recorded.
 fn active_level(world: &World) -> u32 {
     world
-        .state
+        .state_service
         .read::<LevelRecord>(CLUSTER_LEVEL_KEY)
         .map_or(0, |level| level.active)
 }
@@ -91,26 +94,26 @@
 /// The phase of the upgrade.
 fn upgrade_phase(world: &World) -> Option<RolloutPhase> {
     world
-        .state
+        .state_service
         .read::<LevelRecord>(CLUSTER_LEVEL_KEY)
         .map(|level| level.phase)
 }
 
 /// The level that is final, or 0 if there is none.
 fn finalized_level(world: &World) -> u32 {
-    let record: Option<GenerationRecord> = world.state.read(COMMON_GENERATION_KEY);
+    let record: Option<GenerationRecord> = world.state_service.read(COMMON_GENERATION_KEY);
     record.map_or(0, |record| record.generation)
 }
 
 /// The record of the last term.
 fn term_record(world: &World) -> TermRecord {
-    world.state.read(TERM_KEY).expect("the term")
+    world.state_service.read(TERM_KEY).expect("the term")
 }
 
 /// Number of pages with entries in the dense form.
 fn dense_page_count(world: &World) -> usize {
-    let pages = world.state.keys(PAGE_PREFIX).into_iter();
-    let read = pages.filter_map(|key| world.state.read::<PageRecord>(&key));
+    let pages = world.state_service.keys(PAGE_PREFIX).into_iter();
+    let read = pages.filter_map(|key| world.state_service.read::<PageRecord>(&key));
     read.filter(|page| !page.dense_entries.is_empty()).count()
 }
 
@@ -133,12 +136,12 @@
             let id = format!("run-{}", 100 + self.submitted);
             self.submitted += 1;
             let job = match kind {
-                0 => gang(&id, 2),
-                1 if with_pipelines => after(array(&id, 2), &[&format!("run-{}", 100 + first)]),
-                _ => array(&id, 5),
+                0 => gang_job(&id, 2),
+                1 if with_pipelines => after(array_job(&id, 2), &[&format!("run-{}", 100 + first)]),
+                _ => array_job(&id, 5),
             };
-            let behaviour = fakes::Behaviour {
-                gang: if kind == 0 { 2 } else { 0 },
+            let behaviour = fakes::TaskBehaviour {
+                gang_size: if kind == 0 { 2 } else { 0 },
                 ..runs(3_000)
             };
             let accepted = |world: &mut World| {
@@ -147,7 +150,7 @@
                         && (200..300).contains(&world.submit(node, &job, behaviour))
                 })
             };
-            assert!(world.until(20_000, accepted), "{id} is accepted");
+            assert!(world.run_until(20_000, accepted), "{id} is accepted");
             if kind != 3 {
                 self.completing.push(id);
                 continue;
@@ -158,7 +161,7 @@
                         && matches!(world.abort(node, &id), Some(JobPhase::Aborted))
                 })
             };
-            if world.until(20_000, confirmed) {
+            if world.run_until(20_000, confirmed) {
                 self.cancelled.push(id);
             }
         }
@@ -176,19 +179,22 @@
         let over = |world: &mut World| {
             let is_over = |id: &String| {
                 world
-                    .state
+                    .state_service
                     .read::<JobOutcome>(&final_record_key(id))
                     .is_some()
             };
             all.iter().all(is_over)
         };
         assert!(
-            world.until(600_000, over),
+            world.run_until(600_000, over),
             "{:?}",
-            world.state.keys(JOB_PREFIX)
+            world.state_service.keys(JOB_PREFIX)
         );
-        let outcome =
-            |world: &World, id: &String| world.state.read::<JobOutcome>(&final_record_key(id));
+        let outcome = |world: &World, id: &String| {
+            world
+                .state_service
+                .read::<JobOutcome>(&final_record_key(id))
+        };
         for id in &self.completing {
             assert_eq!(outcome(world, id), Some(JobOutcome::Done), "{id}");
         }
@@ -196,7 +202,7 @@
             assert_eq!(outcome(world, id), Some(JobOutcome::Aborted), "{id}");
         }
         let mut starts: BTreeMap<&String, usize> = BTreeMap::new();
-        for (task, _) in world.workers.values().flat_map(|m| &m.started) {
+        for (task, _) in world.workers.values().flat_map(|m| &m.started_attempts) {
             *starts.entry(task).or_default() += 1;
         }
         let twice: Vec<_> = starts.iter().filter(|(_, n)| **n > 1).collect();
@@ -216,17 +222,17 @@
         (0, Some(RolloutPhase::Idle))
     );
     replace_build(&mut world, 0, &automatic(2));
-    assert!(world.until(10_000, |world| upgrade_phase(world)
+    assert!(world.run_until(10_000, |world| upgrade_phase(world)
         == Some(RolloutPhase::Mixed)));
     workload.submit_batch(&mut world, false);
     replace_build(&mut world, 1, &automatic(2));
-    world.run(6_000);
+    world.run_for(6_000);
     assert_eq!(
         (active_level(&world), upgrade_phase(&world)),
         (0, Some(RolloutPhase::Mixed))
     );
     replace_build(&mut world, 2, &automatic(2));
-    assert!(world.until(10_000, |world| upgrade_phase(world)
+    assert!(world.run_until(10_000, |world| upgrade_phase(world)
         == Some(RolloutPhase::Soaking)));
     assert_eq!((active_level(&world), finalized_level(&world)), (2, 0));
     workload.submit_batch(&mut world, false);
@@ -237,26 +243,26 @@
     );
     assert!(!term_record(&world).fenced);
     assert!(
-        world.until(20_000, |world| finalized_level(world) == 2),
+        world.run_until(20_000, |world| finalized_level(world) == 2),
         "{:?}",
         level_record(&world)
     );
     assert_eq!(upgrade_phase(&world), Some(RolloutPhase::Finalized));
     assert!(term_record(&world).fenced);
-    world.run(2_000);
+    world.run_for(2_000);
     workload.submit_batch(&mut world, true);
     // Later leaders read and write the fenced term.
     for _ in 0..2 {
         let before = term_record(&world).term;
         world.crash(world.leader().expect("leader"));
-        assert!(world.until(8_000, |world| term_record(world).term > before));
+        assert!(world.run_until(8_000, |world| term_record(world).term > before));
         (0..NODE_COUNT).for_each(|i| {
             if world.is_down(i) {
                 world.start(i)
             }
         });
         assert!(term_record(&world).fenced);
-        world.run(4_000);
+        world.run_for(4_000);
     }
     workload.submit_batch(&mut world, true);
     workload.assert_one_outcome_each(&mut world);
@@ -269,15 +275,15 @@
         let mut workload = Workload::default();
         // Two of three controllers are upgraded and return to the old build.
         replace_build(&mut world, orders[0], &held(2));
-        world.run(4_000);
+        world.run_for(4_000);
         replace_build(&mut world, orders[1], &held(2));
-        world.run(4_000);
+        world.run_for(4_000);
         workload.submit_batch(&mut world, false);
         assert_eq!(active_level(&world), 0);
         replace_build(&mut world, orders[0], &held(0));
         replace_build(&mut world, orders[1], &held(0));
         assert!(
-            world.until(20_000, |world| upgrade_phase(world)
+            world.run_until(20_000, |world| upgrade_phase(world)
                 == Some(RolloutPhase::Idle)),
             "{:?}",
             level_record(&world)
@@ -285,17 +291,17 @@
         // All controllers are upgraded, so an upgraded one leads. Then they return in the reverse order.
         for node in orders {
             replace_build(&mut world, node, &held(2));
-            world.run(4_000);
+            world.run_for(4_000);
         }
         let soaks = |world: &mut World| {
             upgrade_phase(world) == Some(RolloutPhase::Soaking) && active_level(world) == 2
         };
-        assert!(world.until(60_000, soaks), "{:?}", level_record(&world));
+        assert!(world.run_until(60_000, soaks), "{:?}", level_record(&world));
         workload.submit_batch(&mut world, false);
         for (returned, node) in orders.into_iter().rev().enumerate() {
             replace_build(&mut world, node, &held(0));
             assert!(
-                world.until(10_000, |world| active_level(world) == 0),
+                world.run_until(10_000, |world| active_level(world) == 0),
                 "{returned} {:?}",
                 level_record(&world)
             );
@@ -304,7 +310,7 @@
         assert_eq!(dense_page_count(&world), 0);
         assert!(!term_record(&world).fenced);
         assert!(
-            world.until(20_000, |world| upgrade_phase(world)
+            world.run_until(20_000, |world| upgrade_phase(world)
                 == Some(RolloutPhase::Idle)),
             "{:?}",
             level_record(&world)
@@ -312,9 +318,9 @@
         // The upgrade is repeated.
         for node in orders {
             replace_build(&mut world, node, &held(2));
-            world.run(4_000);
+            world.run_for(4_000);
         }
-        assert!(world.until(60_000, soaks), "{:?}", level_record(&world));
+        assert!(world.run_until(60_000, soaks), "{:?}", level_record(&world));
         workload.assert_one_outcome_each(&mut world);
     }
 }
@@ -323,18 +329,18 @@
 fn builds_that_announce_nothing_lower_the_active_level_and_may_lead() {
     let mut world = cluster_of(&generation_1());
     assert!(
-        world.until(10_000, |world| finalized_level(world) == 1),
+        world.run_until(10_000, |world| finalized_level(world) == 1),
         "generation 1 is final"
     );
     let mut workload = Workload::default();
     workload.submit_batch(&mut world, true);
     for node in 0..NODE_COUNT {
         replace_build(&mut world, node, &held(2));
-        world.run(4_000);
+        world.run_for(4_000);
         workload.submit_batch(&mut world, true);
     }
     assert!(
-        world.until(60_000, |world| active_level(world) == 2),
+        world.run_until(60_000, |world| active_level(world) == 2),
         "{:?}",
         level_record(&world)
     );
@@ -345,17 +351,17 @@
     );
     for node in 0..NODE_COUNT {
         replace_build(&mut world, node, &generation_1());
-        world.run(2_000);
+        world.run_for(2_000);
         workload.submit_batch(&mut world, true);
         if node + 1 < NODE_COUNT {
             assert!(
-                world.until(20_000, |world| active_level(world) == 1),
+                world.run_until(20_000, |world| active_level(world) == 1),
                 "{:?}",
                 level_record(&world)
             );
         }
     }
-    world.run(10_000);
+    world.run_for(10_000);
     assert_eq!(finalized_level(&world), 1);
     assert!(!term_record(&world).fenced);
     workload.submit_batch(&mut world, true);
@@ -369,10 +375,10 @@
     for m in 0..6 {
         world.add_machine(&format!("vm-{m:06}"), "a");
     }
-    assert!(world.until(8_000, |world| world.leader().is_some()));
-    world.run(4_000);
+    assert!(world.run_until(8_000, |world| world.leader().is_some()));
+    world.run_for(4_000);
     assert_eq!(
-        world.state.keys(NODE_GENERATION_PREFIX).len(),
+        world.state_service.keys(NODE_GENERATION_PREFIX).len(),
         2,
         "two controllers have recorded their generation"
     );
@@ -380,15 +386,15 @@
     workload.submit_batch(&mut world, false);
     for node in [2, 0, 1] {
         replace_build(&mut world, node, &automatic(2));
-        world.run(4_000);
+        world.run_for(4_000);
     }
     assert!(
-        world.until(60_000, |world| finalized_level(world) == 2),
+        world.run_until(60_000, |world| finalized_level(world) == 2),
         "{:?}",
         level_record(&world)
     );
     assert_eq!(
-        world.state.keys(NODE_GENERATION_PREFIX).len(),
+        world.state_service.keys(NODE_GENERATION_PREFIX).len(),
         2,
         "builds that can be rolled back must not record a generation"
     );
@@ -402,13 +408,13 @@
 fn a_process_may_crash_at_every_write_of_the_level() {
     let run_scenario = |crash: Option<(u64, bool)>| -> (World, u64) {
         let mut world = cluster_of(&held(0));
-        let before = world.counted_writes;
-        world.crash_at_counted_write = crash.map(|(number, executed)| (before + number, executed));
+        let before = world.counted_txns;
+        world.crash_at_counted_txn = crash.map(|(number, executed)| (before + number, executed));
         let mut workload = Workload::default();
         workload.submit_batch(&mut world, false);
         let replace_and_restart = |world: &mut World, node: usize, operator: &Operator| {
             replace_build(world, node, operator);
-            world.run(4_000);
+            world.run_for(4_000);
             for other in 0..NODE_COUNT {
                 if world.is_down(other) {
                     world.start(other);
@@ -422,7 +428,7 @@
         }
         let until = world.now + 180_000;
         while world.now < until && finalized_level(&world) < 2 {
-            world.run(1_000);
+            world.run_for(1_000);
             (0..NODE_COUNT).for_each(|i| {
                 if world.is_down(i) {
                     world.start(i)
@@ -430,7 +436,7 @@
             });
             let announced = |i: usize| {
                 world
-                    .state
+                    .state_service
                     .read::<MemberRecord>(&member_key(&format!("n{i}")))
             };
             let supported = (0..NODE_COUNT)
@@ -451,7 +457,7 @@
         );
         workload.submit_batch(&mut world, true);
         workload.assert_one_outcome_each(&mut world);
-        let writes = world.counted_writes - before;
+        let writes = world.counted_txns - before;
         (world, writes)
     };
     let (_, writes) = run_scenario(None);
@@ -460,7 +466,7 @@
         for executed in [false, true] {
             let (world, _) = run_scenario(Some((number, executed)));
             assert_eq!(
-                world.crash_at_counted_write, None,
+                world.crash_at_counted_txn, None,
                 "write {number} was not reached"
             );
         }
@@ -474,11 +480,11 @@
     for newest in [1, 2] {
         for node in 0..NODE_COUNT {
             replace_build(&mut world, node, &automatic(newest));
-            world.run(4_000);
+            world.run_for(4_000);
             workload.submit_batch(&mut world, newest == 2);
         }
         assert!(
-            world.until(90_000, |world| finalized_level(world) == newest),
+            world.run_until(90_000, |world| finalized_level(world) == newest),
             "{:?}",
             level_record(&world)
         );
@@ -494,16 +500,16 @@
         rollout.soak_s = 20.0;
     }
     let mut world = cluster_of(&patient);
-    assert!(world.until(10_000, |world| upgrade_phase(world)
+    assert!(world.run_until(10_000, |world| upgrade_phase(world)
         == Some(RolloutPhase::Soaking)));
-    world.run(15_000);
+    world.run_for(15_000);
     let leader = world.leader().expect("leader");
     let other = (0..NODE_COUNT).find(|n| *n != leader).expect("another");
     replace_build(&mut world, other, &patient);
-    world.run(19_000);
+    world.run_for(19_000);
     assert_eq!(finalized_level(&world), 0, "the restart was 19 s ago");
     assert!(
-        world.until(20_000, |world| finalized_level(world) == 2),
+        world.run_until(20_000, |world| finalized_level(world) == 2),
         "{:?}",
         level_record(&world)
     );
@@ -513,7 +519,7 @@
 #[test]
 fn an_upgrade_whose_finalization_is_held_stays_reversible() {
     let mut world = cluster_of(&held(2));
-    world.run(60_000);
+    world.run_for(60_000);
     assert_eq!((active_level(&world), finalized_level(&world)), (2, 0));
     assert!(!term_record(&world).fenced);
     clean(&world);
@@ -522,30 +528,30 @@
 #[test]
 fn a_build_below_the_finalized_level_serves_no_users_and_writes_nothing() {
     let mut world = cluster_of(&automatic(2));
-    assert!(world.until(60_000, |world| finalized_level(world) == 2));
+    assert!(world.run_until(60_000, |world| finalized_level(world) == 2));
     let mut workload = Workload::default();
     workload.submit_batch(&mut world, true);
-    let member = world.state.version(&member_key("n1"));
-    let version = world.state.version(CLUSTER_LEVEL_KEY);
+    let member = world.state_service.version(&member_key("n1"));
+    let version = world.state_service.version(CLUSTER_LEVEL_KEY);
     replace_build(&mut world, 1, &held(1));
-    world.run(20_000);
+    world.run_for(20_000);
     assert_eq!(
-        world.state.version(&member_key("n1")),
+        world.state_service.version(&member_key("n1")),
         member,
         "the old build announced itself"
     );
-    assert_eq!(world.state.version(CLUSTER_LEVEL_KEY), version);
-    assert_eq!(world.ask(1, "GET", "/ready", vec![]).0, 503);
-    assert_eq!(world.submit(1, &array("run-1", 1), runs(100)), 503);
+    assert_eq!(world.state_service.version(CLUSTER_LEVEL_KEY), version);
+    assert_eq!(world.send_and_wait(1, "GET", "/ready", vec![]).0, 503);
+    assert_eq!(world.submit(1, &array_job("run-1", 1), runs(100)), 503);
     // The old build does not lead even if it is the only controller not_upgraded.
     world.crash(0);
     world.crash(2);
-    world.run(20_000);
+    world.run_for(20_000);
     assert_eq!(world.leader(), None);
     world.start(0);
     world.start(2);
-    assert!(world.until(10_000, |world| world.leader().is_some()));
-    world.run(4_000);
+    assert!(world.run_until(10_000, |world| world.leader().is_some()));
+    world.run_for(4_000);
     workload.submit_batch(&mut world, true);
     workload.assert_one_outcome_each(&mut world);
 }
@@ -558,14 +564,14 @@
         rollout.oldest_level = 1;
     }
     let (member, version) = (
-        world.state.version(&member_key("n1")),
-        world.state.version(CLUSTER_LEVEL_KEY),
+        world.state_service.version(&member_key("n1")),
+        world.state_service.version(CLUSTER_LEVEL_KEY),
     );
     replace_build(&mut world, 1, &too_new);
-    world.run(8_000);
-    assert_eq!(world.ask(1, "GET", "/ready", vec![]).0, 503);
-    assert_eq!(world.state.version(&member_key("n1")), member);
-    assert_eq!(world.state.version(CLUSTER_LEVEL_KEY), version);
+    world.run_for(8_000);
+    assert_eq!(world.send_and_wait(1, "GET", "/ready", vec![]).0, 503);
+    assert_eq!(world.state_service.version(&member_key("n1")), member);
+    assert_eq!(world.state_service.version(CLUSTER_LEVEL_KEY), version);
     let mut workload = Workload::default();
     workload.submit_batch(&mut world, false);
     workload.assert_one_outcome_each(&mut world);
@@ -580,7 +586,7 @@
         let mut workload = Workload::default();
         for node in 0..NODE_COUNT {
             replace_build(&mut world, node, &automatic(2));
-            world.run(if node == 2 { 1_000 } else { 4_000 });
+            world.run_for(if node == 2 { 1_000 } else { 4_000 });
         }
         workload.submit_batch(&mut world, false);
         let leader = world.leader().expect("leader");
@@ -588,13 +594,13 @@
             .find(|n| (*n == leader) == is_leader_frozen)
             .expect("one of them");
         let until = world.now + 40_000;
-        world.troubles.frozen.insert(frozen, until);
-        world.run(5_000);
+        world.faults.frozen_until.insert(frozen, until);
+        world.run_for(5_000);
         workload.submit_batch(&mut world, false);
         if is_final_on_resume {
-            world.run(36_000);
+            world.run_for(36_000);
             assert!(
-                world.until(90_000, |world| finalized_level(world) == 2),
+                world.run_until(90_000, |world| finalized_level(world) == 2),
                 "{:?}",
                 level_record(&world)
             );
@@ -602,11 +608,11 @@
             let other = (0..NODE_COUNT).find(|n| *n != frozen).expect("another");
             replace_build(&mut world, other, &held(0));
             assert!(
-                world.until(20_000, |world| active_level(world) == 0),
+                world.run_until(20_000, |world| active_level(world) == 0),
                 "{:?}",
                 level_record(&world)
             );
-            world.run(40_000);
+            world.run_for(40_000);
             assert_eq!(active_level(&world), 0);
             assert!(!term_record(&world).fenced);
         }
@@ -623,7 +629,11 @@
     replace_build(&mut world, 1, &held(2));
     let paused =
         |world: &mut World| matches!(level_record(world).pause, Some(PauseReason::Stalled { .. }));
-    assert!(world.until(60_000, paused), "{:?}", level_record(&world));
+    assert!(
+        world.run_until(60_000, paused),
+        "{:?}",
+        level_record(&world)
+    );
     assert_eq!(
         level_record(&world).pause,
         Some(PauseReason::Stalled { label: "n2".into() })
@@ -635,7 +645,7 @@
     world.set_operator(2, held(2));
     world.start(2);
     assert!(
-        world.until(60_000, |world| active_level(world) == 2),
+        world.run_until(60_000, |world| active_level(world) == 2),
         "{:?}",
         level_record(&world)
     );
@@ -646,13 +656,13 @@
 #[test]
 fn a_controller_that_restarts_repeatedly_pauses_the_upgrade() {
     let mut world = cluster_of(&automatic(1));
-    assert!(world.until(60_000, |world| finalized_level(world) == 1));
+    assert!(world.run_until(60_000, |world| finalized_level(world) == 1));
     replace_build(&mut world, 0, &automatic(2));
     replace_build(&mut world, 1, &automatic(2));
-    world.run(5_000);
+    world.run_for(5_000);
     for _ in 0..6 {
         replace_build(&mut world, 2, &automatic(2));
-        world.run(2_000);
+        world.run_for(2_000);
     }
     let paused = |world: &mut World| {
         matches!(
@@ -660,11 +670,15 @@
             Some(PauseReason::Restarting { .. })
         )
     };
-    assert!(world.until(10_000, paused), "{:?}", level_record(&world));
+    assert!(
+        world.run_until(10_000, paused),
+        "{:?}",
+        level_record(&world)
+    );
     assert_eq!(finalized_level(&world), 1);
     // The upgrade continues once the restarts have ceased.
     assert!(
-        world.until(240_000, |world| finalized_level(world) == 2),
+        world.run_until(240_000, |world| finalized_level(world) == 2),
         "{:?}",
         level_record(&world)
     );
@@ -678,25 +692,25 @@
         let mut workload = Workload::default();
         replace_build(&mut world, 0, &automatic(2));
         replace_build(&mut world, 1, &automatic(2));
-        world.run(3_000);
+        world.run_for(3_000);
         if all {
-            world.state_down = true;
+            world.state_service_down = true;
         } else {
-            world.refused.insert(2);
+            world.refused_by_state_service.insert(2);
         }
         replace_build(&mut world, 2, &automatic(2));
-        world.run(25_000);
+        world.run_for(25_000);
         assert_eq!(finalized_level(&world), 0);
         assert_eq!(
             active_level(&world),
             0,
             "one controller has not announced the level"
         );
-        world.state_down = false;
-        world.refused.clear();
+        world.state_service_down = false;
+        world.refused_by_state_service.clear();
         workload.submit_batch(&mut world, false);
         assert!(
-            world.until(120_000, |world| finalized_level(world) == 2),
+            world.run_until(120_000, |world| finalized_level(world) == 2),
             "{:?}",
             level_record(&world)
         );
@@ -710,8 +724,8 @@
     for seed in 0..6 {
         let mut world = cluster_of(&held(0));
         world.seed(seed);
-        world.troubles.late_txns = 0.1;
-        world.troubles.lost_answers = 0.1;
+        world.faults.late_txn_share = 0.1;
+        world.faults.lost_response_share = 0.1;
         let mut workload = Workload::default();
         for newest in [2, 0, 2] {
             for node in 0..NODE_COUNT {
@@ -720,10 +734,10 @@
                     (node + seed as usize) % NODE_COUNT,
                     &automatic(newest),
                 );
-                world.run(3_000);
+                world.run_for(3_000);
                 let members = (0..NODE_COUNT).filter_map(|i| {
                     let member: Option<MemberRecord> =
-                        world.state.read(&member_key(&format!("n{i}")));
+                        world.state_service.read(&member_key(&format!("n{i}")));
                     member.map(|m| m.newest_level)
                 });
                 let least = members.min().unwrap_or(0);
@@ -738,11 +752,11 @@
                 break;
             }
         }
-        world.troubles.late_txns = 0.0;
-        world.troubles.lost_answers = 0.0;
+        world.faults.late_txn_share = 0.0;
+        world.faults.lost_response_share = 0.0;
         for node in 0..NODE_COUNT {
             if world
-                .state
+                .state_service
                 .read::<MemberRecord>(&member_key(&format!("n{node}")))
                 .map(|m| m.newest_level)
                 != Some(2)
@@ -751,7 +765,7 @@
             }
         }
         assert!(
-            world.until(180_000, |world| finalized_level(world) == 2),
+            world.run_until(180_000, |world| finalized_level(world) == 2),
             "{seed} {:?}",
             level_record(&world)
         );
@@ -764,28 +778,30 @@
     // An unreadable level record: the level does not change, the record is not overwritten, and jobs
     // run.
     let mut world = cluster_of(&held(2));
-    world.state.write(CLUSTER_LEVEL_KEY, &"nonsense", None);
-    let version = world.state.version(CLUSTER_LEVEL_KEY);
-    world.run(20_000);
-    assert_eq!(world.state.version(CLUSTER_LEVEL_KEY), version);
+    world
+        .state_service
+        .write(CLUSTER_LEVEL_KEY, &"nonsense", None);
+    let version = world.state_service.version(CLUSTER_LEVEL_KEY);
+    world.run_for(20_000);
+    assert_eq!(world.state_service.version(CLUSTER_LEVEL_KEY), version);
     let mut workload = Workload::default();
     workload.submit_batch(&mut world, false);
     workload.assert_one_outcome_each(&mut world);
     // An unreadable announcement: its controller writes it again.
     let mut world = cluster_of(&held(2));
-    world.state.write(&member_key("n1"), &7, None);
-    world.run(10_000);
-    assert!(world.until(30_000, |world| world
-        .state
+    world.state_service.write(&member_key("n1"), &7, None);
+    world.run_for(10_000);
+    assert!(world.run_until(30_000, |world| world
+        .state_service
         .read::<MemberRecord>(&member_key("n1"))
         .is_some()));
     // A finalized generation of a later build: this build does not take part.
     world
-        .state
+        .state_service
         .write(COMMON_GENERATION_KEY, &GenerationRecord::new(7), None);
-    world.run(12_000);
+    world.run_for(12_000);
     assert_eq!(world.leader(), None);
-    assert_eq!(world.ask(0, "GET", "/ready", vec![]).0, 503);
+    assert_eq!(world.send_and_wait(0, "GET", "/ready", vec![]).0, 503);
     clean(&world);
 }
 
@@ -799,24 +815,36 @@
         boot,
         unknown: UnknownFields::new(),
     };
-    world.state.write(&member_key("n9"), &unconfigured(1), None);
-    world.run(6_000);
+    world
+        .state_service
+        .write(&member_key("n9"), &unconfigured(1), None);
+    world.run_for(6_000);
     assert_eq!(
         upgrade_phase(&world),
         Some(RolloutPhase::Idle),
         "an unconfigured controller does not count"
     );
     replace_build(&mut world, 0, &held(2));
-    assert!(world.until(10_000, |world| upgrade_phase(world)
+    assert!(world.run_until(10_000, |world| upgrade_phase(world)
         == Some(RolloutPhase::Mixed)));
     assert_eq!(level_record(&world).pause, None);
-    world.state.write(&member_key("n9"), &unconfigured(2), None);
+    world
+        .state_service
+        .write(&member_key("n9"), &unconfigured(2), None);
     let paused =
         |world: &mut World| matches!(level_record(world).pause, Some(PauseReason::Unknown { .. }));
-    assert!(world.until(10_000, paused), "{:?}", level_record(&world));
+    assert!(
+        world.run_until(10_000, paused),
+        "{:?}",
+        level_record(&world)
+    );
     let resumed =
         |world: &mut World| !matches!(level_record(world).pause, Some(PauseReason::Unknown { .. }));
-    assert!(world.until(60_000, resumed), "{:?}", level_record(&world));
+    assert!(
+        world.run_until(60_000, resumed),
+        "{:?}",
+        level_record(&world)
+    );
     clean(&world);
 }
 
@@ -831,7 +859,7 @@
     for node in 0..5 {
         replace_build(&mut world, node, &automatic(1));
     }
-    assert!(world.until(60_000, |world| finalized_level(world) == 1));
+    assert!(world.run_until(60_000, |world| finalized_level(world) == 1));
     world
 }
 
@@ -847,7 +875,7 @@
     for (number, order) in orders.into_iter().enumerate() {
         for orderly in [true, false] {
             let mut world = cluster_of_five();
-            world.run(700 * number as u64);
+            world.run_for(700 * number as u64);
             let before = term_record(&world).term;
             // The worst case: each step replaces the leader as long as it runs the old build, and
             // otherwise the next controller in the order.
@@ -859,19 +887,19 @@
                 world.set_operator(node, held(2));
                 if orderly {
                     world.stop(node);
-                    assert!(world.until(4_000, |world| world.is_down(node)));
+                    assert!(world.run_until(4_000, |world| world.is_down(node)));
                 } else {
                     world.crash(node);
                 }
-                world.run(3_000);
+                world.run_for(3_000);
                 world.start(node);
                 // The upgraded controllers notice a vacancy last. They become leaders only because the
                 // others defer to them.
-                world.troubles.slow_to_state.insert(node, 250);
-                world.run(4_000);
+                world.faults.max_state_request_delay_ms.insert(node, 250);
+                world.run_for(4_000);
             }
             assert!(
-                world.until(60_000, |world| active_level(world) == 2),
+                world.run_until(60_000, |world| active_level(world) == 2),
                 "{:?}",
                 level_record(&world)
             );
@@ -885,8 +913,8 @@
 #[test]
 fn a_leader_that_stops_names_its_successor_which_leads_within_a_third_of_a_second() {
     let mut world = cluster_of(&held(2));
-    assert!(world.until(60_000, |world| active_level(world) == 2));
-    world.run(4_000);
+    assert!(world.run_until(60_000, |world| active_level(world) == 2));
+    world.run_for(4_000);
     let mut workload = Workload::default();
     workload.submit_batch(&mut world, false);
     for _ in 0..4 {
@@ -894,21 +922,21 @@
         let stopped_at = world.now;
         world.stop(old);
         while term_record(&world).term == before && world.now < stopped_at + 2_000 {
-            world.run(10);
+            world.run_for(10);
         }
         let took_ms = world.now - stopped_at;
         assert!(took_ms <= 330, "{took_ms} ms");
         assert_eq!(term_record(&world).term, before + 1, "one election");
-        assert!(world.until(4_000, |world| world.is_down(old)));
-        world.run(500);
+        assert!(world.run_until(4_000, |world| world.is_down(old)));
+        world.run_for(500);
         // Among equally suitable controllers the last one is named.
         let named = (0..NODE_COUNT).rev().find(|n| *n != old);
         assert_eq!(world.leader(), named, "the named successor leads");
         world.start(old);
-        world.run(5_000);
+        world.run_for(5_000);
         workload.submit_batch(&mut world, false);
     }
-    let leader: LeaderRecord = world.state.read(LEADER_KEY).expect("the leader");
+    let leader: LeaderRecord = world.state_service.read(LEADER_KEY).expect("the leader");
     assert_eq!(leader.level, Some(2));
     workload.assert_one_outcome_each(&mut world);
 }
@@ -923,21 +951,24 @@
         lineage: String,
     }
     let mut world = cluster_of(&held(2));
-    let job = array("run-1", 1);
+    let job = array_job("run-1", 1);
     let job = wire::users::Submission {
         zone: Some("c".into()),
         ..job
     };
-    world.describe(&job, runs(100));
+    world.upload_job(&job, runs(100));
     let newer = NewerJob {
         spec: job,
         at: 1_700_000_000_000,
         aborted: false,
         lineage: "from a newer build".into(),
     };
-    world.state.write(&job_key("run-1"), &newer, None);
-    world.run(2_000);
-    let record: JobRecord = world.state.read(&job_key("run-1")).expect("the job");
+    world.state_service.write(&job_key("run-1"), &newer, None);
+    world.run_for(2_000);
+    let record: JobRecord = world
+        .state_service
+        .read(&job_key("run-1"))
+        .expect("the job");
     assert_eq!(record.unknown.len(), 1);
     let leader = world.leader().expect("leader");
     world.crash(leader);
@@ -945,7 +976,7 @@
     // can be read.
     let other = (leader + 1) % NODE_COUNT;
     assert_eq!(world.abort(other, "run-1"), Some(JobPhase::Aborted));
-    if let Some(record) = world.state.read::<JobRecord>(&job_key("run-1")) {
+    if let Some(record) = world.state_service.read::<JobRecord>(&job_key("run-1")) {
         assert!(record.aborted);
         assert_eq!(record.unknown.len(), 1);
     }
--- a/crates/control/tests/unknown_ids.rs
+++ b/crates/control/tests/unknown_ids.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use fakes::array;
+use fakes::array_job;
 use wire::records::*;
 
 /// The read for a status query completes after the job was submitted at the same node and its user was told so; a 404
@@ -14,16 +14,17 @@
     for seed in 0..24 {
         let mut w = world(3, 1, 0.0);
         w.seed(seed);
-        w.troubles.slow_state = (0..3).map(|n| (n, 900)).collect();
-        let query = w.send(0, "GET", "/submissions/run-1", vec![]);
-        w.run(60);
-        let job = array("run-1", 1);
-        w.describe(&job, runs(600_000));
-        let submission = w.send(0, "POST", "/submissions", wire::encode(&job));
-        w.run(2_500);
-        let (Some((query_answered_at, status)), Some((submission_answered_at, 201))) =
-            (w.answer_at(query), w.answer_at(submission))
-        else {
+        w.faults.max_state_response_delay_ms = (0..3).map(|n| (n, 900)).collect();
+        let query = w.send_user_request(0, "GET", "/submissions/run-1", vec![]);
+        w.run_for(60);
+        let job = array_job("run-1", 1);
+        w.upload_job(&job, runs(600_000));
+        let submission = w.send_user_request(0, "POST", "/submissions", wire::encode(&job));
+        w.run_for(2_500);
+        let (Some((query_answered_at, status)), Some((submission_answered_at, 201))) = (
+            w.take_response_time(query),
+            w.take_response_time(submission),
+        ) else {
             continue;
         };
         if query_answered_at >= submission_answered_at {
@@ -44,26 +45,28 @@
     for n in 0..3 {
         let (open_id, final_id) = (format!("run-{n}0"), format!("run-{n}1"));
         for id in [&open_id, &final_id] {
-            let counts_before = w.state.counts;
+            let counts_before = w.state_service.request_counts;
             assert_eq!(
-                w.ask(n, "GET", &format!("/submissions/{id}"), vec![]).0,
+                w.send_and_wait(n, "GET", &format!("/submissions/{id}"), vec![])
+                    .0,
                 404
             );
-            let requests = w.state.counts.since(&counts_before);
-            assert!(requests.questions() >= 1, "{requests:?}");
-            w.describe(&array(id, 1), runs(1_000));
+            let requests = w.state_service.request_counts.since(&counts_before);
+            assert!(requests.reads_and_comparisons() >= 1, "{requests:?}");
+            w.upload_job(&array_job(id, 1), runs(1_000));
         }
         // Written by a process that sends no messages to this node.
-        w.silent_peers.insert(n);
-        record_open_job(&mut w, array(&open_id, 1));
-        w.state
+        w.isolated_from_peers.insert(n);
+        record_open_job(&mut w, array_job(&open_id, 1));
+        w.state_service
             .write(&final_record_key(&final_id), &JobOutcome::Aborted, None);
         for id in [&open_id, &final_id] {
             assert_eq!(
-                w.ask(n, "GET", &format!("/submissions/{id}"), vec![]).0,
+                w.send_and_wait(n, "GET", &format!("/submissions/{id}"), vec![])
+                    .0,
                 200
             );
         }
-        w.silent_peers.clear();
+        w.isolated_from_peers.clear();
     }
 }
--- a/crates/control/tests/upgrade.rs
+++ b/crates/control/tests/upgrade.rs
@@ -9,7 +9,7 @@
 mod common;
 
 use common::*;
-use fakes::{array, gang, World};
+use fakes::{array_job, gang_job, World};
 use rollout::levels::GENERATION_1 as GENERATION;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
 
 /// A controller of the old version leads for a moment and crashes after this number of steps.
 fn lead_with_old_version(world: &mut World, steps: usize) {
-    let term: TermRecord = world.state.read(TERM_KEY).expect("term");
+    let term: TermRecord = world.state_service.read(TERM_KEY).expect("term");
     let mut remaining_steps = steps;
     let mut step = |world: &mut World, change: &dyn Fn(&mut World)| {
         if remaining_steps > 0 {
@@ -72,14 +72,17 @@
         level: None,
     };
     step(world, &|world| {
-        world.state.write(LEADER_KEY, &leader, None);
+        world.state_service.write(LEADER_KEY, &leader, None);
         world
-            .state
+            .state_service
             .write(TERM_KEY, &TermRecord::new(leader.term), None);
     });
     let mut newest: BTreeMap<(String, u32), OldEntry> = BTreeMap::new();
-    let pages = world.state.keys(PAGE_PREFIX);
-    for page in pages.iter().filter_map(|k| world.state.read::<OldPage>(k)) {
+    let pages = world.state_service.keys(PAGE_PREFIX);
+    for page in pages
+        .iter()
+        .filter_map(|k| world.state_service.read::<OldPage>(k))
+    {
         for entry in page.parts {
             let key = (entry.job.clone(), entry.part);
             let known = newest.get(&key).map_or(0, |known| known.seq);
@@ -93,23 +96,25 @@
         entry.seq += 1;
         page.parts.push(entry);
     }
-    step(world, &|world| world.state.write(&page_key(0), &page, None));
+    step(world, &|world| {
+        world.state_service.write(&page_key(0), &page, None)
+    });
     for key in pages.iter().filter(|k| **k != page_key(0)) {
-        step(world, &|world| world.state.erase(key));
+        step(world, &|world| world.state_service.delete(key));
     }
     // A user cancels a job at this controller, which writes the job's record again with the fields that
     // it knows.
     step(world, &|world| {
-        if let Some(mut job) = world.state.read::<OldJob>(&job_key("run-5")) {
+        if let Some(mut job) = world.state_service.read::<OldJob>(&job_key("run-5")) {
             job.aborted = true;
-            world.state.write(&job_key("run-5"), &job, None);
+            world.state_service.write(&job_key("run-5"), &job, None);
             let now = world.now;
-            world.cancelled.insert("run-5".into(), now);
+            world.externally_cancelled.insert("run-5".into(), now);
         }
     });
     // The process crashes, and its lease expires.
-    world.run(1_000);
-    world.state.erase(LEADER_KEY);
+    world.run_for(1_000);
+    world.state_service.delete(LEADER_KEY);
 }
 
 /// A cluster of three nodes of which the last one is down and has not been upgraded.
@@ -120,16 +125,16 @@
         world.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
     }
     assert!(
-        world.until(6_000, |world| world.leader().is_some()),
+        world.run_until(6_000, |world| world.leader().is_some()),
         "a leader"
     );
-    world.run(4_000);
+    world.run_for(4_000);
     world
 }
 
 /// The generation that all controllers are known to run, or 0 if it is not recorded.
 fn cluster_generation(world: &World) -> u32 {
-    let record: Option<GenerationRecord> = world.state.read(COMMON_GENERATION_KEY);
+    let record: Option<GenerationRecord> = world.state_service.read(COMMON_GENERATION_KEY);
     record.map_or(0, |record| record.generation)
 }
 
@@ -139,11 +144,11 @@
     for number in 1..=12 {
         let id = format!("run-{number}");
         let job = match number % 4 {
-            0 => gang(&id, 2),
-            _ => array(&id, 3 + 40 * (number % 3)),
+            0 => gang_job(&id, 2),
+            _ => array_job(&id, 3 + 40 * (number % 3)),
         };
-        let behaviour = fakes::Behaviour {
-            gang: if number % 4 == 0 { 2 } else { 0 },
+        let behaviour = fakes::TaskBehaviour {
+            gang_size: if number % 4 == 0 { 2 } else { 0 },
             ..runs(4_000)
         };
         let mut status = 0;
@@ -152,7 +157,7 @@
             if status == 201 {
                 break;
             }
-            world.run(300);
+            world.run_for(300);
         }
         assert_eq!(status, 201);
         ids.push(id);
@@ -162,10 +167,10 @@
 
 /// Waits until all jobs have ended. Returns false if they do not end in time.
 fn wait_until_ended(world: &mut World, ids: &[String]) -> bool {
-    world.until(600_000, |world| {
+    world.run_until(600_000, |world| {
         ids.iter().all(|id| {
             world
-                .state
+                .state_service
                 .read::<JobOutcome>(&final_record_key(id))
                 .is_some()
         })
@@ -175,7 +180,7 @@
 /// Number of starts of each task: one, unless the task was stopped in between.
 fn start_counts(world: &World) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
-    for (task, _) in world.workers.values().flat_map(|m| &m.started) {
+    for (task, _) in world.workers.values().flat_map(|m| &m.started_attempts) {
         *counts.entry(task.clone()).or_default() += 1;
     }
     counts
@@ -186,18 +191,18 @@
     for steps in 0..6 {
         let mut world = partly_upgraded_cluster();
         let ids = submit_jobs(&mut world);
-        world.run(4_000);
+        world.run_for(4_000);
         assert_eq!(cluster_generation(&world), 0, "one node is not upgraded");
         lead_with_old_version(&mut world, steps);
-        world.run(3_000);
+        world.run_for(3_000);
         lead_with_old_version(&mut world, steps);
         // The last node starts again with the new version.
         world.start(2);
         assert!(
-            world.until(20_000, |world| cluster_generation(world) == GENERATION),
+            world.run_until(20_000, |world| cluster_generation(world) == GENERATION),
             "{steps}"
         );
-        world.lower_limits();
+        world.apply_next_limits();
         assert!(wait_until_ended(&mut world, &ids), "{steps}");
         let twice: Vec<_> = start_counts(&world)
             .into_iter()
@@ -215,19 +220,19 @@
 fn nothing_that_the_old_version_cannot_read_is_written_before_the_upgrade_is_complete() {
     let mut world = partly_upgraded_cluster();
     let ids = submit_jobs(&mut world);
-    world.run(5_000);
+    world.run_for(5_000);
     world.crash(world.leader().expect("leader"));
-    world.run(8_000);
+    world.run_for(8_000);
     assert_eq!(cluster_generation(&world), 0);
-    for key in world.state.keys(PAGE_PREFIX) {
-        let page: PageRecord = world.state.read(&key).expect("page");
+    for key in world.state_service.keys(PAGE_PREFIX) {
+        let page: PageRecord = world.state_service.read(&key).expect("page");
         assert!(page.dense_entries.is_empty(), "{key}");
     }
-    assert!(world.state.keys(JOB_OVERFLOW_PREFIX).is_empty());
+    assert!(world.state_service.keys(JOB_OVERFLOW_PREFIX).is_empty());
     for i in 0..3 {
         world.start(i);
     }
-    assert!(world.until(20_000, |world| cluster_generation(world) == GENERATION));
+    assert!(world.run_until(20_000, |world| cluster_generation(world) == GENERATION));
     assert!(wait_until_ended(&mut world, &ids));
     clean(&world);
 }
@@ -236,30 +241,30 @@
 fn the_cluster_generation_never_decreases_and_a_node_that_is_down_does_not_block_a_proven_upgrade()
 {
     let mut world = partly_upgraded_cluster();
-    assert_eq!(world.submit(0, &array("run-1", 2), runs(1_000)), 201);
-    world.run(5_000);
+    assert_eq!(world.submit(0, &array_job("run-1", 2), runs(1_000)), 201);
+    world.run_for(5_000);
     assert_eq!(
         cluster_generation(&world),
         0,
         "the third node has not recorded its generation"
     );
     assert_eq!(
-        world.submit(1, &after(array("run-2", 2), &["run-1"]), runs(1_000)),
+        world.submit(1, &after(array_job("run-2", 2), &["run-1"]), runs(1_000)),
         201
     );
     assert!(
-        world.until(5_000, |world| cluster_generation(world) == GENERATION),
+        world.run_until(5_000, |world| cluster_generation(world) == GENERATION),
         "a request that only the new version accepts proves the upgrade"
     );
     // The generation of a later version is not lowered.
     world
-        .state
+        .state_service
         .write(COMMON_GENERATION_KEY, &GenerationRecord::new(7), None);
     for i in 0..2 {
         world.crash(i);
         world.start(i);
     }
-    world.run(10_000);
+    world.run_for(10_000);
     assert_eq!(cluster_generation(&world), 7);
     assert!(done(&mut world, "run-2", 20_000));
     clean(&world);
@@ -280,38 +285,39 @@
         for m in 6..60 {
             world.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
         }
-        world.run(3_000);
+        world.run_for(3_000);
         let large: Vec<String> = (20..24).map(|n| format!("run-{n}")).collect();
         for id in &large {
-            assert_eq!(world.submit(0, &array(id, 60), runs(40_000)), 201);
+            assert_eq!(world.submit(0, &array_job(id, 60), runs(40_000)), 201);
         }
-        world.run(4_000);
+        world.run_for(4_000);
         assert!(
-            world.state.largest(PAGE_PREFIX) > 2048,
+            world.state_service.largest_value_bytes(PAGE_PREFIX) > 2048,
             "large pages are stored"
         );
         world.start(2);
-        world.run(moment);
-        world.lower_limits();
+        world.run_for(moment);
+        world.apply_next_limits();
         if crash {
             world.crash(world.leader().expect("leader"));
         }
         let ids = submit_jobs(&mut world);
-        let refused = world.state.too_large;
+        let refused = world.state_service.oversized_txns;
         assert!(
             wait_until_ended(&mut world, &ids),
             "{moment}: {:?}",
-            world.state.keys(JOB_PREFIX)
+            world.state_service.keys(JOB_PREFIX)
         );
         assert!(wait_until_ended(&mut world, &large), "{moment}");
         assert!(refused < 12, "{refused} refused at {moment}");
         assert_eq!(
-            world.state.too_large, refused,
+            world.state_service.oversized_txns, refused,
             "no refused transaction is repeated"
         );
         assert!(cluster_generation(&world) == GENERATION);
         assert!(
-            world.state.largest(PAGE_PREFIX) <= 2048 || world.state.keys(JOB_PREFIX).is_empty()
+            world.state_service.largest_value_bytes(PAGE_PREFIX) <= 2048
+                || world.state_service.keys(JOB_PREFIX).is_empty()
         );
         clean(&world);
     }
@@ -325,18 +331,18 @@
     for m in 6..25 {
         world.add_machine(&format!("vm-{m:06}"), "a");
     }
-    world.run(3_000);
+    world.run_for(3_000);
     // Both jobs are on the same page. The tasks of run-1 keep running and are too many for the page to
     // be rewritten as a small value. Most tasks of run-2 are placed only after the switch of the layout.
-    assert_eq!(world.submit(0, &array("run-1", 70), runs(120_000)), 201);
-    assert_eq!(world.submit(0, &array("run-2", 120), runs(9_000)), 201);
-    world.run(6_000);
-    assert_eq!(world.on_machines("run-2").len(), 30);
+    assert_eq!(world.submit(0, &array_job("run-1", 70), runs(120_000)), 201);
+    assert_eq!(world.submit(0, &array_job("run-2", 120), runs(9_000)), 201);
+    world.run_for(6_000);
+    assert_eq!(world.placed_tasks("run-2").len(), 30);
     world.start(2);
-    assert!(world.until(5_000, |world| cluster_generation(world) == GENERATION));
+    assert!(world.run_until(5_000, |world| cluster_generation(world) == GENERATION));
     let wide_copy_count = |world: &World| {
-        let pages = world.state.keys(PAGE_PREFIX).into_iter();
-        let read = pages.filter_map(|k| world.state.read::<PageRecord>(&k));
+        let pages = world.state_service.keys(PAGE_PREFIX).into_iter();
+        let read = pages.filter_map(|k| world.state_service.read::<PageRecord>(&k));
         let has = |p: &PageRecord| {
             p.entries
                 .iter()
@@ -345,7 +351,7 @@
         read.filter(has).count()
     };
     for _ in 0..5 {
-        world.run(6_000);
+        world.run_for(6_000);
         assert_eq!(
             wide_copy_count(&world),
             1,
@@ -353,10 +359,10 @@
         );
         let leader = world.leader().expect("leader");
         world.crash(leader);
-        world.run(3_000);
+        world.run_for(3_000);
         world.start(leader);
     }
-    assert!(world.until(120_000, |world| world.phase(0, "run-2")
+    assert!(world.run_until(120_000, |world| world.phase(0, "run-2")
         == Some(Phase::Done)));
     let twice: Vec<_> = start_counts(&world)
         .into_iter()
@@ -374,21 +380,25 @@
     for m in 6..60 {
         world.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
     }
-    world.run(3_000);
-    assert_eq!(world.submit(0, &array("run-1", 100), runs(20_000)), 201);
-    world.run(4_000);
-    world.lower_limits();
-    assert_eq!(world.submit(0, &array("run-2", 100), runs(5_000)), 201);
+    world.run_for(3_000);
+    assert_eq!(world.submit(0, &array_job("run-1", 100), runs(20_000)), 201);
+    world.run_for(4_000);
+    world.apply_next_limits();
+    assert_eq!(world.submit(0, &array_job("run-2", 100), runs(5_000)), 201);
     assert!(
-        world.until(8_000, |world| world.on_machines("run-2").len() >= 100),
+        world.run_until(8_000, |world| world.placed_tasks("run-2").len() >= 100),
         "tasks are still started"
     );
-    assert!(world.until(5_000, |world| cluster_generation(world) == GENERATION));
+    assert!(world.run_until(5_000, |world| cluster_generation(world) == GENERATION));
     assert!(wait_until_ended(
         &mut world,
         &["run-1".to_string(), "run-2".to_string()]
     ));
-    assert!(world.state.too_large < 6, "{}", world.state.too_large);
+    assert!(
+        world.state_service.oversized_txns < 6,
+        "{}",
+        world.state_service.oversized_txns
+    );
     clean(&world);
 }
 
@@ -396,42 +406,49 @@
 fn a_long_submission_is_stored_in_several_records_or_refused_because_of_its_size() {
     let types = |n: usize| -> Option<Vec<String>> {
         let more = (0..n).map(|i| format!("type-{i:03}-{}", "x".repeat(80)));
-        Some(more.chain([fakes::KIND.to_string()]).collect())
+        Some(more.chain([fakes::MACHINE_TYPE.to_string()]).collect())
     };
     let long = |id: &str, n: usize| Submission {
         machine_types: types(n),
-        ..array(id, 2)
+        ..array_job(id, 2)
     };
     let mut world = partly_upgraded_cluster();
     // Written while old nodes may be running, and too large for the lower limits to come.
     assert_eq!(world.submit(0, &long("run-1", 30), runs(60_000)), 201);
     assert_eq!(world.submit(0, &long("run-2", 30), runs(6_000)), 201);
     world.start(2);
-    assert!(world.until(10_000, |world| cluster_generation(world) == GENERATION));
-    world.lower_limits();
+    assert!(world.run_until(10_000, |world| cluster_generation(world) == GENERATION));
+    world.apply_next_limits();
     assert_eq!(world.abort(1, "run-1"), Some(Phase::Aborted));
     assert!(done(&mut world, "run-2", 20_000));
-    assert!(world.until(10_000, |world| world.state.keys(JOB_PREFIX).is_empty()));
+    assert!(world.run_until(10_000, |world| world
+        .state_service
+        .keys(JOB_PREFIX)
+        .is_empty()));
     assert_eq!(world.phase(2, "run-1"), Some(Phase::Aborted));
     // Submissions are now stored in several records, which the current leader and the next one read.
     assert_eq!(world.submit(0, &long("run-3", 30), runs(3_000)), 201);
     assert_eq!(world.submit(0, &long("run-4", 30), runs(300_000)), 201);
-    assert_eq!(world.state.keys(JOB_OVERFLOW_PREFIX).len(), 4);
-    world.run(3_000);
-    assert_eq!(world.on_machines("run-4").len(), 2);
+    assert_eq!(world.state_service.keys(JOB_OVERFLOW_PREFIX).len(), 4);
+    world.run_for(3_000);
+    assert_eq!(world.placed_tasks("run-4").len(), 2);
     let old = world.leader().expect("leader");
     world.crash(old);
     world.start(old);
     assert!(done(&mut world, "run-3", 20_000));
     assert_eq!(world.submit(1, &long("run-4", 30), runs(0)), 200);
     assert_eq!(world.abort(2, "run-4"), Some(Phase::Aborted));
-    assert!(world.until(10_000, |world| world.state.keys(JOB_PREFIX).is_empty()));
+    assert!(world.run_until(10_000, |world| world
+        .state_service
+        .keys(JOB_PREFIX)
+        .is_empty()));
     assert!(
-        world.state.keys(JOB_OVERFLOW_PREFIX).is_empty(),
+        world.state_service.keys(JOB_OVERFLOW_PREFIX).is_empty(),
         "the further records are deleted with their job"
     );
     // A submission above the bound is refused at once, and nothing of it is stored.
-    let (status, body) = world.ask(0, "POST", "/submissions", wire::encode(&long("run-5", 60)));
+    let (status, body) =
+        world.send_and_wait(0, "POST", "/submissions", wire::encode(&long("run-5", 60)));
     let refusal: wire::users::ErrorResponse = wire::decode(&body).expect("a refusal");
     assert_eq!(status, 400);
     assert!(refusal.error.contains("2048"), "{}", refusal.error);
@@ -440,13 +457,13 @@
     let ids: Vec<String> = (100..200).map(|n| format!("run-{n:06}")).collect();
     for id in &ids {
         world
-            .state
+            .state_service
             .write(&final_record_key(id), &JobOutcome::Done, None);
     }
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-    assert!(world.until(20_000, |world| world.submit(
+    assert!(world.run_until(20_000, |world| world.submit(
         0,
-        &after(array("run-6", 1), &ids),
+        &after(array_job("run-6", 1), &ids),
         runs(500)
     ) < 300));
     assert!(done(&mut world, "run-6", 20_000));
@@ -467,27 +484,28 @@
         "f/run-7",
         "r/t0-1",
     ] {
-        world.state.write(key, &"nonsense", None);
+        world.state_service.write(key, &"nonsense", None);
     }
     for i in 0..3 {
         world.crash(i);
         world.start(i);
     }
-    assert!(world.until(10_000, |world| world.leader().is_some()));
+    assert!(world.run_until(10_000, |world| world.leader().is_some()));
     let ids: Vec<String> = (1..4).map(|n| format!("run-{n}")).collect();
     for id in &ids {
-        let accepted =
-            |world: &mut World| (200..300).contains(&world.submit(1, &array(id, 2), runs(1_000)));
-        assert!(world.until(10_000, accepted), "{id}");
+        let accepted = |world: &mut World| {
+            (200..300).contains(&world.submit(1, &array_job(id, 2), runs(1_000)))
+        };
+        assert!(world.run_until(10_000, accepted), "{id}");
     }
     // The state of a dependency whose record is unreadable is unknown, so a job that depends on it is
     // not accepted.
     assert_eq!(
-        world.submit(0, &after(array("run-4", 1), &["run-7"]), runs(100)),
+        world.submit(0, &after(array_job("run-4", 1), &["run-7"]), runs(100)),
         503
     );
     assert_eq!(
-        world.submit(0, &after(array("run-4", 1), &["run-9"]), runs(100)),
+        world.submit(0, &after(array_job("run-4", 1), &["run-9"]), runs(100)),
         503
     );
     assert!(wait_until_ended(&mut world, &ids));
