--- a/crates/control/tests/bad_input.rs
+++ b/crates/control/tests/bad_input.rs
@@ -60,7 +60,7 @@
 
 #[test]
 fn every_field_of_a_submission_is_refused_when_missing_or_wrong() {
-    let mut w = world(1, 1, 0.0);
+    let mut w = start_cluster(1, 1, 0.0);
     let optional = ["breeds", "valley", "due_s", "awaits"];
     let names: Vec<String> = fields(&complete()).into_iter().map(|(n, _)| n).collect();
     assert_eq!(names.len(), 20, "{names:?}");
@@ -146,12 +146,12 @@
         assert_eq!(submit(&mut w, body.clone()), 400, "{body:?}");
     }
     assert!(is_unknown(&mut w, ID), "nothing of all that was recorded");
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
 fn what_may_be_null_or_omitted_or_is_not_known_yet_is_accepted() {
-    let mut w = world(1, 2, 0.0);
+    let mut w = start_cluster(1, 2, 0.0);
     let mut bodies = vec![with_field("added_later", Some(text("ignored")))];
     for name in ["breeds", "valley", "due_s", "awaits"] {
         bodies.push(with_field(name, None));
@@ -169,19 +169,19 @@
         };
         map.retain(|(name, _)| *name != text("id"));
         map.push((text("id"), text(&id)));
-        w.describe(&array(&id, 2), runs(500));
+        w.describe(&array(&id, 2), runs_for(500));
         let status = submit(&mut w, wire::encode(&Value::Map(map)));
         assert_eq!(status, 201, "{id}");
     }
-    assert!(done(&mut w, "run-100", 20_000));
+    assert!(completes_within(&mut w, "run-100", 20_000));
     let last = w.jobs.keys().last().cloned().expect("jobs");
-    assert!(done(&mut w, &last, 20_000));
-    clean(&w);
+    assert!(completes_within(&mut w, &last, 20_000));
+    assert_no_violations(&w);
 }
 
 #[test]
 fn what_can_never_run_is_refused_as_such_and_stays_unknown() {
-    let mut w = world(1, 1, 8.0);
+    let mut w = start_cluster(1, 1, 8.0);
     let job = || array(ID, 1);
     let one = |change: fn(&mut Submission)| {
         let mut job = job();
@@ -203,9 +203,12 @@
         ("a gang over its team's limit", gang(ID, 3)),
         (
             "a job that nobody has submitted",
-            after(job(), &["run-999"]),
+            with_dependencies(job(), &["run-999"]),
+        ),
+        (
+            "a job that waits for itself",
+            with_dependencies(job(), &[ID]),
         ),
-        ("a job that waits for itself", after(job(), &[ID])),
     ];
     for (what, job) in never {
         assert_eq!(submit(&mut w, wire::encode(&job)), 422, "{what}");
@@ -221,14 +224,14 @@
         ..array("run-2", 9)
     };
     assert_eq!(submit(&mut w, wire::encode(&known)), 200);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
 fn a_cancellation_of_what_is_done_answers_done_and_of_what_is_unknown_404() {
-    let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array(ID, 2), runs(500)), 201);
-    assert!(done(&mut w, ID, 20_000));
+    let mut w = start_cluster(3, 2, 0.0);
+    assert_eq!(w.submit(0, &array(ID, 2), runs_for(500)), 201);
+    assert!(completes_within(&mut w, ID, 20_000));
     for node in 0..3 {
         assert_eq!(w.abort(node, ID), Some(Phase::Done), "node {node}");
         let (status, _) = w.ask(node, "POST", "/submissions/run-2/abort", vec![]);
@@ -249,13 +252,13 @@
     for (method, target) in [("PUT", "/submissions"), ("DELETE", "/submissions/run-1")] {
         assert_eq!(w.ask(0, method, target, vec![]).0, 405, "{method} {target}");
     }
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Records that another program left, or that a later version writes.
 #[test]
 fn unreadable_records_are_survived_and_stop_nothing_else() {
-    let mut w = world(3, 2, 0.0);
+    let mut w = start_cluster(3, 2, 0.0);
     let junk = "not a record";
     w.state.write(&job_key("run-7"), &junk, None);
     w.state.write(&final_key("run-8"), &junk, None);
@@ -270,8 +273,8 @@
             }
         }
         let id = format!("run-1{round}");
-        assert_eq!(w.submit(leader, &array(&id, 4), runs(500)), 201);
-        assert!(done(&mut w, &id, 20_000), "round {round}");
+        assert_eq!(w.submit(leader, &array(&id, 4), runs_for(500)), 201);
+        assert!(completes_within(&mut w, &id, 20_000), "round {round}");
         // The next leader has to read all of it.
         w.crash(leader);
         assert!(w.until(6_000, |w| w.leader().is_some()));
@@ -283,7 +286,7 @@
         assert_eq!(w.ask(0, "POST", "/v1/report", body).0, 400);
     }
     assert!(w.leader().is_some());
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -304,14 +307,17 @@
         settings.validate().expect("valid");
         settings
     };
-    let mut w = cluster(5, 9, settings);
+    let mut w = start_cluster_with(5, 9, settings);
     for n in 0..10 {
         let job = array(&format!("run-{n}"), 6);
-        assert_eq!(w.submit(n % 5, &job, runs(2_000)), 201);
+        assert_eq!(w.submit(n % 5, &job, runs_for(2_000)), 201);
     }
     for n in 0..10 {
-        assert!(done(&mut w, &format!("run-{n}"), 30_000), "job {n}");
+        assert!(
+            completes_within(&mut w, &format!("run-{n}"), 30_000),
+            "job {n}"
+        );
     }
     assert_eq!(w.state.too_frequent, 0);
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/cancellations.rs
+++ b/crates/control/tests/cancellations.rs
@@ -11,14 +11,17 @@
 
 /// A job with a task on each machine, which run for minutes.
 fn long_job(w: &mut World, id: &str, tasks: u64) {
-    assert_eq!(w.submit(follower(w), &array(id, tasks), runs(600_000)), 201);
+    assert_eq!(
+        w.submit(follower(w), &array(id, tasks), runs_for(600_000)),
+        201
+    );
     assert!(w.until(10_000, |w| w.on_machines(id).len() as u64 == tasks));
 }
 
 /// A job was cancelled through another node while the leader, the second one given, can't read what is open, though all
 /// else is answered, and hears nothing from its peers.
 fn cancelled_unread() -> (World, usize) {
-    let mut w = world(3, 2, 0.0);
+    let mut w = start_cluster(3, 2, 0.0);
     let old = w.leader().expect("leader");
     let other = follower(&w);
     long_job(&mut w, "run-1", 2);
@@ -44,7 +47,7 @@
 #[test]
 fn the_gap_between_a_refused_leader_and_an_outage_hides_no_cancellation() {
     for wait in [200, 900, 1_700, 2_600] {
-        let mut w = world(3, 4, 0.0);
+        let mut w = start_cluster(3, 4, 0.0);
         let old = w.leader().expect("leader");
         let other = follower(&w);
         for id in ["run-1", "run-2", "run-3"] {
@@ -64,7 +67,7 @@
             assert!(w.on_machines(id).is_empty(), "{id} after {wait}");
         }
         assert_eq!(w.on_machines("run-3").len(), 3, "kept alive after {wait}");
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -79,7 +82,7 @@
     w.state_down = true;
     w.run(CANCEL_MS);
     assert!(w.on_machines("run-1").is_empty());
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Without an outage too: what it can't read of the records it may not go on keeping alive.
@@ -91,14 +94,14 @@
     w.silent_peers.clear();
     (w.break_watches, w.break_lists) = (false, false);
     assert!(w.until(20_000, |w| w.phase(old, "run-1") == Some(Phase::Aborted)));
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// An answer of a leader that has not read its records used to renew the leases of tasks that it knew nothing of.
 #[test]
 fn a_leader_that_has_yet_to_read_its_records_keeps_nothing_alive() {
     for steps in [0, 3, 6, 9] {
-        let mut w = world(3, 3, 0.0);
+        let mut w = start_cluster(3, 3, 0.0);
         let old = w.leader().expect("leader");
         let other = follower(&w);
         long_job(&mut w, "run-1", 3);
@@ -115,7 +118,7 @@
         w.refused.clear();
         w.run(20_000);
         assert_eq!(w.phase(other, "run-1"), Some(Phase::Aborted));
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -123,7 +126,7 @@
 #[test]
 fn a_notice_that_comes_while_the_records_are_read_counts() {
     for steps in 0..16 {
-        let mut w = world(3, 3, 0.0);
+        let mut w = start_cluster(3, 3, 0.0);
         let old = w.leader().expect("leader");
         long_job(&mut w, "run-1", 3);
         w.refused.insert(old);
@@ -137,7 +140,7 @@
         w.state_down = true;
         w.run(CANCEL_MS);
         assert!(w.on_machines("run-1").is_empty(), "after {steps} steps");
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -168,13 +171,13 @@
     w.workers.get_mut("vm-000000").expect("worker").one_way = true;
     w.run(20_000);
     assert!(w.on_machines("run-1").is_empty());
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// What a node was told is cancelled it answers so at once, without the state service, and never takes back.
 #[test]
 fn every_node_answers_a_cancellation_as_soon_as_one_has_confirmed_it() {
-    let mut w = world(3, 2, 0.0);
+    let mut w = start_cluster(3, 2, 0.0);
     long_job(&mut w, "run-1", 2);
     assert_eq!(w.abort(1, "run-1"), Some(Phase::Aborted));
     w.run(20);
@@ -182,7 +185,7 @@
     for node in 0..3 {
         assert_eq!(w.phase(node, "run-1"), Some(Phase::Aborted));
         assert_eq!(w.abort(node, "run-1"), Some(Phase::Aborted));
-        assert_eq!(w.submit(node, &array("run-1", 2), runs(1)), 200);
+        assert_eq!(w.submit(node, &array("run-1", 2), runs_for(1)), 200);
     }
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the scenarios share: settings, a world that is up, and what is looked at again and again.
+//! Helpers shared by the scenarios: settings, a running cluster, jobs, and common queries and checks.
 
-#![allow(dead_code)] // Each file of scenarios uses some of it.
+#![allow(dead_code)] // Each test file uses only some of these functions.
 
 use fakes::{Behaviour, World};
 use vetchmount_control::settings::{NextLimits, Team};
@@ -8,7 +8,7 @@
 use wire::records::*;
 use wire::users::{Phase, Submission};
 
-const DEPLOYMENT: &str = r#"
+const DEPLOYMENT_TOML: &str = r#"
 zones = ["a", "b"]
 [[teams]]
 name = "t"
@@ -37,41 +37,63 @@
 max_connections = 1200
 "#;
 
-pub fn settings(i: usize, nodes: usize, gpus_max: f64) -> Settings {
-    let mut text = format!(
-        "label = \"n{i}\"\narea = \"a\"\npublic_addr = \"10.0.0.{i}:1\"\nback = \"10.0.0.{i}:2\"\n\
+/// The settings of one of `nodes` controllers. Team `t` may use up to `gpus_max` GPUs (0: no limit).
+pub fn settings(node: usize, nodes: usize, gpus_max: f64) -> Settings {
+    let mut local = format!(
+        "label = \"n{node}\"\narea = \"a\"\npublic_addr = \"10.0.0.{node}:1\"\nback = \"10.0.0.{node}:2\"\n\
          [outside]\ncloud = \"10.0.1.1:1\"\nstate = \"10.0.1.2:1\"\n"
     );
-    for j in (0..nodes).filter(|j| *j != i) {
-        text += &format!("[[siblings]]\nlabel = \"n{j}\"\narea = \"a\"\naddr = \"10.0.0.{j}:2\"\n");
+    for peer in (0..nodes).filter(|peer| *peer != node) {
+        local += &format!(
+            "[[siblings]]\nlabel = \"n{peer}\"\narea = \"a\"\naddr = \"10.0.0.{peer}:2\"\n"
+        );
     }
     let deployment: toml::Value =
-        toml::from_str(&DEPLOYMENT.replace("GPUS_MAX", &format!("{gpus_max:.1}")))
+        toml::from_str(&DEPLOYMENT_TOML.replace("GPUS_MAX", &format!("{gpus_max:.1}")))
             .expect("deployment");
-    let mut all: toml::Table = toml::from_str(&text).expect("settings");
+    let mut all: toml::Table = toml::from_str(&local).expect("settings");
     all.insert("deployment".into(), deployment);
     let settings: Settings = all.try_into().expect("settings");
     settings.validate().expect("valid");
     settings
 }
 
-/// A world with a leader, machines that are known, and machine types that every node has read.
-pub fn world(nodes: usize, machines: usize, gpus_max: f64) -> World {
-    cluster(nodes, machines, |i| settings(i, nodes, gpus_max))
+/// [`settings`] whose deployment also announces smaller limits of the state service (`next`).
+pub fn settings_with_next_limits(node: usize, nodes: usize) -> Settings {
+    let mut settings = settings(node, nodes, 0.0);
+    settings.deployment.state.next = Some(NextLimits {
+        rps: None,
+        write_rps: Some(35.0),
+        value_kb: Some(2.0),
+        txn_ops: Some(4),
+    });
+    settings
 }
 
-/// The same with settings of its own.
-pub fn cluster(nodes: usize, machines: usize, settings: impl Fn(usize) -> Settings) -> World {
-    let mut w = World::new(nodes, settings);
+/// Starts a cluster and returns it once it has a leader, knows its machines, and every node has read the machine types.
+pub fn start_cluster(nodes: usize, machines: usize, gpus_max: f64) -> World {
+    start_cluster_with(nodes, machines, |node| settings(node, nodes, gpus_max))
+}
+
+/// As [`start_cluster`], with the given settings of each node.
+pub fn start_cluster_with(
+    nodes: usize,
+    machines: usize,
+    settings: impl Fn(usize) -> Settings,
+) -> World {
+    let mut world = World::new(nodes, settings);
     for m in 0..machines {
-        w.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
+        world.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
     }
-    assert!(w.until(6_000, |w| w.leader().is_some()), "a leader");
-    w.run(4_000);
-    w
+    assert!(
+        world.until(6_000, |world| world.leader().is_some()),
+        "no leader was elected within 6 s"
+    );
+    world.run(4_000);
+    world
 }
 
-/// A team without a guarantee that may use so many GPUs; 0 for no limit.
+/// A team without guaranteed resources that may use up to `gpus_max` GPUs (0: no limit).
 pub fn team(name: &str, gpus_max: f64) -> Team {
     Team {
         name: name.into(),
@@ -82,6 +104,7 @@
     }
 }
 
+/// The job, submitted for the given team.
 pub fn of_team(team: &str, job: Submission) -> Submission {
     Submission {
         team: team.into(),
@@ -89,7 +112,16 @@
     }
 }
 
-pub fn runs(run_ms: u64) -> Behaviour {
+/// The job, depending on the jobs with the ids `needs`.
+pub fn with_dependencies(job: Submission, needs: &[&str]) -> Submission {
+    Submission {
+        needs: needs.iter().map(|id| id.to_string()).collect(),
+        ..job
+    }
+}
+
+/// Tasks of an array job that run for `run_ms`, take no checkpoints and succeed.
+pub fn runs_for(run_ms: u64) -> Behaviour {
     Behaviour {
         fetch_ms: 300,
         run_ms,
@@ -99,56 +131,45 @@
     }
 }
 
-pub fn clean(w: &World) {
-    assert!(w.broken.is_empty(), "rules broken: {:?}", &w.broken);
+/// Asserts that the world has found no rule of the protocol broken so far.
+pub fn assert_no_violations(world: &World) {
+    assert!(world.broken.is_empty(), "rules broken: {:?}", &world.broken);
 }
 
-pub fn done(w: &mut World, id: &str, ms: u64) -> bool {
-    w.until(ms, |w| w.phase(0, id) == Some(Phase::Done))
+/// Whether the job is done, as node 0 answers, within `ms`.
+pub fn completes_within(world: &mut World, id: &str, ms: u64) -> bool {
+    world.until(ms, |world| world.phase(0, id) == Some(Phase::Done))
 }
 
-/// All copies of parts of jobs in the records, in either form.
-pub fn parts(w: &World) -> Vec<PageEntry> {
-    let pages = w.state.keys(PAGES).into_iter();
-    let read = pages.filter_map(|key| w.state.read::<PageRecord>(&key));
-    let plain = |e: SmallEntry| PageEntry {
-        job: e.job,
-        part: e.part,
-        seq: e.seq,
-        chunk: e.chunk.read().expect("readable"),
+/// All copies of parts of jobs on the recorded pages, which may hold several of one part with different `seq`. Entries
+/// in the dense form are converted to the other one.
+pub fn recorded_page_entries(world: &World) -> Vec<PageEntry> {
+    let keys = world.state.keys(PAGES).into_iter();
+    let pages = keys.filter_map(|key| world.state.read::<PageRecord>(&key));
+    let from_dense = |entry: SmallEntry| PageEntry {
+        job: entry.job,
+        part: entry.part,
+        seq: entry.seq,
+        chunk: entry.chunk.read().expect("readable"),
     };
-    read.flat_map(|p| p.parts.into_iter().chain(p.small.into_iter().map(plain)))
+    pages
+        .flat_map(|page| {
+            page.parts
+                .into_iter()
+                .chain(page.small.into_iter().map(from_dense))
+        })
         .collect()
 }
 
-pub fn follower(w: &World) -> usize {
-    let leader = w.leader().expect("leader");
+/// The lowest-numbered node that is not the leader.
+pub fn follower(world: &World) -> usize {
+    let leader = world.leader().expect("leader");
     usize::from(leader == 0)
 }
 
-/// Puts a job on record as another process would that this cluster does not run.
-pub fn record_open_job(w: &mut World, spec: Submission) {
+/// Writes the record of an open job to the state service, as a process outside of this cluster would.
+pub fn record_open_job(world: &mut World, spec: Submission) {
     let key = job_key(&spec.id);
     let record = JobRecord::new(spec, 1_700_000_000_000);
-    w.state.write(&key, &record, None);
-}
-
-/// A job behind others.
-pub fn after(job: Submission, needs: &[&str]) -> Submission {
-    Submission {
-        needs: needs.iter().map(|n| n.to_string()).collect(),
-        ..job
-    }
-}
-
-/// Settings with smaller limits to come.
-pub fn settings_next(i: usize, nodes: usize) -> Settings {
-    let mut settings = settings(i, nodes, 0.0);
-    settings.deployment.state.next = Some(NextLimits {
-        rps: None,
-        write_rps: Some(35.0),
-        value_kb: Some(2.0),
-        txn_ops: Some(4),
-    });
-    settings
+    world.state.write(&key, &record, None);
 }
--- a/crates/control/tests/failing_jobs.rs
+++ b/crates/control/tests/failing_jobs.rs
@@ -14,7 +14,7 @@
 
 /// A simulated cluster whose machines stand ready, with two teams.
 fn two_teams(nodes: usize) -> World {
-    cluster(nodes, MACHINES, |i| {
+    start_cluster_with(nodes, MACHINES, |i| {
         let mut s = settings(i, nodes, 0.0);
         s.deployment.objectives[0].kind = "guarantee".into();
         s.deployment.teams = vec![team("t", TEAM_GPUS), team("u", 0.0)];
@@ -26,7 +26,7 @@
 fn failing() -> Behaviour {
     Behaviour {
         fails: true,
-        ..runs(2_000)
+        ..runs_for(2_000)
     }
 }
 
@@ -55,10 +55,10 @@
 fn assert_all_machines_are_used(w: &mut World, id: &str, busy: usize) {
     assert_eq!(given_back(w), Vec::<String>::new());
     let job = of_team("u", array(id, (GPUS - busy) as u64));
-    assert_eq!(w.submit(0, &job, runs(20_000)), 201);
+    assert_eq!(w.submit(0, &job, runs_for(20_000)), 201);
     let whole = |w: &mut World| w.on_machines(id).len() == GPUS - busy;
     assert!(w.until(15_000, whole), "{}", w.on_machines(id).len());
-    assert!(done(w, id, 60_000));
+    assert!(completes_within(w, id, 60_000));
 }
 
 #[test]
@@ -86,8 +86,11 @@
                 let team = ["t", "u"][second / 10 % 2];
                 let id = format!("run-{}", 100 + 10 * minute + second / 10);
                 let job = of_team(team, array(&id, 2));
-                assert_eq!(w.submit(0, &job, runs(1_000)), 201);
-                assert!(done(&mut w, &id, 9_000), "minute {minute}, second {second}");
+                assert_eq!(w.submit(0, &job, runs_for(1_000)), 201);
+                assert!(
+                    completes_within(&mut w, &id, 9_000),
+                    "minute {minute}, second {second}"
+                );
             }
             w.run(1_000);
             if minute > 0 {
@@ -108,7 +111,7 @@
     let with_them = changes(&mut w, 120_000);
     let [one, wide, whole] = ids.map(|id| starts(&w, id));
     for id in ids {
-        let timed: u32 = parts(&w)
+        let timed: u32 = recorded_page_entries(&w)
             .iter()
             .filter(|e| e.job == id)
             .map(|e| e.chunk.timed)
@@ -128,7 +131,7 @@
     assert!(theirs <= 16, "{theirs} changes in two minutes");
     let after = ids.map(|id| starts(&w, id));
     assert_eq!(after, [one, wide, whole], "never started again");
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Each machine had failed two of the jobs before any of them had failed on a third machine, and all were taken for
@@ -144,11 +147,11 @@
         let team = ["t", "u"][n % 2];
         let id = format!("run-{}", 200 + n);
         let job = of_team(team, array(&id, 2));
-        assert_eq!(w.submit(0, &job, runs(1_000)), 201);
-        assert!(done(&mut w, &id, 9_000), "{id}");
+        assert_eq!(w.submit(0, &job, runs_for(1_000)), 201);
+        assert!(completes_within(&mut w, &id, 9_000), "{id}");
     }
     assert_all_machines_are_used(&mut w, "run-50", 0);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// A new leader knew nothing of earlier failures: all failing jobs began anew with short pauses, wide arrays with as
@@ -166,7 +169,7 @@
     }
     // A job whose tasks run on; it is no worse off with the new leader.
     let sound = of_team("u", array("run-3", 8));
-    assert_eq!(w.submit(0, &sound, runs(600_000)), 201);
+    assert_eq!(w.submit(0, &sound, runs_for(600_000)), 201);
     w.run(200_000);
     let placed = w.on_machines("run-3");
     let count = |w: &World| ids.iter().map(|id| starts(w, id)).collect::<Vec<usize>>();
@@ -182,7 +185,7 @@
     w.start(leader);
     w.run(4_000);
     assert_all_machines_are_used(&mut w, "run-50", 8);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// A machine is told apart by jobs that run elsewhere, also while jobs that fail everywhere are about.
@@ -197,7 +200,7 @@
     let mut starts_there = 0;
     for n in 0..40 {
         let job = of_team("u", array(&format!("run-{}", 200 + n), 4));
-        assert_eq!(w.submit(0, &job, runs(8_000)), 201);
+        assert_eq!(w.submit(0, &job, runs_for(8_000)), 201);
         w.run(2_000);
         let there = w.workers.get("vm-000003").map(|m| m.started.len());
         starts_there = there.unwrap_or(starts_there);
@@ -205,6 +208,6 @@
     assert_eq!(given_back(&w), ["vm-000003"], "and no other");
     assert!(starts_there <= 24, "{starts_there} starts there");
     let last = "run-239";
-    assert!(done(&mut w, last, 40_000));
-    clean(&w);
+    assert!(completes_within(&mut w, last, 40_000));
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/four_thousand_machines.rs
+++ b/crates/control/tests/four_thousand_machines.rs
@@ -42,13 +42,13 @@
     w.run(12_000);
     for number in 0..RUNNING_JOBS {
         let job = array(&running_id(number), TASKS_A_JOB);
-        w.describe(&job, runs(600_000));
+        w.describe(&job, runs_for(600_000));
         record_open_job(&mut w, job);
     }
     for number in 0..WAITING_JOBS {
         let mut job = array(&waiting_id(number), 1);
         job.zone = Some("c".into());
-        w.describe(&job, runs(1_000));
+        w.describe(&job, runs_for(1_000));
         record_open_job(&mut w, job);
     }
     let all = RUNNING_JOBS * TASKS_A_JOB as usize;
@@ -106,7 +106,7 @@
     let enough = (MACHINES / 500) as u64;
     assert!(w.until(60_000, |w| w.listed_pages >= pages + enough));
     assert_eq!(w.workers.len(), MACHINES, "none was given back");
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -134,5 +134,5 @@
     }
     let cost = w.state.counts.since(&before);
     assert!(cost.questions() < 60, "{cost:?}");
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/guest_teams.rs
+++ b/crates/control/tests/guest_teams.rs
@@ -21,7 +21,7 @@
 
 /// A simulated cluster of machines that stand ready, two teams with guarantees and a guest.
 fn cluster_with_guest() -> World {
-    cluster(1, MACHINES, |i| {
+    start_cluster_with(1, MACHINES, |i| {
         let mut s = settings(i, 1, 0.0);
         s.deployment.objectives[0].kind = "guarantee".into();
         s.deployment.teams = vec![guaranteed("t"), guaranteed("u"), team("guest", 0.0)];
@@ -49,14 +49,14 @@
 fn guest_tasks_are_stopped_for_a_guarantee_and_not_the_other_way_round() {
     let mut w = cluster_with_guest();
     let guest = of_team("guest", array("run-1", 64));
-    assert_eq!(w.submit(0, &guest, runs(300_000)), 201);
+    assert_eq!(w.submit(0, &guest, runs_for(300_000)), 201);
     assert!(w.until(10_000, |w| w.on_machines("run-1").len() == 32));
     // The guest has the whole cluster. Each team gets what is guaranteed to it within seconds, and no more.
     // (Arrays of more than seven tasks would wait for their pilots first, which stop nothing.)
     for n in 0..3 {
         for (first, name) in [(10, "t"), (20, "u")] {
             let job = of_team(name, array(&format!("run-{}", first + n), 6));
-            assert_eq!(w.submit(0, &job, runs(120_000)), 201);
+            assert_eq!(w.submit(0, &job, runs_for(120_000)), 201);
         }
     }
     let served = |w: &mut World| ["t", "u"].map(|team| tasks_of(w, team)) == [12, 12];
@@ -67,10 +67,10 @@
         due_s: Some(30.0),
         ..of_team("guest", array("run-4", 8))
     };
-    assert_eq!(w.submit(0, &due, runs(5_000)), 201);
+    assert_eq!(w.submit(0, &due, runs_for(5_000)), 201);
     let b = Behaviour {
         gang: 2,
-        ..runs(5_000)
+        ..runs_for(5_000)
     };
     let large = of_team("guest", gang("run-5", 2));
     assert_eq!(w.submit(0, &large, b), 201);
@@ -81,7 +81,7 @@
         [12, 12],
         "none was stopped"
     );
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Jobs of a team that are not over.
@@ -117,7 +117,7 @@
             guess_s: 30.0,
             ..array(&format!("run-{}", 100 + n), 6)
         };
-        submit(&mut w, job, runs(30_000));
+        submit(&mut w, job, runs_for(30_000));
     }
     let tiny = |id: &str, tasks: u64| Submission {
         cpus: 0.25,
@@ -126,17 +126,21 @@
         guess_s: 5.0,
         ..array(id, tasks)
     };
-    submit(&mut w, tiny("run-200", 5_000), runs(5_000));
+    submit(&mut w, tiny("run-200", 5_000), runs_for(5_000));
     for n in 0..4 {
         let shape = Behaviour {
             gang: 2,
-            ..runs(15_000)
+            ..runs_for(15_000)
         };
         let job = gang(&format!("run-{}", 300 + n), 2);
         submit(&mut w, job, shape);
     }
     for n in 0..60 {
-        submit(&mut w, tiny(&format!("run-{}", 400 + n), 1), runs(3_000));
+        submit(
+            &mut w,
+            tiny(&format!("run-{}", 400 + n), 1),
+            runs_for(3_000),
+        );
     }
     // Both teams ask for more than their guarantees all the while, in jobs of eight tasks of 10 s.
     let mut load = 1_000;
@@ -144,7 +148,7 @@
         for name in ["t", "u"] {
             while open_jobs(&w, name) < 3 {
                 let job = of_team(name, array(&format!("run-{load}"), 8));
-                assert_eq!(w.submit(0, &job, runs(10_000)), 201);
+                assert_eq!(w.submit(0, &job, runs_for(10_000)), 201);
                 load += 1;
             }
         }
@@ -178,5 +182,5 @@
         let load = starts(&w, name);
         assert!(load as f64 >= 20.0 * GUARANTEE, "{load} tasks of {name}");
     }
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/large_arrays.rs
+++ b/crates/control/tests/large_arrays.rs
@@ -18,7 +18,7 @@
 /// A simulated cluster of machines that stand ready, with two teams and a stopwatch that counts looks at it: a round
 /// looks once for each decision.
 fn counted_cluster(looks: fn() -> u64) -> World {
-    let mut w = cluster(1, MACHINES, |i| {
+    let mut w = start_cluster_with(1, MACHINES, |i| {
         let mut s = settings(i, 1, 0.0);
         s.deployment.objectives[0].kind = "guarantee".into();
         s.deployment.teams = vec![team("t", 0.0), team("u", 0.0)];
@@ -45,8 +45,8 @@
 /// A single small task of another team, submitted now, is done within a time.
 fn small_task_is_done(w: &mut World, id: &str, within_ms: u64) {
     let job = of_team("u", small_tasks(id, 1));
-    assert_eq!(w.submit(0, &job, runs(1_000)), 201);
-    assert!(done(w, id, within_ms), "{id}");
+    assert_eq!(w.submit(0, &job, runs_for(1_000)), 201);
+    assert!(completes_within(w, id, within_ms), "{id}");
 }
 
 #[test]
@@ -54,7 +54,10 @@
     static LOOKS: AtomicU64 = AtomicU64::new(0);
     let mut w = counted_cluster(|| LOOKS.fetch_add(1, Ordering::Relaxed));
     let (submitted, bytes) = (w.state.writes, w.state.bytes_written);
-    assert_eq!(w.submit(0, &small_tasks("run-1", TASKS), runs(5_000)), 201);
+    assert_eq!(
+        w.submit(0, &small_tasks("run-1", TASKS), runs_for(5_000)),
+        201
+    );
     w.run(3_000);
     let mut most_looks = 0;
     for n in 0..10 {
@@ -68,7 +71,7 @@
         assert!(pages <= 8 * 1024, "a page of {pages} bytes");
         assert!(w.on_machines("run-1").len() <= MACHINES * 128);
     }
-    let tasks_done: u64 = parts(&w)
+    let tasks_done: u64 = recorded_page_entries(&w)
         .iter()
         .filter(|e| e.job == "run-1")
         .map(|e| sched::RangeSet::parse(&e.chunk.done).expect("ranges").len())
@@ -80,7 +83,7 @@
     assert!(writes <= 300, "{writes} changes");
     let each = bytes as u64 / writes;
     assert!(each <= 2_048, "{each} bytes a change");
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -91,7 +94,7 @@
     for n in 0..SWARM {
         let id = format!("run-{}", 1_000 + n);
         let body = wire::encode(&small_tasks(&id, 1));
-        w.describe(&small_tasks(&id, 1), runs(3_000));
+        w.describe(&small_tasks(&id, 1), runs_for(3_000));
         w.send(0, "POST", "/submissions", body);
         w.run(120);
         if n % 80 == 40 {
@@ -105,5 +108,5 @@
     assert_eq!(w.state.too_many, 0, "no change was refused for its rate");
     let writes = w.state.writes - writes;
     assert!(writes <= 1_600, "{writes} changes for {SWARM} jobs");
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/meetings.rs
+++ b/crates/control/tests/meetings.rs
@@ -1,7 +1,9 @@
-//! Troubles that meet: for a seed, a few simulated minutes of work on which troubles are drawn at random, then time to
-//! heal. The world checks the protocol's rules at every step; the scenario only brings the troubles.
+//! Random combinations of faults. Each seed is a scenario of a few simulated minutes of work with random faults, and
+//! time to recover afterwards. The world checks the rules of the protocol at every step; the scenario injects the
+//! faults, and lists invalid submissions that were accepted.
 //!
-//! `SEEDS=200` plays more seeds than the few by default, `SEED=17` a single one, `FROM=1000` begins there.
+//! `SEEDS=200` runs that many seeds instead of the default, `SEED=17` runs only that one and prints its events, and
+//! `FROM=1000` sets the first seed.
 
 mod common;
 
@@ -12,60 +14,65 @@
 use vetchmount_control::settings::Team;
 use wire::users::{Phase, Priority, Submission};
 
-/// Seeds played by default.
-const SEEDS: u64 = 12;
-/// Milliseconds during which troubles are drawn.
-const TROUBLED_MS: u64 = 120_000;
-/// Milliseconds after which something completes at the latest in a healed world with work left: the longest run time
-/// twice, and time to begin.
-const STUCK_MS: u64 = 150_000;
-/// Milliseconds that a healed world is watched at least.
-const WATCHED_MS: u64 = 100_000;
+const DEFAULT_SEED_COUNT: u64 = 12;
+/// Time during which faults are injected.
+const FAULT_PHASE_MS: u64 = 120_000;
+/// Once all faults are over, some task must complete within this time as long as work is left: twice the longest run
+/// time of a task, and time to start.
+const NO_PROGRESS_TIMEOUT_MS: u64 = 150_000;
+/// Minimum time for which the cluster is watched after all faults are over.
+const MIN_RECOVERY_MS: u64 = 100_000;
 
-/// What ends at some moment.
+/// The end of a fault, or a further fault, that is due at some time.
 #[derive(Debug, Clone)]
-enum End {
-    Start(usize),
-    /// Not the end of a trouble but the next of many: the leader ends and is back soon.
-    Leader,
-    Outage,
-    Refused(usize),
-    CutNode(usize),
-    Peers(usize),
-    LateTxns,
-    LostAnswers,
-    Slow,
-    LateReports,
-    Machines(Vec<String>),
+enum ScheduledAction {
+    RestartNode(usize),
+    /// Crashes the leader in most cases, else any node, and restarts it within 4 s.
+    CrashLeader,
+    EndOutage,
+    EndRefusal(usize),
+    EndIsolation(usize),
+    ReconnectPeers(usize),
+    EndLateTxns,
+    EndLostAnswers,
+    EndSlowState,
+    EndReportCopies,
+    ReconnectMachines(Vec<String>),
 }
 
-/// A job and what its user is about to do.
-struct Job {
+/// A job, and the next actions of its user.
+struct UserJob {
     spec: Submission,
-    next_submit: u64,
-    gives_up: u64,
-    refused: bool,
-    next_poll: u64,
-    /// When it is to be cancelled, if at all; from then on again and again until that is answered.
+    next_submit_at: u64,
+    gives_up_at: u64,
+    rejected: bool,
+    next_poll_at: u64,
+    /// When the user next requests its cancellation (`u64::MAX`: never). The request is repeated until users know that
+    /// the job has ended.
     cancel_at: u64,
-    /// Cancelled as soon as it seems to end.
+    /// Whether its cancellation is requested as soon as all its tasks have completed.
     cancel_at_end: bool,
-    looked: (bool, Option<Phase>),
+    /// Whether it was accepted, and its final phase, when they were last compared.
+    last_seen: (bool, Option<Phase>),
 }
 
+/// A cluster, its users and the faults that they meet, all drawn from one seed.
 struct Scenario {
-    w: World,
+    world: World,
     rng: fastrand::Rng,
     nodes: usize,
-    jobs: Vec<Job>,
-    /// Questions whose answers decide what a user does next.
-    submits: BTreeMap<u64, usize>,
-    /// Submissions of jobs that can't run.
-    unfit: Vec<u64>,
-    ends: Vec<(u64, End)>,
+    jobs: Vec<UserJob>,
+    /// Submissions without an answer yet, by request, with the index of their job.
+    pending_submissions: BTreeMap<u64, usize>,
+    /// Requests that submitted a job which must be rejected, and that have no answer yet.
+    invalid_submissions: Vec<u64>,
+    /// Actions to perform, each with its time.
+    scheduled: Vec<(u64, ScheduledAction)>,
+    /// Injected faults and requested cancellations, each with its time and the leader at that time.
     log: String,
+    /// Until when jobs of one task are submitted every 250 ms.
     burst_until: u64,
-    next_new: u64,
+    next_job_at: u64,
 }
 
 impl Scenario {
@@ -75,7 +82,7 @@
         let machines = rng.usize(8..=16);
         let gpus = machines as f64 * 4.0;
         let tight = rng.bool();
-        let mut w = World::new(nodes, |i| {
+        let mut world = World::new(nodes, |i| {
             let mut s = settings(i, nodes, 0.0);
             let team = |name: &str, share: f64| Team {
                 name: name.into(),
@@ -87,57 +94,64 @@
             s.deployment.teams = vec![team("t", 0.5), team("u", 0.3)];
             s
         });
-        w.seed(seed);
-        w.capacity = rng.u32(4..=12);
-        w.boot_ms = 0..=2_000;
+        world.seed(seed);
+        world.capacity = rng.u32(4..=12);
+        world.boot_ms = 0..=2_000;
         for m in 0..machines {
-            w.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
+            world.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
         }
-        assert!(w.until(6_000, |w| w.leader().is_some()), "a leader");
-        w.run(4_000);
+        assert!(
+            world.until(6_000, |world| world.leader().is_some()),
+            "no leader was elected within 6 s"
+        );
+        world.run(4_000);
         Scenario {
-            w,
+            world,
             rng,
             nodes,
             jobs: Vec::new(),
-            submits: BTreeMap::new(),
-            unfit: Vec::new(),
-            ends: Vec::new(),
+            pending_submissions: BTreeMap::new(),
+            invalid_submissions: Vec::new(),
+            scheduled: Vec::new(),
             log: String::new(),
             burst_until: 0,
-            next_new: 0,
+            next_job_at: 0,
         }
     }
 
-    fn note(&mut self, what: &str) {
-        let leader = self.w.leader();
-        writeln!(self.log, "{:>7} {what} (leader {leader:?})", self.w.now).expect("written");
+    fn log_event(&mut self, what: &str) {
+        let leader = self.world.leader();
+        writeln!(self.log, "{:>7} {what} (leader {leader:?})", self.world.now).expect("written");
     }
 
-    fn node(&mut self) -> usize {
+    fn random_node(&mut self) -> usize {
         self.rng.usize(..self.nodes)
     }
 
-    /// The leader, mostly; else any node.
-    fn victim(&mut self) -> usize {
-        let any = self.node();
-        self.w
+    /// The leader in most cases, else any node.
+    fn random_node_mostly_leader(&mut self) -> usize {
+        let any = self.random_node();
+        self.world
             .leader()
             .filter(|_| self.rng.u8(..4) > 0)
             .unwrap_or(any)
     }
 
-    fn between(&mut self, least: u64, most: u64) -> u64 {
+    fn random_between(&mut self, least: u64, most: u64) -> u64 {
         self.rng.u64(least..=most)
     }
 
-    fn machines(&mut self) -> Vec<String> {
-        let all: Vec<String> = self.w.workers.keys().cloned().collect();
+    fn random_machines(&mut self) -> Vec<String> {
+        let all: Vec<String> = self.world.workers.keys().cloned().collect();
         match self.rng.u8(..4) {
             0 => {
                 let zone = if self.rng.bool() { "a" } else { "b" };
-                let there = self.w.workers.values().filter(|w| w.zone == zone);
-                there.map(|w| w.name.clone()).collect()
+                let there = self
+                    .world
+                    .workers
+                    .values()
+                    .filter(|worker| worker.zone == zone);
+                there.map(|worker| worker.name.clone()).collect()
             }
             1 => all,
             _ => {
@@ -147,193 +161,238 @@
         }
     }
 
-    fn end_in(&mut self, ms: u64, end: End) {
-        self.ends.push((self.w.now + ms, end));
+    fn schedule(&mut self, ms: u64, action: ScheduledAction) {
+        self.scheduled.push((self.world.now + ms, action));
     }
 
-    /// Brings one trouble.
-    fn trouble(&mut self) {
-        let now = self.w.now;
+    /// Injects one random fault.
+    fn inject_fault(&mut self) {
+        let now = self.world.now;
         match self.rng.u8(..24) {
             0 | 1 => {
-                let (node, pause) = (self.victim(), self.between(0, 20_000));
-                self.note(&format!("node {node} ends, back in {pause} ms"));
-                self.w.crash(node);
-                self.end_in(pause, End::Start(node));
+                let (node, pause) = (
+                    self.random_node_mostly_leader(),
+                    self.random_between(0, 20_000),
+                );
+                self.log_event(&format!("node {node} crashes, restarts in {pause} ms"));
+                self.world.crash(node);
+                self.schedule(pause, ScheduledAction::RestartNode(node));
                 if self.rng.u8(..3) == 0 {
-                    self.cancel_some();
+                    self.request_some_cancellations();
                 }
             }
             2 => {
-                let (pause, more) = (self.between(0, 16_000), self.between(0, 5_000));
-                self.note(&format!("all nodes end, back in {pause} ms and more"));
+                let (pause, more) = (
+                    self.random_between(0, 16_000),
+                    self.random_between(0, 5_000),
+                );
+                self.log_event(&format!("all nodes crash, restart in {pause} ms or more"));
                 for node in 0..self.nodes {
-                    self.w.crash(node);
-                    self.end_in(pause + node as u64 * more, End::Start(node));
+                    self.world.crash(node);
+                    self.schedule(
+                        pause + node as u64 * more,
+                        ScheduledAction::RestartNode(node),
+                    );
                 }
             }
             3 => {
-                self.note("leaders end again and again");
+                self.log_event("the leader crashes repeatedly");
                 for n in 0..8 {
-                    self.end_in(n * 2_500, End::Leader);
+                    self.schedule(n * 2_500, ScheduledAction::CrashLeader);
                 }
             }
             4 | 5 => {
-                let (node, ms) = (self.victim(), self.between(2_000, 20_000));
-                self.note(&format!("node {node} refused for {ms} ms"));
-                self.w.refused.insert(node);
-                self.end_in(ms, End::Refused(node));
+                let (node, ms) = (
+                    self.random_node_mostly_leader(),
+                    self.random_between(2_000, 20_000),
+                );
+                self.log_event(&format!("state service refuses node {node} for {ms} ms"));
+                self.world.refused.insert(node);
+                self.schedule(ms, ScheduledAction::EndRefusal(node));
                 if self.rng.bool() {
-                    self.cancel_some();
+                    self.request_some_cancellations();
                 }
             }
             6 => {
-                let ms = self.between(1_000, 45_000);
-                self.note(&format!("outage for {ms} ms"));
-                self.w.state_down = true;
-                self.end_in(ms, End::Outage);
+                let ms = self.random_between(1_000, 45_000);
+                self.log_event(&format!("state service down for {ms} ms"));
+                self.world.state_down = true;
+                self.schedule(ms, ScheduledAction::EndOutage);
             }
             7 => {
-                let (node, ms) = (self.victim(), self.between(31_000, 45_000));
-                self.note(&format!("node {node} refused, then an outage for {ms} ms"));
-                self.cancel_some();
-                self.w.refused.insert(node);
-                self.step_users(1_000);
-                self.w.state_down = true;
-                self.end_in(ms, End::Outage);
-                self.end_in(ms, End::Refused(node));
+                let (node, ms) = (
+                    self.random_node_mostly_leader(),
+                    self.random_between(31_000, 45_000),
+                );
+                self.log_event(&format!(
+                    "state service refuses node {node}, then is down for {ms} ms"
+                ));
+                self.request_some_cancellations();
+                self.world.refused.insert(node);
+                self.run_with_users(1_000);
+                self.world.state_down = true;
+                self.schedule(ms, ScheduledAction::EndOutage);
+                self.schedule(ms, ScheduledAction::EndRefusal(node));
             }
             8 | 9 => {
-                let (share, ms) = (self.rng.f64() * 0.4, self.between(5_000, 30_000));
-                self.note(&format!("{share:.2} of transactions late for {ms} ms"));
-                self.w.troubles.late_txns = share;
-                self.end_in(ms, End::LateTxns);
+                let (share, ms) = (self.rng.f64() * 0.4, self.random_between(5_000, 30_000));
+                self.log_event(&format!("{share:.2} of transactions delayed for {ms} ms"));
+                self.world.troubles.late_txns = share;
+                self.schedule(ms, ScheduledAction::EndLateTxns);
             }
             10 => {
-                let (share, ms) = (self.rng.f64() * 0.4, self.between(5_000, 30_000));
-                self.note(&format!("{share:.2} of answers lost for {ms} ms"));
-                self.w.troubles.lost_answers = share;
-                self.end_in(ms, End::LostAnswers);
+                let (share, ms) = (self.rng.f64() * 0.4, self.random_between(5_000, 30_000));
+                self.log_event(&format!(
+                    "{share:.2} of transaction answers lost for {ms} ms"
+                ));
+                self.world.troubles.lost_answers = share;
+                self.schedule(ms, ScheduledAction::EndLostAnswers);
             }
             11 | 12 => {
-                let (most, ms) = (self.between(100, 1_500), self.between(5_000, 25_000));
-                self.note(&format!("state slow by {most} ms for {ms} ms"));
+                let (max_delay_ms, ms) = (
+                    self.random_between(100, 1_500),
+                    self.random_between(5_000, 25_000),
+                );
+                self.log_event(&format!(
+                    "state service slow by up to {max_delay_ms} ms for {ms} ms"
+                ));
                 for node in 0..self.nodes {
                     if self.rng.u8(..3) > 0 {
-                        self.w.troubles.slow_state.insert(node, most);
+                        self.world.troubles.slow_state.insert(node, max_delay_ms);
                     }
                     if self.rng.u8(..3) == 0 {
-                        self.w.troubles.slow_to_state.insert(node, most);
+                        self.world.troubles.slow_to_state.insert(node, max_delay_ms);
                     }
                 }
-                self.end_in(ms, End::Slow);
+                self.schedule(ms, ScheduledAction::EndSlowState);
             }
             13 => {
-                let (node, ms) = (self.victim(), self.between(3_000, 20_000));
-                self.note(&format!("node {node} cut from state and peers for {ms} ms"));
-                self.w.troubles.cut_from_state.insert(node);
-                self.w.silent_peers.insert(node);
-                self.end_in(ms, End::CutNode(node));
-                self.cancel_some();
+                let (node, ms) = (
+                    self.random_node_mostly_leader(),
+                    self.random_between(3_000, 20_000),
+                );
+                self.log_event(&format!(
+                    "node {node} cut off from state service and peers for {ms} ms"
+                ));
+                self.world.troubles.cut_from_state.insert(node);
+                self.world.silent_peers.insert(node);
+                self.schedule(ms, ScheduledAction::EndIsolation(node));
+                self.request_some_cancellations();
             }
             14 => {
-                let (node, ms) = (self.node(), self.between(1_000, 20_000));
-                self.note(&format!("node {node} cut from peers for {ms} ms"));
-                self.w.silent_peers.insert(node);
-                self.end_in(ms, End::Peers(node));
+                let (node, ms) = (self.random_node(), self.random_between(1_000, 20_000));
+                self.log_event(&format!("node {node} cut off from peers for {ms} ms"));
+                self.world.silent_peers.insert(node);
+                self.schedule(ms, ScheduledAction::ReconnectPeers(node));
             }
             15 => {
-                self.note("frames lost");
+                self.log_event("frames lost");
                 for _ in 0..3 {
-                    let link = (self.node(), self.node());
-                    let ms = self.between(100, 3_000);
-                    self.w.troubles.lost_frames.insert(link, now + ms);
+                    let link = (self.random_node(), self.random_node());
+                    let ms = self.random_between(100, 3_000);
+                    self.world.troubles.lost_frames.insert(link, now + ms);
                 }
             }
-            16 | 17 => self.machine_trouble(),
+            16 | 17 => self.inject_machine_faults(),
             18 => {
-                let (share, ms) = (self.rng.f64() * 0.5, self.between(5_000, 30_000));
+                let (share, ms) = (self.rng.f64() * 0.5, self.random_between(5_000, 30_000));
                 let to = *self
                     .rng
                     .choice(&[CopyTo::Same, CopyTo::Any, CopyTo::NextLeader])
                     .expect("some");
-                self.note(&format!(
-                    "{share:.2} of reports copied to {to:?} for {ms} ms"
+                self.log_event(&format!(
+                    "{share:.2} of reports duplicated to {to:?} for {ms} ms"
                 ));
-                self.w.troubles.late_reports = Some((share, to));
-                self.end_in(ms, End::LateReports);
+                self.world.troubles.late_reports = Some((share, to));
+                self.schedule(ms, ScheduledAction::EndReportCopies);
             }
             19 => {
-                let (node, ms) = (self.victim(), self.between(500, 20_000));
-                self.note(&format!("node {node} frozen for {ms} ms"));
-                self.w.troubles.frozen.insert(node, now + ms);
+                let (node, ms) = (
+                    self.random_node_mostly_leader(),
+                    self.random_between(500, 20_000),
+                );
+                self.log_event(&format!("node {node} frozen for {ms} ms"));
+                self.world.troubles.frozen.insert(node, now + ms);
             }
             20 => {
-                let (node, ms) = (self.victim(), self.between(5_000, 25_000));
+                let (node, ms) = (
+                    self.random_node_mostly_leader(),
+                    self.random_between(5_000, 25_000),
+                );
                 let zone = if self.rng.bool() { "a" } else { "b" };
-                self.note(&format!("zone {zone} cut off with node {node} for {ms} ms"));
-                let there = self.w.workers.values_mut().filter(|w| w.zone == zone);
-                let names = there.map(|w| {
-                    w.only = Some(node);
-                    w.name.clone()
+                self.log_event(&format!("zone {zone} cut off with node {node} for {ms} ms"));
+                let there = self
+                    .world
+                    .workers
+                    .values_mut()
+                    .filter(|worker| worker.zone == zone);
+                let names = there.map(|worker| {
+                    worker.only = Some(node);
+                    worker.name.clone()
                 });
                 let names = names.collect();
-                self.w.troubles.cut_from_state.insert(node);
-                self.w.silent_peers.insert(node);
-                self.end_in(ms, End::CutNode(node));
-                self.end_in(ms, End::Machines(names));
+                self.world.troubles.cut_from_state.insert(node);
+                self.world.silent_peers.insert(node);
+                self.schedule(ms, ScheduledAction::EndIsolation(node));
+                self.schedule(ms, ScheduledAction::ReconnectMachines(names));
             }
             21 => {
-                self.note("machines die or are taken");
-                for name in self.machines().into_iter().take(3) {
+                self.log_event("machines fail or are reclaimed");
+                for name in self.random_machines().into_iter().take(3) {
                     if self.rng.bool() {
-                        self.w.workers.remove(&name);
-                    } else if let Some(w) = self.w.workers.get_mut(&name) {
-                        w.taken_at = Some(now + 15_000);
+                        self.world.workers.remove(&name);
+                    } else if let Some(worker) = self.world.workers.get_mut(&name) {
+                        worker.taken_at = Some(now + 15_000);
                     }
-                    self.w.capacity += 1;
+                    self.world.capacity += 1;
                 }
             }
-            22 => self.cancel_some(),
+            22 => self.request_some_cancellations(),
             _ => {
-                self.note("one-task jobs in quick succession");
+                self.log_event("one-task jobs in quick succession");
                 self.burst_until = now + 8_000;
             }
         }
     }
 
-    fn machine_trouble(&mut self) {
-        let (now, ms) = (self.w.now, self.between(2_000, 25_000));
-        let (names, kind) = (self.machines(), self.rng.u8(..5));
-        let what = ["unreached", "mute", "hung", "cut", "held"][usize::from(kind)];
-        self.note(&format!("{what} for {ms} ms: {names:?}"));
+    fn inject_machine_faults(&mut self) {
+        let (now, ms) = (self.world.now, self.random_between(2_000, 25_000));
+        let (names, kind) = (self.random_machines(), self.rng.u8(..5));
+        let what = [
+            "receiving nothing",
+            "reports lost",
+            "hung",
+            "cut off",
+            "messages delayed",
+        ][usize::from(kind)];
+        self.log_event(&format!("{what} for {ms} ms: {names:?}"));
         for name in &names {
-            let Some(w) = self.w.workers.get_mut(name) else {
+            let Some(worker) = self.world.workers.get_mut(name) else {
                 continue;
             };
             match kind {
-                0 => w.one_way = true,
-                1 => w.mute = true,
-                2 => w.hung_until = now + ms,
-                3 => w.cut_until = now + ms,
+                0 => worker.one_way = true,
+                1 => worker.mute = true,
+                2 => worker.hung_until = now + ms,
+                3 => worker.cut_until = now + ms,
                 _ => {
-                    let held = &mut self.w.troubles.delayed_orders;
-                    held.insert(name.clone(), now + ms / 2);
+                    let delayed = &mut self.world.troubles.delayed_orders;
+                    delayed.insert(name.clone(), now + ms / 2);
                 }
             }
         }
         if kind < 2 {
-            self.end_in(ms, End::Machines(names));
+            self.schedule(ms, ScheduledAction::ReconnectMachines(names));
         }
         if self.rng.u8(..3) == 0 {
-            self.cancel_some();
+            self.request_some_cancellations();
         }
     }
 
-    fn cancel_some(&mut self) {
-        self.note("jobs called off");
-        let now = self.w.now;
-        let open = |j: &&mut Job| j.cancel_at == u64::MAX && !j.refused;
+    fn request_some_cancellations(&mut self) {
+        self.log_event("cancellations requested");
+        let now = self.world.now;
+        let open = |job: &&mut UserJob| job.cancel_at == u64::MAX && !job.rejected;
         for job in self.jobs.iter_mut().filter(open) {
             if self.rng.u8(..10) == 0 {
                 job.cancel_at = now + self.rng.u64(..200);
@@ -341,47 +400,50 @@
         }
     }
 
-    fn end(&mut self, end: End) {
-        match end {
-            End::Start(node) => {
-                if self.w.is_down(node) {
-                    self.w.start(node);
+    fn perform(&mut self, action: ScheduledAction) {
+        match action {
+            ScheduledAction::RestartNode(node) => {
+                if self.world.is_down(node) {
+                    self.world.start(node);
                 }
             }
-            End::Outage => self.w.state_down = false,
-            End::Refused(node) => {
-                self.w.refused.remove(&node);
-            }
-            End::CutNode(node) => {
-                self.w.troubles.cut_from_state.remove(&node);
-                self.w.silent_peers.remove(&node);
-            }
-            End::Leader => {
-                let (node, pause) = (self.victim(), self.between(0, 4_000));
-                self.w.crash(node);
-                self.end_in(pause, End::Start(node));
-            }
-            End::Peers(node) => {
-                self.w.silent_peers.remove(&node);
-            }
-            End::LateTxns => self.w.troubles.late_txns = 0.0,
-            End::LostAnswers => self.w.troubles.lost_answers = 0.0,
-            End::Slow => {
-                self.w.troubles.slow_state.clear();
-                self.w.troubles.slow_to_state.clear();
-            }
-            End::LateReports => self.w.troubles.late_reports = None,
-            End::Machines(names) => {
+            ScheduledAction::EndOutage => self.world.state_down = false,
+            ScheduledAction::EndRefusal(node) => {
+                self.world.refused.remove(&node);
+            }
+            ScheduledAction::EndIsolation(node) => {
+                self.world.troubles.cut_from_state.remove(&node);
+                self.world.silent_peers.remove(&node);
+            }
+            ScheduledAction::CrashLeader => {
+                let (node, pause) = (
+                    self.random_node_mostly_leader(),
+                    self.random_between(0, 4_000),
+                );
+                self.world.crash(node);
+                self.schedule(pause, ScheduledAction::RestartNode(node));
+            }
+            ScheduledAction::ReconnectPeers(node) => {
+                self.world.silent_peers.remove(&node);
+            }
+            ScheduledAction::EndLateTxns => self.world.troubles.late_txns = 0.0,
+            ScheduledAction::EndLostAnswers => self.world.troubles.lost_answers = 0.0,
+            ScheduledAction::EndSlowState => {
+                self.world.troubles.slow_state.clear();
+                self.world.troubles.slow_to_state.clear();
+            }
+            ScheduledAction::EndReportCopies => self.world.troubles.late_reports = None,
+            ScheduledAction::ReconnectMachines(names) => {
                 for name in names {
-                    if let Some(w) = self.w.workers.get_mut(&name) {
-                        (w.one_way, w.mute, w.only) = (false, false, None);
+                    if let Some(worker) = self.world.workers.get_mut(&name) {
+                        (worker.one_way, worker.mute, worker.only) = (false, false, None);
                     }
                 }
             }
         }
     }
 
-    /// A new job of some kind.
+    /// Adds a job of random shape, size, constraints and behaviour; one with a single task in a burst.
     fn new_job(&mut self, burst: bool) {
         let id = format!("run-{}", self.jobs.len() + 1);
         let rng = &mut self.rng;
@@ -432,38 +494,39 @@
             fails: false,
         };
         spec.guess_s = run_ms as f64 / 1000.0;
-        let now = self.w.now;
+        let now = self.world.now;
         let cancel_at = match rng.u8(..10) {
             0 => now,
             1 => now + rng.u64(..1_000),
             2 => now + rng.u64(..30_000),
             _ => u64::MAX,
         };
-        self.w.describe(&spec, behaviour);
-        self.jobs.push(Job {
+        self.world.describe(&spec, behaviour);
+        self.jobs.push(UserJob {
             spec,
-            next_submit: now,
-            gives_up: now + 60_000,
-            refused: false,
-            next_poll: now + rng.u64(..5_000),
+            next_submit_at: now,
+            gives_up_at: now + 60_000,
+            rejected: false,
+            next_poll_at: now + rng.u64(..5_000),
             cancel_at,
             cancel_at_end: rng.u8(..8) == 0,
-            looked: (false, None),
+            last_seen: (false, None),
         });
     }
 
-    /// Users ask for what can't be, and call off what is done.
-    fn odd_requests(&mut self) {
-        let node = self.node();
+    /// Sends one unusual request: a status query or cancellation of an unknown job, a submission that must be rejected,
+    /// or the cancellation of a job that is done.
+    fn send_unusual_request(&mut self) {
+        let node = self.random_node();
         let id = format!("run-{}", 9_000 + self.rng.u64(..1_000));
         match self.rng.u8(..4) {
-            0 => self.look(node, &id),
+            0 => self.query_status(node, &id),
             1 => {
                 let abort = format!("/submissions/{id}/abort");
-                self.w.send(node, "POST", &abort, vec![]);
+                self.world.send(node, "POST", &abort, vec![]);
             }
             2 => {
-                let unfit = match self.rng.u8(..3) {
+                let submission = match self.rng.u8(..3) {
                     0 => Submission {
                         gpus: 5.0,
                         ..array(&id, 1)
@@ -474,206 +537,220 @@
                     },
                     _ => array(&id, 0),
                 };
-                let body = wire::encode(&unfit);
-                let request = self.w.send(node, "POST", "/submissions", body);
-                self.unfit.push(request);
+                let body = wire::encode(&submission);
+                let request = self.world.send(node, "POST", "/submissions", body);
+                self.invalid_submissions.push(request);
             }
             _ => {
-                let done = |j: &&Job| self.w.rules.end(&j.spec.id) == Some(Phase::Done);
-                let done: Vec<&Job> = self.jobs.iter().filter(done).collect();
+                let done = |job: &&UserJob| self.world.rules.end(&job.spec.id) == Some(Phase::Done);
+                let done: Vec<&UserJob> = self.jobs.iter().filter(done).collect();
                 if let Some(job) = self.rng.choice(done) {
                     let abort = format!("/submissions/{}/abort", job.spec.id);
-                    self.w.send(node, "POST", &abort, vec![]);
+                    self.world.send(node, "POST", &abort, vec![]);
                 }
             }
         }
     }
 
-    fn look(&mut self, node: usize, id: &str) {
-        self.w
+    fn query_status(&mut self, node: usize, id: &str) {
+        self.world
             .send(node, "GET", &format!("/submissions/{id}"), vec![]);
     }
 
-    /// Users ask at all nodes at once, and repeat the submission.
-    fn look_closely(&mut self, j: usize) {
+    /// Users query the job at all nodes at once, and repeat its submission at some of them.
+    fn query_all_nodes(&mut self, index: usize) {
         let (id, body) = (
-            self.jobs[j].spec.id.clone(),
-            wire::encode(&self.jobs[j].spec),
+            self.jobs[index].spec.id.clone(),
+            wire::encode(&self.jobs[index].spec),
         );
         for node in 0..self.nodes {
-            self.look(node, &id);
+            self.query_status(node, &id);
             if self.rng.u8(..3) == 0 {
-                self.w.send(node, "POST", "/submissions", body.clone());
+                self.world.send(node, "POST", "/submissions", body.clone());
             }
         }
     }
 
-    /// One moment of the users.
-    fn users(&mut self) {
-        let now = self.w.now;
-        let answered: Vec<(u64, usize)> = self.submits.iter().map(|(r, j)| (*r, *j)).collect();
-        for (request, j) in answered {
-            if let Some((status, _)) = self.w.answer(request) {
-                self.submits.remove(&request);
-                self.jobs[j].refused |= matches!(status, 400 | 422);
+    /// Handles the answers that users have received, and sends the requests that are due.
+    fn act_as_users(&mut self) {
+        let now = self.world.now;
+        let answered: Vec<(u64, usize)> = self
+            .pending_submissions
+            .iter()
+            .map(|(request, index)| (*request, *index))
+            .collect();
+        for (request, index) in answered {
+            if let Some((status, _)) = self.world.answer(request) {
+                self.pending_submissions.remove(&request);
+                self.jobs[index].rejected |= matches!(status, 400 | 422);
             }
         }
-        for request in std::mem::take(&mut self.unfit) {
-            match self.w.answer(request) {
-                Some((200..=299, _)) => self.w.broken.push(format!("accepted_unfit at {now}")),
+        for request in std::mem::take(&mut self.invalid_submissions) {
+            match self.world.answer(request) {
+                Some((200..=299, _)) => self.world.broken.push(format!("accepted_unfit at {now}")),
                 Some(_) => {}
-                None => self.unfit.push(request),
+                None => self.invalid_submissions.push(request),
             }
         }
-        for j in 0..self.jobs.len() {
-            let id = self.jobs[j].spec.id.clone();
-            let accepted = self.w.rules.is_accepted(&id);
-            let end = self.w.rules.end(&id);
-            let job = &self.jobs[j];
-            if job.refused {
+        for index in 0..self.jobs.len() {
+            let id = self.jobs[index].spec.id.clone();
+            let accepted = self.world.rules.is_accepted(&id);
+            let end = self.world.rules.end(&id);
+            let job = &self.jobs[index];
+            if job.rejected {
                 continue;
             }
-            if (accepted, end) != job.looked {
-                self.jobs[j].looked = (accepted, end);
+            if (accepted, end) != job.last_seen {
+                self.jobs[index].last_seen = (accepted, end);
                 if self.rng.u8(..3) > 0 {
-                    self.look_closely(j);
+                    self.query_all_nodes(index);
                 }
             }
-            let job = &self.jobs[j];
-            if !accepted && now >= job.next_submit && now < job.gives_up {
+            let job = &self.jobs[index];
+            if !accepted && now >= job.next_submit_at && now < job.gives_up_at {
                 let body = wire::encode(&job.spec);
-                let node = self.node();
-                let request = self.w.send(node, "POST", "/submissions", body);
-                self.submits.insert(request, j);
-                self.jobs[j].next_submit = now + self.between(1_000, 3_000);
+                let node = self.random_node();
+                let request = self.world.send(node, "POST", "/submissions", body);
+                self.pending_submissions.insert(request, index);
+                self.jobs[index].next_submit_at = now + self.random_between(1_000, 3_000);
             }
             if !accepted || end.is_some() {
                 continue;
             }
-            if self.jobs[j].cancel_at_end && self.nearly_over(j) {
-                self.jobs[j].cancel_at = self.jobs[j].cancel_at.min(now);
+            if self.jobs[index].cancel_at_end && self.have_all_tasks_completed(index) {
+                self.jobs[index].cancel_at = self.jobs[index].cancel_at.min(now);
             }
-            if now >= self.jobs[j].cancel_at {
-                let node = self.node();
-                self.w
+            if now >= self.jobs[index].cancel_at {
+                let node = self.random_node();
+                self.world
                     .send(node, "POST", &format!("/submissions/{id}/abort"), vec![]);
-                self.jobs[j].cancel_at = now + self.between(1_000, 3_000);
+                self.jobs[index].cancel_at = now + self.random_between(1_000, 3_000);
                 if self.rng.bool() {
-                    self.look_closely(j);
+                    self.query_all_nodes(index);
                 }
             }
-            if now >= self.jobs[j].next_poll {
-                let node = self.node();
-                self.look(node, &id);
-                self.jobs[j].next_poll = now + self.between(3_000, 6_000);
+            if now >= self.jobs[index].next_poll_at {
+                let node = self.random_node();
+                self.query_status(node, &id);
+                self.jobs[index].next_poll_at = now + self.random_between(3_000, 6_000);
             }
         }
     }
 
-    /// Whether all tasks of a job have completed, though its user may not know.
-    fn nearly_over(&self, j: usize) -> bool {
-        let spec = &self.jobs[j].spec;
+    /// Whether all tasks of a job have completed, although its user may not know it yet.
+    fn have_all_tasks_completed(&self, index: usize) -> bool {
+        let spec = &self.jobs[index].spec;
         let mut tasks = 0..spec.tasks;
-        tasks.all(|n| self.w.rules.has_completed(&format!("{}/{n}", spec.id)))
+        tasks.all(|n| self.world.rules.has_completed(&format!("{}/{n}", spec.id)))
     }
 
-    /// Time passes, with users at work.
-    fn step_users(&mut self, ms: u64) {
-        let until = self.w.now + ms;
-        while self.w.now < until {
-            self.w.run(20);
-            self.users();
+    /// Advances the time while users act every 20 ms.
+    fn run_with_users(&mut self, ms: u64) {
+        let until = self.world.now + ms;
+        while self.world.now < until {
+            self.world.run(20);
+            self.act_as_users();
         }
     }
 
-    fn play(&mut self) {
-        let over = self.w.now + TROUBLED_MS;
-        let mut next_trouble = self.w.now + 8_000;
-        while self.w.now < over {
-            self.step_users(20);
-            let now = self.w.now;
-            let (due, later) = std::mem::take(&mut self.ends)
+    fn run(&mut self) {
+        let faults_end_at = self.world.now + FAULT_PHASE_MS;
+        let mut next_fault_at = self.world.now + 8_000;
+        while self.world.now < faults_end_at {
+            self.run_with_users(20);
+            let now = self.world.now;
+            let (due, later) = std::mem::take(&mut self.scheduled)
                 .into_iter()
                 .partition(|(at, _)| now >= *at);
-            self.ends = later;
-            for (_, end) in due {
-                self.end(end);
+            self.scheduled = later;
+            for (_, action) in due {
+                self.perform(action);
             }
             if self.rng.u8(..100) == 0 {
-                self.odd_requests();
+                self.send_unusual_request();
             }
             let burst = now < self.burst_until;
-            if now >= self.next_new && self.jobs.len() < 90 {
+            if now >= self.next_job_at && self.jobs.len() < 90 {
                 self.new_job(burst);
-                self.next_new = now + if burst { 250 } else { self.between(200, 4_000) };
+                self.next_job_at = now
+                    + if burst {
+                        250
+                    } else {
+                        self.random_between(200, 4_000)
+                    };
             }
-            if now >= next_trouble {
-                self.trouble();
-                next_trouble = self.w.now + self.between(200, 9_000);
+            if now >= next_fault_at {
+                self.inject_fault();
+                next_fault_at = self.world.now + self.random_between(200, 9_000);
             }
         }
-        self.note("all troubles are over");
-        self.w.heal();
-        let healed = self.w.now;
+        self.log_event("all faults are over");
+        self.world.heal();
+        let recovery_start = self.world.now;
         for job in &mut self.jobs {
-            job.gives_up = 0;
+            job.gives_up_at = 0;
         }
-        let mut progress = (0, healed);
-        while self.w.now < progress.1 + STUCK_MS {
-            self.step_users(500);
-            let completions = self.w.rules.completions();
-            if completions > progress.0 {
-                progress = (completions, self.w.now);
-            }
-            if self.w.now > healed + WATCHED_MS && self.unfinished().is_empty() {
+        let (mut completed_tasks, mut last_progress_at) = (0, recovery_start);
+        while self.world.now < last_progress_at + NO_PROGRESS_TIMEOUT_MS {
+            self.run_with_users(500);
+            let completions = self.world.rules.completions();
+            if completions > completed_tasks {
+                (completed_tasks, last_progress_at) = (completions, self.world.now);
+            }
+            if self.world.now > recovery_start + MIN_RECOVERY_MS && self.unfinished().is_empty() {
                 break;
             }
         }
-        for j in 0..self.jobs.len() {
-            if self.w.rules.is_accepted(&self.jobs[j].spec.id) {
-                self.look_closely(j);
+        for index in 0..self.jobs.len() {
+            if self.world.rules.is_accepted(&self.jobs[index].spec.id) {
+                self.query_all_nodes(index);
             }
-            self.w.run(100);
+            self.world.run(100);
         }
-        self.w.run(2_000);
+        self.world.run(2_000);
     }
 
-    /// Accepted jobs that nobody called off and that are not done.
+    /// Ids of accepted jobs that are not done and whose cancellation nobody requested.
     fn unfinished(&self) -> Vec<String> {
-        let ids = self.jobs.iter().map(|j| &j.spec.id);
+        let ids = self.jobs.iter().map(|job| &job.spec.id);
         let open = |id: &&String| {
-            let r = &self.w.rules;
-            r.is_accepted(id) && !r.is_called_off(id) && r.end(id) != Some(Phase::Done)
+            let rules = &self.world.rules;
+            rules.is_accepted(id) && !rules.is_called_off(id) && rules.end(id) != Some(Phase::Done)
         };
         ids.filter(open).cloned().collect()
     }
 
-    /// Something that differs as soon as anything went differently.
+    /// Figures that differ between two runs as soon as any event differs.
     fn fingerprint(&self) -> (u64, u64, u64, u64) {
-        let w = &self.w;
-        (w.now, w.ticks, w.state.requests, w.state.writes)
+        let world = &self.world;
+        (
+            world.now,
+            world.ticks,
+            world.state.requests,
+            world.state.writes,
+        )
     }
 }
 
-/// What went wrong with a seed.
-fn play(seed: u64) -> Option<String> {
+/// Runs a seed, and describes what went wrong, if anything.
+fn run_seed(seed: u64) -> Option<String> {
     let mut scenario = Scenario::new(seed);
-    scenario.play();
+    scenario.run();
     let unfinished = scenario.unfinished();
-    let (broken, late) = (&scenario.w.broken, &scenario.w.rules.late_starts);
+    let (broken, late) = (&scenario.world.broken, &scenario.world.rules.late_starts);
     if std::env::var("SEED").is_ok() {
         let count = |is: &dyn Fn(&str) -> bool| {
-            let ids = scenario.jobs.iter().map(|j| j.spec.id.as_str());
+            let ids = scenario.jobs.iter().map(|job| job.spec.id.as_str());
             ids.filter(|id| is(id)).count()
         };
-        let r = &scenario.w.rules;
+        let rules = &scenario.world.rules;
         println!(
             "{}{} jobs, {} accepted, {} done, {} cancelled, late starts {late:?}",
             scenario.log,
             scenario.jobs.len(),
-            count(&|id| r.is_accepted(id)),
-            count(&|id| r.end(id) == Some(Phase::Done)),
-            count(&|id| r.end(id) == Some(Phase::Aborted)),
+            count(&|id| rules.is_accepted(id)),
+            count(&|id| rules.end(id) == Some(Phase::Done)),
+            count(&|id| rules.end(id) == Some(Phase::Aborted)),
         );
     }
     if broken.is_empty() && unfinished.is_empty() {
@@ -685,22 +762,22 @@
     ))
 }
 
-fn variable(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 #[test]
-fn troubles_meet_and_no_rule_is_broken() {
-    let seeds = match variable("SEED") {
+fn combined_random_faults_break_no_rule() {
+    let seeds = match env_number("SEED") {
         Some(seed) => seed..seed + 1,
         None => {
-            let from = variable("FROM").unwrap_or(1);
-            from..from + variable("SEEDS").unwrap_or(SEEDS)
+            let from = env_number("FROM").unwrap_or(1);
+            from..from + env_number("SEEDS").unwrap_or(DEFAULT_SEED_COUNT)
         }
     };
     let mut failed = Vec::new();
     for seed in seeds {
-        if let Some(why) = play(seed) {
+        if let Some(why) = run_seed(seed) {
             println!("{why}");
             failed.push(seed);
         }
@@ -710,10 +787,10 @@
 
 #[test]
 fn a_seed_replays_exactly() {
-    let prints = [(); 2].map(|()| {
+    let runs = [(); 2].map(|()| {
         let mut scenario = Scenario::new(5);
-        scenario.play();
-        (scenario.fingerprint(), scenario.log, scenario.w.broken)
+        scenario.run();
+        (scenario.fingerprint(), scenario.log, scenario.world.broken)
     });
-    assert_eq!(prints[0], prints[1]);
+    assert_eq!(runs[0], runs[1]);
 }
--- a/crates/control/tests/node_wakeup.rs
+++ b/crates/control/tests/node_wakeup.rs
@@ -49,7 +49,7 @@
 fn a_woken_leader_starts_nothing_of_a_job_cancelled_while_it_stood_still() {
     for freeze_ms in [1_500, 2_000, 2_600, 3_500] {
         for offset in 0..24 {
-            let mut w = world(3, 4, 0.0);
+            let mut w = start_cluster(3, 4, 0.0);
             let leader = w.leader().expect("leader");
             let [first, second] = others(leader);
             // Renewals are answered late too.
@@ -57,7 +57,7 @@
             let slow_ms = if offset < 10 { 0 } else { 400 };
             w.troubles.slow_state.insert(leader, slow_ms);
             assert_eq!(
-                w.submit(first, &whole_machines("run-1", 4), runs(LONG_MS)),
+                w.submit(first, &whole_machines("run-1", 4), runs_for(LONG_MS)),
                 201
             );
             w.run(10 * (offset % 12));
@@ -73,7 +73,7 @@
             );
             w.run(15_000);
             assert!(w.on_machines("run-1").is_empty());
-            clean(&w);
+            assert_no_violations(&w);
         }
     }
 }
@@ -92,10 +92,10 @@
 #[test]
 fn replies_that_waited_vouch_for_nothing_later_than_their_sending() {
     for (freeze_ms, offset) in [(8_000, 0), (8_000, 1_000), (8_000, 2_000), (4_000, 500)] {
-        let mut w = world(3, 2, 0.0);
+        let mut w = start_cluster(3, 2, 0.0);
         let leader = w.leader().expect("leader");
         let [first, second] = others(leader);
-        assert_eq!(w.submit(first, &array("run-1", 8), runs(LONG_MS)), 201);
+        assert_eq!(w.submit(first, &array("run-1", 8), runs_for(LONG_MS)), 201);
         assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 8));
         bind_workers(&mut w, leader);
         w.run(2_200 + offset);
@@ -113,7 +113,7 @@
         assert_eq!(w.on_machines("run-1").len(), 8, "not ended so far, {at}");
         w.run(40_000);
         assert!(w.on_machines("run-1").is_empty(), "{at}");
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -122,7 +122,7 @@
 #[test]
 fn a_woken_follower_sends_no_worker_to_a_former_leader() {
     for offset in 0..8 {
-        let mut w = world(3, 0, 0.0);
+        let mut w = start_cluster(3, 0, 0.0);
         let old = w.leader().expect("leader");
         let [first, _] = others(old);
         // The answer takes some time, so that it is on its way when the freeze begins.
@@ -142,7 +142,7 @@
         let (status, body) = w.answer(sent).expect("an answer");
         let named = wire::decode::<Redirect>(&body).ok().and_then(|e| e.leader);
         assert_eq!((status, named), (421, None), "offset {offset}");
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -159,19 +159,19 @@
     ];
     for (freeze_ms, frozen) in frozen {
         for offset in [0, 1, 3, 6] {
-            let mut w = world(3, 2, 0.0);
+            let mut w = start_cluster(3, 2, 0.0);
             let leader = w.leader().expect("leader");
             let [first, second] = others(leader);
             let node = match frozen {
                 Frozen::Leader => leader,
                 Frozen::Follower | Frozen::Forwarding => first,
             };
-            assert_eq!(w.submit(second, &array("run-1", 1), runs(LONG_MS)), 201);
+            assert_eq!(w.submit(second, &array("run-1", 1), runs_for(LONG_MS)), 201);
             if frozen == Frozen::Forwarding {
                 w.refused.insert(node);
             }
             w.run(4_000);
-            w.describe(&array("run-2", 1), runs(LONG_MS));
+            w.describe(&array("run-2", 1), runs_for(LONG_MS));
             let body = wire::encode(&array("run-2", 1));
             let poll = w.send(node, "GET", "/submissions/run-1", vec![]);
             let creation = w.send(node, "POST", "/submissions", body);
@@ -201,9 +201,9 @@
             w.refused.clear();
             w.run(2_000);
             assert_eq!(w.phase(node, "run-1"), Some(Phase::Aborted), "{at}");
-            let again = w.submit(node, &array("run-2", 1), runs(LONG_MS));
+            let again = w.submit(node, &array("run-2", 1), runs_for(LONG_MS));
             assert!(matches!(again, 200 | 201), "{at}: {again}");
-            clean(&w);
+            assert_no_violations(&w);
         }
     }
 }
@@ -219,10 +219,13 @@
         (65_000, false, false),
         (65_000, false, true),
     ] {
-        let mut w = world(3, 6, 0.0);
+        let mut w = start_cluster(3, 6, 0.0);
         w.capacity = 6;
         let leader = w.leader().expect("leader");
-        assert_eq!(w.submit(leader, &array("run-1", 24), runs(LONG_MS)), 201);
+        assert_eq!(
+            w.submit(leader, &array("run-1", 24), runs_for(LONG_MS)),
+            201
+        );
         assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 24));
         let before = machine_names(&w);
         w.state_down = true;
@@ -246,7 +249,7 @@
         let gone = w.workers.get_mut("vm-000000").expect("worker");
         gone.cut_until = u64::MAX;
         assert!(w.until(60_000, |w| !w.workers.contains_key("vm-000000")));
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -255,8 +258,8 @@
 #[test]
 fn freezes_that_straddle_elections_cancellations_and_completions_break_no_rule() {
     for freeze_ms in [2_000, 3_200, 20_000, 61_000] {
-        let mut w = world(3, 12, 0.0);
-        assert_eq!(w.submit(0, &array("run-1", 12), runs(LONG_MS)), 201);
+        let mut w = start_cluster(3, 12, 0.0);
+        assert_eq!(w.submit(0, &array("run-1", 12), runs_for(LONG_MS)), 201);
         assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 12));
         let mut before = w.on_machines("run-1");
         before.sort();
@@ -264,8 +267,11 @@
             let leader = w.leader().expect("leader");
             let [first, second] = others(leader);
             let (short, called_off) = (format!("run-{round}1"), format!("run-{round}2"));
-            assert_eq!(w.submit(first, &array(&short, 6), runs(3_000)), 201);
-            assert_eq!(w.submit(leader, &array(&called_off, 6), runs(LONG_MS)), 201);
+            assert_eq!(w.submit(first, &array(&short, 6), runs_for(3_000)), 201);
+            assert_eq!(
+                w.submit(leader, &array(&called_off, 6), runs_for(LONG_MS)),
+                201
+            );
             w.run(150 + 900 * round);
             freeze(&mut w, leader, freeze_ms);
             w.run(1_000);
@@ -281,6 +287,6 @@
         after.sort();
         assert_eq!(after, before, "healthy tasks went on, {freeze_ms}");
         assert!(w.rules.late_starts.is_empty(), "{:?}", w.rules.late_starts);
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
--- a/crates/control/tests/one_sided_cuts.rs
+++ b/crates/control/tests/one_sided_cuts.rs
@@ -43,7 +43,7 @@
 /// Submits a job wherever it is taken, as users do.
 fn submit_anywhere(w: &mut World, id: &str, run_ms: u64) {
     let accepted = (0..30).any(|n| {
-        let status = w.submit(n % 3, &array(id, 2), runs(run_ms));
+        let status = w.submit(n % 3, &array(id, 2), runs_for(run_ms));
         w.run(300);
         matches!(status, 200 | 201)
     });
@@ -78,9 +78,9 @@
     ];
     for (fault, terms) in faults {
         for of_leader in [true, false] {
-            let mut w = world(3, 4, 0.0);
+            let mut w = start_cluster(3, 4, 0.0);
             let leader = w.leader().expect("leader");
-            assert_eq!(w.submit(leader, &array("run-1", 4), runs(150_000)), 201);
+            assert_eq!(w.submit(leader, &array("run-1", 4), runs_for(150_000)), 201);
             assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 4));
             let node = if of_leader { leader } else { (leader + 1) % 3 };
             let first_term = term(&w);
@@ -101,10 +101,11 @@
             assert!(term(&w) - first_term <= most, "{at}: term {}", term(&w));
             w.heal();
             assert!(
-                done(&mut w, "run-2", 30_000) && done(&mut w, "run-1", 200_000),
+                completes_within(&mut w, "run-2", 30_000)
+                    && completes_within(&mut w, "run-1", 200_000),
                 "{at}"
             );
-            clean(&w);
+            assert_no_violations(&w);
         }
     }
 }
@@ -131,7 +132,7 @@
     ];
     for faults in sets {
         for turn in 0..3 {
-            let mut w = world(3, 4, 0.0);
+            let mut w = start_cluster(3, 4, 0.0);
             let leader = w.leader().expect("leader");
             let first_term = term(&w);
             for (n, fault) in faults.into_iter().enumerate() {
@@ -151,8 +152,8 @@
             w.run(240_000);
             assert_eq!(term(&w), settled, "{at}: back and forth");
             w.heal();
-            assert!(done(&mut w, "run-1", 30_000), "{at}");
-            clean(&w);
+            assert!(completes_within(&mut w, "run-1", 30_000), "{at}");
+            assert_no_violations(&w);
         }
     }
 }
@@ -162,7 +163,7 @@
 #[test]
 fn leaders_do_not_take_turns_while_no_worker_reaches_any_node() {
     for lost in [Cut::Requests, Cut::Answers, Cut::Refused] {
-        let mut w = world(3, 4, 0.0);
+        let mut w = start_cluster(3, 4, 0.0);
         let first_term = term(&w);
         for node in 0..3 {
             cut(&mut w, node, Lacks(Party::Workers, lost));
@@ -175,10 +176,10 @@
         assert!(terms <= 3, "{lost:?}: {terms} terms");
         w.heal();
         submit_anywhere(&mut w, "run-1", 5_000);
-        assert!(done(&mut w, "run-1", 30_000), "{lost:?}");
-        clean(&w);
+        assert!(completes_within(&mut w, "run-1", 30_000), "{lost:?}");
+        assert_no_violations(&w);
     }
-    let mut w = world(3, 0, 0.0);
+    let mut w = start_cluster(3, 0, 0.0);
     let first_term = term(&w);
     w.run(300_000);
     assert_eq!(term(&w), first_term, "without machines");
--- a/crates/control/tests/operations.rs
+++ b/crates/control/tests/operations.rs
@@ -11,12 +11,12 @@
 /// fleet for minutes.
 #[test]
 fn a_guests_idle_time_work_begins_but_does_not_go_before_work_with_deadlines() {
-    let mut w = world(3, 4, 0.0);
+    let mut w = start_cluster(3, 4, 0.0);
     let guest = Submission {
         guess_s: 30.0,
         ..array("run-900", 96)
     };
-    assert_eq!(w.submit(0, &guest, runs(30_000)), 201);
+    assert_eq!(w.submit(0, &guest, runs_for(30_000)), 201);
     w.run(3_000);
     for n in 0..8 {
         let job = Submission {
@@ -24,7 +24,7 @@
             due_s: Some(45.0),
             ..array(&format!("run-{n}"), 6)
         };
-        assert_eq!(w.submit(n % 3, &job, runs(4_000)), 201);
+        assert_eq!(w.submit(n % 3, &job, runs_for(4_000)), 201);
         w.run(4_000);
     }
     // All machines are full of the guest's tasks when they come; what becomes free is theirs.
@@ -33,22 +33,25 @@
     let phases = w.phases(0, &ids);
     let over = phases.iter().filter(|p| **p == Some(Phase::Done)).count();
     assert!(over >= 7, "{phases:?}");
-    assert!(done(&mut w, "run-900", 400_000), "nor does it starve");
-    clean(&w);
+    assert!(
+        completes_within(&mut w, "run-900", 400_000),
+        "nor does it starve"
+    );
+    assert_no_violations(&w);
 }
 
 /// Nothing asked for a round when a job's pause was over: in a quiet world it waited until something else happened.
 #[test]
 fn a_job_goes_on_when_its_pause_is_over_though_nothing_else_happens() {
-    let mut w = world(3, 2, 0.0);
+    let mut w = start_cluster(3, 2, 0.0);
     let job = array("run-1", 1);
     // Its description has not been uploaded yet: the worker refuses the start.
     let body = wire::encode(&job);
     assert_eq!(w.ask(0, "POST", "/submissions", body).0, 201);
     w.run(2_000);
-    w.describe(&job, runs(1_000));
-    assert!(done(&mut w, "run-1", 8_000));
-    clean(&w);
+    w.describe(&job, runs_for(1_000));
+    assert!(completes_within(&mut w, "run-1", 8_000));
+    assert_no_violations(&w);
 }
 
 /// A cut that outlasts a lease delivers, at its end, what was sent before the lease ran out. By its number such a report
@@ -56,8 +59,8 @@
 /// one that is reached.
 #[test]
 fn a_report_held_back_until_its_session_has_ended_changes_nothing() {
-    let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-1", 8), runs(120_000)), 201);
+    let mut w = start_cluster(3, 2, 0.0);
+    assert_eq!(w.submit(0, &array("run-1", 8), runs_for(120_000)), 201);
     w.run(6_000);
     let cut_machine = "vm-000000";
     let now = w.now;
@@ -66,7 +69,9 @@
     let held_back = worker.report(KIND, now);
     assert!(!held_back.tasks.is_empty(), "it runs something");
     let places = |w: &fakes::World| {
-        let all = parts(w).into_iter().flat_map(|part| part.chunk.at);
+        let all = recorded_page_entries(w)
+            .into_iter()
+            .flat_map(|part| part.chunk.at);
         all.filter(|(_, _, machine)| machine == cut_machine).count()
     };
     assert!(w.until(30_000, |w| places(w) == 0), "freed by the lapse");
@@ -77,18 +82,18 @@
     let answer: HeartbeatResponse = wire::decode(&body).expect("answer");
     assert_eq!(answer.orders, vec![], "nothing to stop");
     // The other machine is full of what was started again.
-    assert_eq!(w.submit(0, &array("run-2", 1), runs(1_000)), 201);
+    assert_eq!(w.submit(0, &array("run-2", 1), runs_for(1_000)), 201);
     w.run(2_000);
     assert_eq!(places(&w), 0, "no work for a machine that is cut off");
     w.heal();
-    assert!(done(&mut w, "run-2", 60_000));
-    clean(&w);
+    assert!(completes_within(&mut w, "run-2", 60_000));
+    assert_no_violations(&w);
 }
 
 /// A node that could serve nobody went on telling the load balancer that it was ready.
 #[test]
 fn a_node_cut_off_from_state_service_and_peers_is_not_ready_and_an_outage_takes_nobody_away() {
-    let mut w = world(3, 2, 0.0);
+    let mut w = start_cluster(3, 2, 0.0);
     let ready = |w: &mut fakes::World| -> Vec<u16> {
         let ask = |node| w.ask(node, "GET", "/ready", vec![]).0;
         (0..3).map(ask).collect()
@@ -110,5 +115,5 @@
     assert_eq!(ready(&mut w), [200; 3], "an outage for all");
     w.state_down = false;
     w.run(5_000);
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/partitions.rs
+++ b/crates/control/tests/partitions.rs
@@ -139,7 +139,7 @@
     let job = array(id, 4 * MACHINES as u64);
     let accepted = |w: &mut World| {
         let node = running(w);
-        w.submit(node, &job, runs(run_ms)) == 201
+        w.submit(node, &job, runs_for(run_ms)) == 201
     };
     assert!(w.until(10_000, accepted), "{id} is accepted");
 }
@@ -192,7 +192,7 @@
 fn ends_well(w: &mut World, done: &[&str], cancelled: &[&str]) {
     jobs_end_well(w, done, cancelled);
     assert!(w.until(SPREAD_MS * 8, |w| is_spread(w)), "{:?}", shares(w));
-    clean(w);
+    assert_no_violations(w);
 }
 
 /// Every job ends as it should, and no rule was broken.
@@ -208,7 +208,7 @@
     for id in cancelled {
         assert_eq!(outcome(w, id), Some(Final::Aborted), "{id}");
     }
-    clean(w);
+    assert_no_violations(w);
 }
 
 /// No start was executed clearly after its job's cancellation was confirmed.
@@ -275,9 +275,9 @@
     }
     assert!(w.until(10_000, |w| w.leader().is_some()));
     fill(&mut w, "run-1", 20_000);
-    assert!(done(&mut w, "run-1", 120_000));
+    assert!(completes_within(&mut w, "run-1", 120_000));
     assert_eq!(steady(&w), 0);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// A partition moves while a gang gathers whose tasks are on machines of its old, new and other owners.
@@ -289,7 +289,7 @@
         let behaviour = Behaviour {
             gang: 6,
             fetch_ms: 900,
-            ..runs(20_000)
+            ..runs_for(20_000)
         };
         assert_eq!(w.submit(0, &job, behaviour), 201);
         w.run(offset);
@@ -548,7 +548,7 @@
         assert_eq!(answered, Some(JobPhase::Aborted));
         w.state_down = true;
         w.run(60_000);
-        clean(&w);
+        assert_no_violations(&w);
         ends_well(&mut w, &[], &["run-1"]);
         has_no_late_start(&w);
     }
@@ -566,7 +566,7 @@
         let id = format!("run-{}", 100 + number);
         let mut job = array(&id, 2);
         job.priority = wire::users::Priority::Critical;
-        assert_eq!(w.submit(follower, &job, runs(8_000)), 201);
+        assert_eq!(w.submit(follower, &job, runs_for(8_000)), 201);
         w.run(60 + 20 * number);
         w.refused.insert(leader);
         w.run(2_200);
@@ -578,7 +578,7 @@
     }
     assert!(slowest < 7_000, "{slowest} ms until the start");
     w.heal();
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -595,7 +595,7 @@
             let mut job = array(&id, 3);
             job.priority = wire::users::Priority::Critical;
             let node = running(&w);
-            assert_eq!(w.submit(node, &job, runs(2_000)), 201);
+            assert_eq!(w.submit(node, &job, runs_for(2_000)), 201);
             for machine in w.workers.values_mut() {
                 machine.lose_answers = u32::from(number % 3 == 0);
             }
@@ -763,7 +763,7 @@
     assert_ne!(recorded(&w)[0].0, "n1");
     w.start(1);
     assert!(w.until(120_000, |w| recorded(w)[0].0 == "n1"));
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Where not all controllers have announced partitions, nobody is granted any, and everything goes on.
@@ -805,7 +805,7 @@
     assert_eq!(w.state.version(&key), version);
     assert!((0..3).all(|n| granted(&w, n) == 0));
     assert_eq!(w.workers.values().filter(|m| m.incarnation > 1).count(), 0);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Shares move again and again under load, with controllers that end; then each job has one outcome.
@@ -905,7 +905,7 @@
     };
     let behaviour = Behaviour {
         gang: if is_gang { job.tasks as u32 } else { 0 },
-        ..runs(rng.u64(2_000..40_000))
+        ..runs_for(rng.u64(2_000..40_000))
     };
     let submit = |w: &mut World| {
         let node = running(w);
--- a/crates/control/tests/pipelines.rs
+++ b/crates/control/tests/pipelines.rs
@@ -1,5 +1,5 @@
-//! Scenarios of jobs that need others. The world itself checks at every step that nothing starts too early, and at
-//! every answer that nothing behind a cancelled job is still called open.
+//! Scenarios of jobs with dependencies. The world checks at every step that no job starts before its dependencies are
+//! done, and at every answer that no dependent of a cancelled job is still reported as open.
 
 mod common;
 
@@ -8,30 +8,36 @@
 use wire::records::*;
 use wire::users::{Phase, Priority};
 
-fn started(w: &World, job: &str) -> usize {
-    let all = w.workers.values().flat_map(|m| &m.started);
-    all.filter(|(t, _)| t.split('/').next() == Some(job))
+/// How many task starts of the job the workers have executed.
+fn start_count(world: &World, job: &str) -> usize {
+    let starts = world.workers.values().flat_map(|m| &m.started);
+    starts
+        .filter(|(task, _)| task.split('/').next() == Some(job))
         .count()
 }
 
-/// A chain of jobs, each behind the one before it.
-fn chain(w: &mut World, first: u32, length: u32, run_ms: u64) -> Vec<String> {
+/// Submits a chain of jobs, each of which depends on the one before it.
+fn submit_chain(world: &mut World, first: u32, length: u32, run_ms: u64) -> Vec<String> {
     let ids: Vec<String> = (first..first + length)
         .map(|n| format!("run-{n}"))
         .collect();
     for (n, id) in ids.iter().enumerate() {
         let needs: Vec<&str> = n
             .checked_sub(1)
-            .map(|b| ids[b].as_str())
+            .map(|before| ids[before].as_str())
             .into_iter()
             .collect();
         let mut status = 0;
         for _ in 0..20 {
-            status = w.submit(n % 3, &after(array(id, 1), &needs), runs(run_ms));
+            status = world.submit(
+                n % 3,
+                &with_dependencies(array(id, 1), &needs),
+                runs_for(run_ms),
+            );
             if status == 201 {
                 break;
             }
-            w.run(500);
+            world.run(500);
         }
         assert_eq!(status, 201, "{id}");
     }
@@ -39,44 +45,48 @@
 }
 
 #[test]
-fn a_diamond_runs_in_order_through_a_crash_of_all() {
-    let mut w = world(3, 3, 0.0);
-    assert_eq!(w.submit(0, &array("run-1", 3), runs(3_000)), 201);
+fn a_diamond_of_dependencies_runs_in_order_through_crashes_of_all_nodes() {
+    let mut world = start_cluster(3, 3, 0.0);
+    assert_eq!(world.submit(0, &array("run-1", 3), runs_for(3_000)), 201);
     assert_eq!(
-        w.submit(1, &after(array("run-2", 12), &["run-1"]), runs(3_000)),
+        world.submit(
+            1,
+            &with_dependencies(array("run-2", 12), &["run-1"]),
+            runs_for(3_000)
+        ),
         201
     );
     assert_eq!(
-        w.submit(
+        world.submit(
             2,
-            &after(gang("run-3", 1), &["run-1", "run-1"]),
-            runs(3_000)
+            &with_dependencies(gang("run-3", 1), &["run-1", "run-1"]),
+            runs_for(3_000)
         ),
         201
     );
-    let last = after(array("run-4", 2), &["run-2", "run-3"]);
-    assert_eq!(w.submit(0, &last, runs(1_000)), 201);
+    let last = with_dependencies(array("run-4", 2), &["run-2", "run-3"]);
+    assert_eq!(world.submit(0, &last, runs_for(1_000)), 201);
     for crash_after in [2_000, 4_000, 6_000] {
-        w.run(crash_after);
+        world.run(crash_after);
         for i in 0..3 {
-            w.crash(i);
+            world.crash(i);
         }
         for i in 0..3 {
-            w.start(i);
+            world.start(i);
         }
     }
-    assert!(w.until(60_000, |w| w.phase(1, "run-4") == Some(Phase::Done)));
+    assert!(world.until(60_000, |world| world.phase(1, "run-4") == Some(Phase::Done)));
     for (job, tasks) in [("run-1", 3), ("run-2", 12), ("run-3", 1), ("run-4", 2)] {
-        assert_eq!(started(&w, job), tasks, "{job}");
+        assert_eq!(start_count(&world, job), tasks, "{job}");
     }
-    clean(&w);
+    assert_no_violations(&world);
 }
 
 #[test]
-fn names_are_looked_up_and_a_known_id_is_answered_before_them() {
-    let mut w = world(3, 2, 0.0);
-    let post = |w: &mut World, job: &ciborium::Value| {
-        w.ask(0, "POST", "/submissions", wire::encode(job)).0
+fn dependency_ids_are_looked_up_and_a_known_job_id_is_answered_before_that() {
+    let mut world = start_cluster(3, 2, 0.0);
+    let post = |world: &mut World, job: &ciborium::Value| {
+        world.ask(0, "POST", "/submissions", wire::encode(job)).0
     };
     let with = |id: &str, awaits: ciborium::Value| {
         let mut job = ciborium::Value::serialized(&array(id, 1)).expect("value");
@@ -90,281 +100,341 @@
         ciborium::Value::from("run-1"),
         ciborium::Value::from(vec![ciborium::Value::from(7)]),
     ] {
-        assert_eq!(post(&mut w, &with("run-1", bad)), 400);
+        assert_eq!(post(&mut world, &with("run-1", bad)), 400);
     }
-    // None at all, in three ways.
-    assert_eq!(post(&mut w, &with("run-1", ciborium::Value::Null)), 201);
+    // No dependencies, written as null and as an empty list.
+    assert_eq!(post(&mut world, &with("run-1", ciborium::Value::Null)), 201);
     assert_eq!(
-        post(&mut w, &with("run-2", ciborium::Value::Array(vec![]))),
+        post(&mut world, &with("run-2", ciborium::Value::Array(vec![]))),
         201
     );
-    // Never accepted, itself, and what can't be a job.
+    // An id that was never accepted, the id of the job itself, and texts that are no ids.
     for name in ["run-99", "run-3", "x", ""] {
         assert_eq!(
-            w.submit(1, &after(array("run-3", 1), &["run-1", name]), runs(100)),
+            world.submit(
+                1,
+                &with_dependencies(array("run-3", 1), &["run-1", name]),
+                runs_for(100)
+            ),
             422,
             "{name}"
         );
-        assert_eq!(w.phase(1, "run-3"), None, "nothing is kept of it");
+        assert_eq!(world.phase(1, "run-3"), None, "a rejected job is known");
     }
-    assert!(w.state.keys("j/run-3").is_empty());
-    // A known id is answered, whatever it names now; what the world knows of the job stays as first accepted.
+    assert!(world.state.keys("j/run-3").is_empty());
+    // A repeated submission of a known id is answered, whatever dependencies it names. The world keeps the job as first
+    // accepted.
     for name in ["run-99", "run-2"] {
-        let again = wire::encode(&after(array("run-2", 1), &[name]));
-        assert_eq!(w.ask(2, "POST", "/submissions", again).0, 200);
+        let again = wire::encode(&with_dependencies(array("run-2", 1), &[name]));
+        assert_eq!(world.ask(2, "POST", "/submissions", again).0, 200);
     }
-    w.behaviour.insert("run-2".into(), runs(60_000));
-    // Twice is once, and a job that is over counts as well as one that is open.
-    w.behaviour.insert("run-1".into(), runs(100));
-    assert!(done(&mut w, "run-1", 20_000));
+    world.behaviour.insert("run-2".into(), runs_for(60_000));
+    // A repeated dependency counts once, and a dependency may be over as well as open.
+    world.behaviour.insert("run-1".into(), runs_for(100));
+    assert!(completes_within(&mut world, "run-1", 20_000));
     assert_eq!(
-        w.submit(
+        world.submit(
             2,
-            &after(array("run-4", 1), &["run-1", "run-2", "run-1"]),
-            runs(100)
+            &with_dependencies(array("run-4", 1), &["run-1", "run-2", "run-1"]),
+            runs_for(100)
         ),
         201
     );
-    let record: JobRecord = w.state.read(&job_key("run-4")).expect("recorded");
+    let record: JobRecord = world.state.read(&job_key("run-4")).expect("recorded");
     assert_eq!(record.spec.needs, ["run-1", "run-2"]);
-    // Behind a cancelled job a name never accepted is still none.
-    assert_eq!(w.abort(0, "run-2"), Some(Phase::Aborted));
+    // An unknown dependency is rejected also next to a cancelled one.
+    assert_eq!(world.abort(0, "run-2"), Some(Phase::Aborted));
     for names in [["run-2", "run-99"], ["run-99", "run-2"]] {
         assert_eq!(
-            w.submit(1, &after(array("run-5", 1), &names), runs(100)),
+            world.submit(
+                1,
+                &with_dependencies(array("run-5", 1), &names),
+                runs_for(100)
+            ),
             422
         );
     }
-    // Without the store it is not known whether a name was accepted.
-    w.state_down = true;
-    w.run(100);
+    // Without the state service it is unknown whether an id was accepted.
+    world.state_down = true;
+    world.run(100);
     assert_eq!(
-        w.submit(1, &after(array("run-5", 1), &["run-99"]), runs(100)),
+        world.submit(
+            1,
+            &with_dependencies(array("run-5", 1), &["run-99"]),
+            runs_for(100)
+        ),
         503
     );
-    w.state_down = false;
-    clean(&w);
+    world.state_down = false;
+    assert_no_violations(&world);
 }
 
 #[test]
-fn what_follows_a_cancelled_job_is_cancelled_for_every_node_at_once_though_the_leader_dies() {
+fn every_node_reports_dependents_of_a_cancelled_job_as_cancelled_at_once_also_without_a_leader() {
     for crash in [false, true] {
-        let mut w = world(3, 1, 0.0);
-        let ids = chain(&mut w, 1, 6, 30_000);
-        let fan: Vec<String> = (50..60).map(|n| format!("run-{n}")).collect();
-        for id in &fan {
+        let mut world = start_cluster(3, 1, 0.0);
+        let ids = submit_chain(&mut world, 1, 6, 30_000);
+        let fan_out: Vec<String> = (50..60).map(|n| format!("run-{n}")).collect();
+        for id in &fan_out {
             assert_eq!(
-                w.submit(1, &after(array(id, 1), &[&ids[2]]), runs(1_000)),
+                world.submit(
+                    1,
+                    &with_dependencies(array(id, 1), &[&ids[2]]),
+                    runs_for(1_000)
+                ),
                 201
             );
         }
-        let (leader, other) = (w.leader().expect("leader"), follower(&w));
+        let (leader, other) = (world.leader().expect("leader"), follower(&world));
         if crash {
-            w.crash(leader);
+            world.crash(leader);
         }
-        assert_eq!(w.abort(other, &ids[1]), Some(Phase::Aborted));
-        // Whoever is asked, whether it has ever heard of these jobs or not, and before any cascade.
-        w.crash((0..3).find(|i| *i != leader && *i != other).expect("third"));
-        w.start((0..3).find(|i| *i != leader && *i != other).expect("third"));
-        w.run(200);
+        assert_eq!(world.abort(other, &ids[1]), Some(Phase::Aborted));
+        // Every node gives this answer, also one that has just started and knows none of these jobs, and before the
+        // cancellation of each dependent is recorded.
+        world.crash((0..3).find(|i| *i != leader && *i != other).expect("third"));
+        world.start((0..3).find(|i| *i != leader && *i != other).expect("third"));
+        world.run(200);
         for node in (0..3).filter(|n| !crash || *n != leader) {
-            for id in ids[1..].iter().chain(&fan) {
+            for id in ids[1..].iter().chain(&fan_out) {
                 assert_eq!(
-                    w.phase(node, id),
+                    world.phase(node, id),
                     Some(Phase::Aborted),
                     "{id} at {node}, crash {crash}"
                 );
             }
         }
         assert_ne!(
-            w.phase(other, &ids[0]),
+            world.phase(other, &ids[0]),
             Some(Phase::Aborted),
-            "what is before it goes on"
+            "a dependency of the cancelled job was cancelled"
         );
-        // Submitted behind a cancelled job, or behind one behind it: accepted, and cancelled.
-        let late = after(array("run-80", 1), &[&ids[4], &ids[0]]);
-        assert_eq!(w.submit(other, &late, runs(1_000)), 201);
-        assert_eq!(w.phase(other, "run-80"), Some(Phase::Aborted));
-        let open = |w: &mut World| w.state.keys(JOBS).len() <= 1;
+        // A job submitted with a direct or indirect dependency on a cancelled job is accepted, and cancelled.
+        let late = with_dependencies(array("run-80", 1), &[&ids[4], &ids[0]]);
+        assert_eq!(world.submit(other, &late, runs_for(1_000)), 201);
+        assert_eq!(world.phase(other, "run-80"), Some(Phase::Aborted));
+        let open = |world: &mut World| world.state.keys(JOBS).len() <= 1;
         assert!(
-            w.until(20_000, open),
-            "filed away: {:?}",
-            w.state.keys(JOBS)
+            world.until(20_000, open),
+            "jobs without a final record: {:?}",
+            world.state.keys(JOBS)
         );
-        w.run(40_000);
-        for id in ids[1..].iter().chain(&fan) {
-            assert_eq!(w.phase(other, id), Some(Phase::Aborted));
-            assert_eq!(started(&w, id), 0);
+        world.run(40_000);
+        for id in ids[1..].iter().chain(&fan_out) {
+            assert_eq!(world.phase(other, id), Some(Phase::Aborted));
+            assert_eq!(start_count(&world, id), 0);
         }
-        assert_eq!(w.phase(other, &ids[0]), Some(Phase::Done));
-        clean(&w);
+        assert_eq!(world.phase(other, &ids[0]), Some(Phase::Done));
+        assert_no_violations(&world);
     }
 }
 
-/// The cancelled job can't be filed away while its machine is silent; what follows does not wait for that.
+/// The cancelled job gets no final record while its machine is silent. Its dependents don't wait for that.
 #[test]
-fn what_follows_is_filed_though_the_cancelled_jobs_machine_is_silent() {
-    let mut w = world(3, 1, 0.0);
-    let ids = chain(&mut w, 1, 5, 60_000);
-    w.run(3_000);
-    assert_eq!(w.on_machines(&ids[0]).len(), 1);
-    let now = w.now;
-    for m in w.workers.values_mut() {
+fn dependents_get_final_records_while_the_machine_of_the_cancelled_job_is_silent() {
+    let mut world = start_cluster(3, 1, 0.0);
+    let ids = submit_chain(&mut world, 1, 5, 60_000);
+    world.run(3_000);
+    assert_eq!(world.on_machines(&ids[0]).len(), 1);
+    let now = world.now;
+    for m in world.workers.values_mut() {
         m.cut_until = now + 60_000;
     }
-    assert_eq!(w.abort(0, &ids[0]), Some(Phase::Aborted));
-    assert!(w.until(5_000, |w| w.state.keys(JOBS).len() == 1));
-    assert!(w.until(60_000, |w| w.state.keys(JOBS).is_empty()));
-    clean(&w);
+    assert_eq!(world.abort(0, &ids[0]), Some(Phase::Aborted));
+    assert!(world.until(5_000, |world| world.state.keys(JOBS).len() == 1));
+    assert!(world.until(60_000, |world| world.state.keys(JOBS).is_empty()));
+    assert_no_violations(&world);
 }
 
 #[test]
-fn a_cancellation_answered_done_stops_nothing_and_each_race_has_one_outcome() {
+fn a_cancellation_answered_with_done_cancels_no_dependent_and_each_race_has_one_outcome() {
     let mut outcomes = std::collections::BTreeSet::new();
     for delay in (1_500..2_600).step_by(50) {
-        let mut w = world(3, 1, 0.0);
-        assert_eq!(w.submit(0, &array("run-1", 1), runs(1_500)), 201);
+        let mut world = start_cluster(3, 1, 0.0);
+        assert_eq!(world.submit(0, &array("run-1", 1), runs_for(1_500)), 201);
         assert_eq!(
-            w.submit(1, &after(array("run-2", 1), &["run-1"]), runs(500)),
+            world.submit(
+                1,
+                &with_dependencies(array("run-2", 1), &["run-1"]),
+                runs_for(500)
+            ),
             201
         );
-        w.run(delay);
-        let answer = w.abort(follower(&w), "run-1").expect("answered");
-        // Submitted in the same moment, behind both.
+        world.run(delay);
+        let answer = world.abort(follower(&world), "run-1").expect("answered");
+        // Submitted at the same moment, with both as dependencies.
         assert_eq!(
-            w.submit(2, &after(array("run-3", 1), &["run-1", "run-2"]), runs(500)),
+            world.submit(
+                2,
+                &with_dependencies(array("run-3", 1), &["run-1", "run-2"]),
+                runs_for(500)
+            ),
             201
         );
         let ends = [Some(Phase::Done), Some(Phase::Aborted)];
         assert!(
-            w.until(20_000, |w| ends.contains(&w.phase(0, "run-3"))),
+            world.until(20_000, |world| ends.contains(&world.phase(0, "run-3"))),
             "{delay}"
         );
         for id in ["run-1", "run-2", "run-3"] {
-            assert_eq!(w.phase(1, id), Some(answer), "{id} {delay}");
+            assert_eq!(world.phase(1, id), Some(answer), "{id} {delay}");
         }
-        clean(&w);
+        assert_no_violations(&world);
         outcomes.insert(format!("{answer:?}"));
     }
-    assert_eq!(outcomes.len(), 2, "both outcomes were seen: {outcomes:?}");
+    assert_eq!(
+        outcomes.len(),
+        2,
+        "not both outcomes were seen: {outcomes:?}"
+    );
 }
 
 #[test]
-fn a_chain_of_hundreds_is_answered_and_cancelled_at_its_head() {
-    let mut w = world(3, 1, 0.0);
-    let ids = chain(&mut w, 1_000, 220, 600_000);
-    let wide: Vec<&str> = ids[..100].iter().map(String::as_str).collect();
+fn a_chain_of_hundreds_of_jobs_is_queried_and_cancelled_at_its_head() {
+    let mut world = start_cluster(3, 1, 0.0);
+    let ids = submit_chain(&mut world, 1_000, 220, 600_000);
+    let many_dependencies: Vec<&str> = ids[..100].iter().map(String::as_str).collect();
     assert_eq!(
-        w.submit(0, &after(array("run-7", 1), &wide), runs(100)),
+        world.submit(
+            0,
+            &with_dependencies(array("run-7", 1), &many_dependencies),
+            runs_for(100)
+        ),
         201
     );
-    // A node that has just started knows none of them: each question takes it further.
-    let fresh = follower(&w);
-    w.crash(fresh);
-    w.start(fresh);
+    // A node that has just started knows none of these jobs. Each query lets it read further along the chain.
+    let restarted = follower(&world);
+    world.crash(restarted);
+    world.start(restarted);
     let last = ids[219].clone();
-    assert!(w.until(60_000, |w| w.phase(fresh, &last) == Some(Phase::Queued)));
-    assert!(w.until(60_000, |w| w.phase(fresh, "run-7") == Some(Phase::Queued)));
-    assert_eq!(w.abort(fresh, &ids[0]), Some(Phase::Aborted));
+    assert!(world.until(60_000, |world| world.phase(restarted, &last)
+        == Some(Phase::Queued)));
+    assert!(world.until(60_000, |world| world.phase(restarted, "run-7")
+        == Some(Phase::Queued)));
+    assert_eq!(world.abort(restarted, &ids[0]), Some(Phase::Aborted));
     for node in 0..3 {
-        assert!(w.until(10_000, |w| w.phase(node, &last) == Some(Phase::Aborted)));
+        assert!(world.until(10_000, |world| world.phase(node, &last)
+            == Some(Phase::Aborted)));
     }
-    // The rest follows, within the rate of the state service.
-    assert!(w.until(60_000, |w| w.state.keys(JOBS).is_empty()));
-    assert_eq!(w.state.keys(FINALS).len(), 221);
-    clean(&w);
+    // The other jobs get their final records later, within the rate of the state service.
+    assert!(world.until(60_000, |world| world.state.keys(JOBS).is_empty()));
+    assert_eq!(world.state.keys(FINALS).len(), 221);
+    assert_no_violations(&world);
 }
 
-/// A job that is found neither open nor final may be on its way: it is no reason to begin.
+/// A dependency that has neither an open nor a final record may still be on its way to the records: its dependents must
+/// not start.
 #[test]
-fn what_is_found_nowhere_is_waited_for() {
-    let mut w = world(1, 1, 0.0);
-    let record = JobRecord::new(after(array("run-2", 1), &["run-1"]), 1_700_000_000_000);
-    w.jobs.insert("run-2".into(), record.spec.clone());
-    w.behaviour.insert("run-2".into(), runs(500));
-    w.state.write(&job_key("run-2"), &record, None);
-    w.run(10_000);
-    assert_eq!(started(&w, "run-2"), 0);
-    w.state.write(&final_key("run-1"), &Final::Done, None);
-    assert!(done(&mut w, "run-2", 10_000));
-    clean(&w);
+fn a_dependency_without_any_record_is_waited_for() {
+    let mut world = start_cluster(1, 1, 0.0);
+    let record = JobRecord::new(
+        with_dependencies(array("run-2", 1), &["run-1"]),
+        1_700_000_000_000,
+    );
+    world.jobs.insert("run-2".into(), record.spec.clone());
+    world.behaviour.insert("run-2".into(), runs_for(500));
+    world.state.write(&job_key("run-2"), &record, None);
+    world.run(10_000);
+    assert_eq!(start_count(&world, "run-2"), 0);
+    world.state.write(&final_key("run-1"), &Final::Done, None);
+    assert!(completes_within(&mut world, "run-2", 10_000));
+    assert_no_violations(&world);
 }
 
 #[test]
-fn a_job_that_waits_takes_nothing_of_its_teams_limit() {
-    let mut w = world(3, 2, 4.0);
-    assert_eq!(w.submit(0, &array("run-1", 1), runs(20_000)), 201);
+fn a_job_with_open_dependencies_uses_nothing_of_its_teams_limit() {
+    let mut world = start_cluster(3, 2, 4.0);
+    assert_eq!(world.submit(0, &array("run-1", 1), runs_for(20_000)), 201);
     assert_eq!(
-        w.submit(0, &after(gang("run-2", 1), &["run-1"]), runs(1_000)),
+        world.submit(
+            0,
+            &with_dependencies(gang("run-2", 1), &["run-1"]),
+            runs_for(1_000)
+        ),
         201
     );
-    w.run(2_000);
-    assert_eq!(w.submit(0, &array("run-3", 3), runs(2_000)), 201);
-    assert!(w.until(12_000, |w| w.phase(0, "run-3") == Some(Phase::Done)));
-    assert_eq!(w.phase(0, "run-2"), Some(Phase::Queued));
-    assert!(w.until(40_000, |w| w.phase(0, "run-2") == Some(Phase::Done)));
-    clean(&w);
+    world.run(2_000);
+    assert_eq!(world.submit(0, &array("run-3", 3), runs_for(2_000)), 201);
+    assert!(world.until(12_000, |world| world.phase(0, "run-3") == Some(Phase::Done)));
+    assert_eq!(world.phase(0, "run-2"), Some(Phase::Queued));
+    assert!(world.until(40_000, |world| world.phase(0, "run-2") == Some(Phase::Done)));
+    assert_no_violations(&world);
 }
 
-/// Stages of a pipeline came behind whatever was submitted before them; its last job was late.
+/// Guards against a late last job of a pipeline: its earlier stages ran after all jobs that were submitted before them.
 #[test]
-fn deadline_and_priority_of_the_last_job_reach_back() {
-    let mut w = world(3, 1, 0.0);
-    // The machine has four places; they are taken for a while.
-    assert_eq!(w.submit(0, &array("run-1", 4), runs(9_000)), 201);
-    w.run(3_000);
-    let low = |id: &str| wire::users::Submission {
+fn deadline_and_priority_of_the_last_job_apply_to_its_dependencies() {
+    let mut world = start_cluster(3, 1, 0.0);
+    // The machine has four GPUs; this job takes all of them for a while.
+    assert_eq!(world.submit(0, &array("run-1", 4), runs_for(9_000)), 201);
+    world.run(3_000);
+    let low_priority = |id: &str| wire::users::Submission {
         priority: Priority::Low,
         ..array(id, 4)
     };
-    assert_eq!(w.submit(0, &array("run-2", 4), runs(5_000)), 201);
-    assert_eq!(w.submit(0, &low("run-3"), runs(5_000)), 201);
+    assert_eq!(world.submit(0, &array("run-2", 4), runs_for(5_000)), 201);
+    assert_eq!(
+        world.submit(0, &low_priority("run-3"), runs_for(5_000)),
+        201
+    );
     let last = wire::users::Submission {
         priority: Priority::Urgent,
         due_s: Some(60.0),
-        ..after(array("run-4", 1), &["run-3"])
+        ..with_dependencies(array("run-4", 1), &["run-3"])
     };
-    assert_eq!(w.submit(0, &last, runs(1_000)), 201);
-    assert!(w.until(30_000, |w| w.phase(0, "run-3") == Some(Phase::Done)));
+    assert_eq!(world.submit(0, &last, runs_for(1_000)), 201);
+    assert!(world.until(30_000, |world| world.phase(0, "run-3") == Some(Phase::Done)));
     assert_ne!(
-        w.phase(0, "run-2"),
+        world.phase(0, "run-2"),
         Some(Phase::Done),
-        "it went behind the pipeline"
+        "run-2 was not placed after the pipeline"
     );
-    assert!(w.until(30_000, |w| w.phase(0, "run-4") == Some(Phase::Done)));
-    assert!(w.until(30_000, |w| w.phase(0, "run-2") == Some(Phase::Done)));
-    clean(&w);
+    assert!(world.until(30_000, |world| world.phase(0, "run-4") == Some(Phase::Done)));
+    assert!(world.until(30_000, |world| world.phase(0, "run-2") == Some(Phase::Done)));
+    assert_no_violations(&world);
 }
 
-/// The end of a job, its cancellation and a change of leader within the same second, at every offset.
+/// The end of a job, its cancellation and a change of leader fall into the same second, with offsets 100 ms apart.
 #[test]
-fn a_release_that_races_with_a_takeover_and_a_cancellation_comes_after_the_end_or_never() {
+fn a_release_during_a_takeover_and_a_cancellation_comes_after_the_end_or_never() {
     let mut outcomes = std::collections::BTreeSet::new();
     for delay in (1_400..2_400).step_by(100) {
-        let mut w = world(3, 2, 0.0);
-        assert_eq!(w.submit(0, &array("run-1", 2), runs(1_500)), 201);
+        let mut world = start_cluster(3, 2, 0.0);
+        assert_eq!(world.submit(0, &array("run-1", 2), runs_for(1_500)), 201);
         assert_eq!(
-            w.submit(1, &after(array("run-2", 9), &["run-1"]), runs(500)),
+            world.submit(
+                1,
+                &with_dependencies(array("run-2", 9), &["run-1"]),
+                runs_for(500)
+            ),
             201
         );
         assert_eq!(
-            w.submit(2, &after(gang("run-3", 1), &["run-2"]), runs(500)),
+            world.submit(
+                2,
+                &with_dependencies(gang("run-3", 1), &["run-2"]),
+                runs_for(500)
+            ),
             201
         );
-        w.run(delay);
-        let (leader, other) = (w.leader().expect("leader"), follower(&w));
-        w.crash(leader);
-        let answer = w.abort(other, "run-1").expect("answered");
-        w.start(leader);
-        let over = |w: &mut World| {
-            [Some(Phase::Done), Some(Phase::Aborted)].contains(&w.phase(leader, "run-3"))
+        world.run(delay);
+        let (leader, other) = (world.leader().expect("leader"), follower(&world));
+        world.crash(leader);
+        let answer = world.abort(other, "run-1").expect("answered");
+        world.start(leader);
+        let over = |world: &mut World| {
+            [Some(Phase::Done), Some(Phase::Aborted)].contains(&world.phase(leader, "run-3"))
         };
-        assert!(w.until(60_000, over), "{delay}");
+        assert!(world.until(60_000, over), "{delay}");
         for id in ["run-1", "run-2", "run-3"] {
-            assert_eq!(w.phase(other, id), Some(answer), "{id} {delay}");
+            assert_eq!(world.phase(other, id), Some(answer), "{id} {delay}");
         }
-        clean(&w);
+        assert_no_violations(&world);
         outcomes.insert(format!("{answer:?}"));
     }
-    assert_eq!(outcomes.len(), 2, "both outcomes were seen: {outcomes:?}");
+    assert_eq!(
+        outcomes.len(),
+        2,
+        "not both outcomes were seen: {outcomes:?}"
+    );
 }
--- a/crates/control/tests/staged_upgrades.rs
+++ b/crates/control/tests/staged_upgrades.rs
@@ -112,12 +112,14 @@
             self.next += 1;
             let job = match kind {
                 0 => gang(&id, 2),
-                1 if pipelines => after(array(&id, 2), &[&format!("run-{}", 100 + first)]),
+                1 if pipelines => {
+                    with_dependencies(array(&id, 2), &[&format!("run-{}", 100 + first)])
+                }
                 _ => array(&id, 5),
             };
             let behaviour = fakes::Behaviour {
                 gang: if kind == 0 { 2 } else { 0 },
-                ..runs(3_000)
+                ..runs_for(3_000)
             };
             let accepted = |w: &mut World| {
                 (0..NODES).any(|node| {
@@ -162,7 +164,7 @@
         let twice: Vec<_> = starts.iter().filter(|(_, n)| **n > 1).collect();
         assert!(twice.is_empty(), "{twice:?}");
         assert_eq!(w.workers.len(), 6, "no machine was given back");
-        clean(w);
+        assert_no_violations(w);
     }
 }
 
@@ -413,7 +415,7 @@
     w.run(19_000);
     assert_eq!(finalized(&w), 0, "the restart was 19 s ago");
     assert!(w.until(20_000, |w| finalized(w) == 2), "{:?}", level(&w));
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -422,7 +424,7 @@
     w.run(60_000);
     assert_eq!((active(&w), finalized(&w)), (2, 0));
     assert!(!term(&w).fenced);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -442,7 +444,7 @@
     );
     assert_eq!(w.state.version(LEVEL), version);
     assert_eq!(w.ask(1, "GET", "/ready", vec![]).0, 503);
-    assert_eq!(w.submit(1, &array("run-1", 1), runs(100)), 503);
+    assert_eq!(w.submit(1, &array("run-1", 1), runs_for(100)), 503);
     // It alone is left: it does not lead either.
     w.crash(0);
     w.crash(2);
@@ -528,7 +530,7 @@
     w.start(2);
     assert!(w.until(60_000, |w| active(w) == 2), "{:?}", level(&w));
     assert_eq!(level(&w).pause, None);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -547,7 +549,7 @@
     assert_eq!(finalized(&w), 1);
     // It goes on once that is over.
     assert!(w.until(240_000, |w| finalized(w) == 2), "{:?}", level(&w));
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -648,7 +650,7 @@
     w.run(12_000);
     assert_eq!(w.leader(), None);
     assert_eq!(w.ask(0, "GET", "/ready", vec![]).0, 503);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -672,7 +674,7 @@
     assert!(w.until(10_000, paused), "{:?}", level(&w));
     let forgotten = |w: &mut World| !matches!(level(w).pause, Some(PauseReason::Unknown { .. }));
     assert!(w.until(60_000, forgotten), "{:?}", level(&w));
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Five controllers of level 1, which is final.
@@ -726,7 +728,7 @@
             assert!(w.until(60_000, |w| active(w) == 2), "{:?}", level(&w));
             let elections = term(&w).term - before;
             assert!(elections <= 2, "{order:?} {orderly}: {elections} elections");
-            clean(&w);
+            assert_no_violations(&w);
         }
     }
 }
@@ -777,7 +779,7 @@
         zone: Some("c".into()),
         ..job
     };
-    w.describe(&job, runs(100));
+    w.describe(&job, runs_for(100));
     let newer = NewerJob {
         spec: job,
         at: 1_700_000_000_000,
--- a/crates/control/tests/troubles.rs
+++ b/crates/control/tests/troubles.rs
@@ -1,4 +1,4 @@
-//! Two troubles that meet, a scenario for each such meeting. The world checks every rule at every step.
+//! Scenarios in which two or more faults occur together. The world checks the rules of the protocol at every step.
 
 mod common;
 
@@ -6,59 +6,66 @@
 use fakes::{array, CopyTo, World};
 use wire::users::{Phase, Submission};
 
-/// Asks every node about some jobs at every step for a while, and repeats a submission now and then.
-fn look_closely(w: &mut World, ids: &[&str], ms: u64) {
+/// Queries the status of the jobs at every node every 10 ms for `ms`, and repeats the submission of the first job at
+/// each node every 70 ms.
+fn query_all_nodes(world: &mut World, ids: &[&str], ms: u64) {
     for round in 0..ms / 10 {
         for node in 0..3 {
             for id in ids {
-                w.send(node, "GET", &format!("/submissions/{id}"), vec![]);
+                world.send(node, "GET", &format!("/submissions/{id}"), vec![]);
             }
             if round % 7 == node as u64 {
-                let again = wire::encode(&w.jobs[ids[0]]);
-                w.send(node, "POST", "/submissions", again);
+                let again = wire::encode(&world.jobs[ids[0]]);
+                world.send(node, "POST", "/submissions", again);
             }
         }
-        w.run(10);
+        world.run(10);
     }
 }
 
 #[test]
-fn close_looks_at_all_nodes_never_hear_anything_older() {
+fn queries_at_all_nodes_never_return_an_older_state() {
     for seed in 0..6 {
-        let mut w = world(3, 3, 0.0);
-        w.seed(seed);
-        // Answers of the store take so long that newer ones overtake them.
+        let mut world = start_cluster(3, 3, 0.0);
+        world.seed(seed);
+        // Responses of the state service are delayed so much that newer ones overtake them.
         for (node, ms) in [(0, 0), (1, 300), (2, 120)] {
-            w.troubles.slow_state.insert(node, ms);
+            world.troubles.slow_state.insert(node, ms);
         }
         for id in ["run-1", "run-2", "run-3"] {
-            assert_eq!(w.submit(seed as usize % 3, &array(id, 2), runs(1_500)), 201);
-            look_closely(&mut w, &[id], 100);
+            assert_eq!(
+                world.submit(seed as usize % 3, &array(id, 2), runs_for(1_500)),
+                201
+            );
+            query_all_nodes(&mut world, &[id], 100);
         }
-        w.send(1, "POST", "/submissions/run-3/abort", vec![]);
-        look_closely(&mut w, &["run-3", "run-1", "run-2"], 6_000);
-        w.troubles.slow_state.clear();
-        assert!(done(&mut w, "run-1", 10_000) && done(&mut w, "run-2", 10_000));
-        assert_eq!(w.phase(2, "run-3"), Some(Phase::Aborted));
-        clean(&w);
+        world.send(1, "POST", "/submissions/run-3/abort", vec![]);
+        query_all_nodes(&mut world, &["run-3", "run-1", "run-2"], 6_000);
+        world.troubles.slow_state.clear();
+        assert!(
+            completes_within(&mut world, "run-1", 10_000)
+                && completes_within(&mut world, "run-2", 10_000)
+        );
+        assert_eq!(world.phase(2, "run-3"), Some(Phase::Aborted));
+        assert_no_violations(&world);
     }
 }
 
 #[test]
-fn answers_lost_while_others_read_what_was_written() {
+fn lost_transaction_answers_while_other_nodes_read_what_was_written() {
     for seed in 0..6 {
-        let mut w = world(3, 3, 0.0);
-        w.seed(seed);
-        w.troubles.lost_answers = 0.4;
+        let mut world = start_cluster(3, 3, 0.0);
+        world.seed(seed);
+        world.troubles.lost_answers = 0.4;
         let ids: Vec<String> = (0..6).map(|n| format!("run-{n}")).collect();
         for (n, id) in ids.iter().enumerate() {
-            w.describe(&array(id, 2), runs(2_000));
+            world.describe(&array(id, 2), runs_for(2_000));
             let body = wire::encode(&array(id, 2));
-            // Whoever heard nothing asks elsewhere.
+            // A user without an answer retries at the next node.
             for k in 0..3 {
-                w.send((n + k) % 3, "POST", "/submissions", body.clone());
-                w.run(40);
-                w.send(
+                world.send((n + k) % 3, "POST", "/submissions", body.clone());
+                world.run(40);
+                world.send(
                     (n + k + 1) % 3,
                     "GET",
                     &format!("/submissions/{id}"),
@@ -66,32 +73,32 @@
                 );
             }
             if n % 3 == 0 {
-                w.send(n % 2, "POST", &format!("/submissions/{id}/abort"), vec![]);
+                world.send(n % 2, "POST", &format!("/submissions/{id}/abort"), vec![]);
             }
-            w.run(300);
+            world.run(300);
         }
         for _ in 0..40 {
             for id in &ids {
                 for node in 0..3 {
-                    w.send(node, "GET", &format!("/submissions/{id}"), vec![]);
+                    world.send(node, "GET", &format!("/submissions/{id}"), vec![]);
                 }
             }
-            w.run(250);
+            world.run(250);
         }
-        w.troubles.lost_answers = 0.0;
-        let over = |w: &mut World, id: &String| {
-            w.until(30_000, |w| {
-                matches!(w.phase(0, id), Some(Phase::Done | Phase::Aborted))
+        world.troubles.lost_answers = 0.0;
+        let over = |world: &mut World, id: &String| {
+            world.until(30_000, |world| {
+                matches!(world.phase(0, id), Some(Phase::Done | Phase::Aborted))
             })
         };
-        assert!(ids.iter().all(|id| over(&mut w, id)), "seed {seed}");
-        clean(&w);
+        assert!(ids.iter().all(|id| over(&mut world, id)), "seed {seed}");
+        assert_no_violations(&world);
     }
 }
 
-/// Two teams that may have two and three GPUs.
-fn limited(nodes: usize, machines: usize) -> World {
-    cluster(nodes, machines, |i| {
+/// A cluster with team `t`, limited to four GPUs, and team `u`, limited to three.
+fn cluster_with_gpu_limits(nodes: usize, machines: usize) -> World {
+    start_cluster_with(nodes, machines, |i| {
         let mut s = settings(i, nodes, 0.0);
         s.deployment.teams = vec![team("t", 4.0), team("u", 3.0)];
         s
@@ -99,187 +106,200 @@
 }
 
 #[test]
-fn teams_at_their_limit_while_cancelled_machines_are_cut_off_or_hang_and_the_leader_changes() {
+fn teams_at_their_limit_while_jobs_are_cancelled_machines_fail_and_the_leader_changes() {
     for (cut, hang) in [(true, false), (false, true), (true, true)] {
-        let mut w = limited(3, 6);
+        let mut world = cluster_with_gpu_limits(3, 6);
         for (id, team, tasks) in [("run-1", "t", 4), ("run-2", "u", 3)] {
             assert_eq!(
-                w.submit(0, &of_team(team, array(id, tasks)), runs(60_000)),
+                world.submit(0, &of_team(team, array(id, tasks)), runs_for(60_000)),
                 201
             );
         }
         for (id, team) in [("run-3", "t"), ("run-4", "u")] {
-            assert_eq!(w.submit(1, &of_team(team, array(id, 12)), runs(2_000)), 201);
+            assert_eq!(
+                world.submit(1, &of_team(team, array(id, 12)), runs_for(2_000)),
+                201
+            );
         }
-        assert!(w.until(10_000, |w| w.on_machines("run-1").len() == 4));
-        let old = w.leader().expect("leader");
-        let until = w.now + 9_000;
-        let names: Vec<String> = w.workers.keys().cloned().collect();
+        assert!(world.until(10_000, |world| world.on_machines("run-1").len() == 4));
+        let old = world.leader().expect("leader");
+        let until = world.now + 9_000;
+        let names: Vec<String> = world.workers.keys().cloned().collect();
         for (n, name) in names.iter().enumerate().take(4) {
-            let worker = w.workers.get_mut(name).expect("worker");
+            let worker = world.workers.get_mut(name).expect("worker");
             match n % 2 == 0 {
                 true if cut => worker.cut_until = until,
                 false if hang => worker.hung_until = until,
                 _ => {}
             }
         }
-        let other = follower(&w);
+        let other = follower(&world);
         for id in ["run-1", "run-2"] {
-            w.send(other, "POST", &format!("/submissions/{id}/abort"), vec![]);
+            world.send(other, "POST", &format!("/submissions/{id}/abort"), vec![]);
         }
-        w.run(60);
-        w.crash(old);
-        w.run(2_500);
-        w.start(old);
+        world.run(60);
+        world.crash(old);
+        world.run(2_500);
+        world.start(old);
         for id in ["run-3", "run-4"] {
             assert!(
-                w.until(90_000, |w| w.phase(other, id) == Some(Phase::Done)),
+                world.until(90_000, |world| world.phase(other, id) == Some(Phase::Done)),
                 "{id}"
             );
         }
         for id in ["run-1", "run-2"] {
-            assert_eq!(w.phase(other, id), Some(Phase::Aborted));
+            assert_eq!(world.phase(other, id), Some(Phase::Aborted));
         }
-        clean(&w);
+        assert_no_violations(&world);
     }
 }
 
 #[test]
-fn jobs_cancelled_in_the_seconds_in_which_leadership_changes_hands() {
+fn jobs_cancelled_during_a_change_of_leader() {
     for seed in 0..8 {
-        let mut w = world(3, 4, 0.0);
-        w.seed(seed);
+        let mut world = start_cluster(3, 4, 0.0);
+        world.seed(seed);
         let ids: Vec<String> = (0..8).map(|n| format!("run-{n}")).collect();
         for id in &ids {
-            assert_eq!(w.submit(1, &array(id, 2), runs(600_000)), 201);
+            assert_eq!(world.submit(1, &array(id, 2), runs_for(600_000)), 201);
         }
-        w.run(5_000);
-        let old = w.leader().expect("leader");
+        world.run(5_000);
+        let old = world.leader().expect("leader");
         match seed % 4 {
-            0 => w.crash(old),
+            0 => world.crash(old),
             1 => {
-                w.refused.insert(old);
+                world.refused.insert(old);
             }
             2 => {
-                w.troubles.frozen.insert(old, w.now + 5_000);
+                world.troubles.frozen.insert(old, world.now + 5_000);
             }
             _ => {
-                w.refused.insert(old);
-                w.silent_peers.insert(old);
+                world.refused.insert(old);
+                world.silent_peers.insert(old);
             }
         }
         for (n, id) in ids.iter().enumerate() {
             let node = (old + 1 + n % 2) % 3;
-            w.send(node, "POST", &format!("/submissions/{id}/abort"), vec![]);
-            w.run(30 * (seed + 1) * n as u64 % 900);
+            world.send(node, "POST", &format!("/submissions/{id}/abort"), vec![]);
+            world.run(30 * (seed + 1) * n as u64 % 900);
         }
         if seed % 4 == 0 {
-            w.start(old);
+            world.start(old);
         }
-        w.run(6_000);
-        w.refused.clear();
-        w.silent_peers.clear();
-        w.run(34_000);
+        world.run(6_000);
+        world.refused.clear();
+        world.silent_peers.clear();
+        world.run(34_000);
         for id in &ids {
-            assert!(w.on_machines(id).is_empty(), "{id}, seed {seed}");
-            assert_eq!(w.phase(old, id), Some(Phase::Aborted), "seed {seed}");
+            assert!(world.on_machines(id).is_empty(), "{id}, seed {seed}");
+            assert_eq!(world.phase(old, id), Some(Phase::Aborted), "seed {seed}");
         }
-        assert!(w.rules.late_starts.is_empty(), "{:?}", w.rules.late_starts);
-        clean(&w);
+        assert!(
+            world.rules.late_starts.is_empty(),
+            "{:?}",
+            world.rules.late_starts
+        );
+        assert_no_violations(&world);
     }
 }
 
 #[test]
-fn machines_up_at_once_get_work_while_writes_lag_and_the_leader_ends() {
+fn machines_that_boot_quickly_get_work_while_writes_are_slow_and_the_leader_crashes() {
     for seed in 0..8 {
-        let mut w = world(3, 0, 0.0);
-        w.seed(seed);
-        w.capacity = 6;
-        w.boot_ms = 0..=2_000;
-        w.troubles.slow_to_state = (0..3).map(|n| (n, 700)).collect();
-        w.troubles.late_txns = 0.1;
+        let mut world = start_cluster(3, 0, 0.0);
+        world.seed(seed);
+        world.capacity = 6;
+        world.boot_ms = 0..=2_000;
+        world.troubles.slow_to_state = (0..3).map(|n| (n, 700)).collect();
+        world.troubles.late_txns = 0.1;
         for n in 0..6 {
             let job = array(&format!("run-{n}"), 3);
-            w.describe(&job, runs(8_000));
-            w.send(n % 3, "POST", "/submissions", wire::encode(&job));
-        }
-        w.run(2_500 + 400 * seed);
-        let old = w.leader().expect("leader");
-        w.crash(old);
-        w.run(300);
-        w.start(old);
-        w.run(4_000);
-        if let Some(next) = w.leader() {
-            w.crash(next);
-            w.run(1_000);
-            w.start(next);
-        }
-        w.run(5_000);
-        w.heal();
-        w.run(3_000);
+            world.describe(&job, runs_for(8_000));
+            world.send(n % 3, "POST", "/submissions", wire::encode(&job));
+        }
+        world.run(2_500 + 400 * seed);
+        let old = world.leader().expect("leader");
+        world.crash(old);
+        world.run(300);
+        world.start(old);
+        world.run(4_000);
+        if let Some(next) = world.leader() {
+            world.crash(next);
+            world.run(1_000);
+            world.start(next);
+        }
+        world.run(5_000);
+        world.heal();
+        world.run(3_000);
         for n in 0..6 {
             let job = array(&format!("run-{n}"), 3);
-            w.submit(n % 3, &job, runs(8_000));
-            assert!(done(&mut w, &job.id, 90_000), "{} seed {seed}", job.id);
+            world.submit(n % 3, &job, runs_for(8_000));
+            assert!(
+                completes_within(&mut world, &job.id, 90_000),
+                "{} seed {seed}",
+                job.id
+            );
         }
-        clean(&w);
+        assert_no_violations(&world);
     }
 }
 
-/// Copies of reports of an earlier term reach every node just as a new leader begins: they neither prove that a task is
-/// gone nor that a machine lives.
+/// Copies of reports of an earlier term reach every node just as a new leader takes over. They prove neither that a
+/// task is gone nor that a machine is alive.
 #[test]
-fn an_old_report_reaches_every_node_as_a_new_leader_begins() {
+fn a_copy_of_an_old_report_reaches_every_node_as_a_new_leader_takes_over() {
     for seed in 0..6 {
-        let mut w = limited(3, 5);
-        w.seed(seed);
-        w.troubles.late_reports = Some((1.0, CopyTo::NextLeader));
+        let mut world = cluster_with_gpu_limits(3, 5);
+        world.seed(seed);
+        world.troubles.late_reports = Some((1.0, CopyTo::NextLeader));
         assert_eq!(
-            w.submit(0, &of_team("t", array("run-1", 4)), runs(20_000)),
+            world.submit(0, &of_team("t", array("run-1", 4)), runs_for(20_000)),
             201
         );
         assert_eq!(
-            w.submit(0, &of_team("u", array("run-2", 8)), runs(1_000)),
+            world.submit(0, &of_team("u", array("run-2", 8)), runs_for(1_000)),
             201
         );
-        w.run(1_500 + 300 * seed);
-        let old = w.leader().expect("leader");
-        // Some machines are cut off, so that nothing but the copy tells of them.
-        let until = w.now + 20_000;
-        for worker in w.workers.values_mut().take(2) {
+        world.run(1_500 + 300 * seed);
+        let old = world.leader().expect("leader");
+        // Two machines are cut off, so that only the copies report on them.
+        let until = world.now + 20_000;
+        for worker in world.workers.values_mut().take(2) {
             worker.cut_until = until;
         }
-        w.crash(old);
-        w.run(200 * seed);
-        w.start(old);
+        world.crash(old);
+        world.run(200 * seed);
+        world.start(old);
         let other = (old + 1) % 3;
-        assert!(w.until(120_000, |w| w.phase(other, "run-1") == Some(Phase::Done)));
-        assert!(w.until(60_000, |w| w.phase(other, "run-2") == Some(Phase::Done)));
-        clean(&w);
+        assert!(world.until(120_000, |world| world.phase(other, "run-1")
+            == Some(Phase::Done)));
+        assert!(world.until(60_000, |world| world.phase(other, "run-2")
+            == Some(Phase::Done)));
+        assert_no_violations(&world);
     }
 }
 
 #[test]
-fn one_task_jobs_come_four_a_second_and_a_quarter_is_cancelled() {
-    let mut w = world(3, 6, 0.0);
-    // Each job costs at least three changes, and what its start and its cancellation take besides.
-    let limits = w.state.limits.as_mut().expect("limits");
+fn one_task_jobs_arrive_four_per_second_and_a_quarter_is_cancelled() {
+    let mut world = start_cluster(3, 6, 0.0);
+    // Each job needs at least three writes, besides those for its start and its cancellation.
+    let limits = world.state.limits.as_mut().expect("limits");
     limits.write_rps = 25.0;
     let mut ids = Vec::new();
     for n in 0..240_u64 {
         let id = format!("run-{n}");
-        w.describe(&array(&id, 1), runs(1_500));
-        w.send(
+        world.describe(&array(&id, 1), runs_for(1_500));
+        world.send(
             (n % 3) as usize,
             "POST",
             "/submissions",
             wire::encode(&array(&id, 1)),
         );
         ids.push(id);
-        w.run(250);
+        world.run(250);
         if n % 4 == 3 {
             let early = &ids[(n - n % 3) as usize];
-            w.send(
+            world.send(
                 (n % 2) as usize,
                 "POST",
                 &format!("/submissions/{early}/abort"),
@@ -287,85 +307,96 @@
             );
         }
         if n == 120 {
-            let old = w.leader().expect("leader");
-            w.crash(old);
-            w.run(1_000);
-            w.start(old);
+            let old = world.leader().expect("leader");
+            world.crash(old);
+            world.run(1_000);
+            world.start(old);
         }
     }
-    w.run(5_000);
-    let mut open = Vec::new();
+    world.run(5_000);
+    let mut resubmitted = Vec::new();
     for id in &ids {
-        // Those whose submission was turned away are sent again, as their users do.
-        if w.phase(0, id).is_none() {
-            assert!(matches!(w.submit(1, &array(id, 1), runs(1_500)), 200 | 201));
-            open.push(id.clone());
-        }
-    }
-    assert!(open.len() < 60, "{} were refused", open.len());
-    w.run(30_000);
+        // Refused submissions are repeated, as their users do.
+        if world.phase(0, id).is_none() {
+            assert!(matches!(
+                world.submit(1, &array(id, 1), runs_for(1_500)),
+                200 | 201
+            ));
+            resubmitted.push(id.clone());
+        }
+    }
+    assert!(
+        resubmitted.len() < 60,
+        "{} submissions were refused",
+        resubmitted.len()
+    );
+    world.run(30_000);
     for id in &ids {
-        let phase = w.phase(1, id);
+        let phase = world.phase(1, id);
         assert!(
             matches!(phase, Some(Phase::Done | Phase::Aborted)),
             "{id} {phase:?}"
         );
     }
-    assert!(w.rules.late_starts.is_empty(), "{:?}", w.rules.late_starts);
-    clean(&w);
+    assert!(
+        world.rules.late_starts.is_empty(),
+        "{:?}",
+        world.rules.late_starts
+    );
+    assert_no_violations(&world);
 }
 
-/// Ends the leader, and starts it again after a while.
-fn change_leader(w: &mut World, away_ms: u64) {
-    let Some(old) = w.leader() else {
-        return w.run(away_ms);
+/// Crashes the leader, if there is one, and restarts its node after `down_ms`.
+fn change_leader(world: &mut World, down_ms: u64) {
+    let Some(old) = world.leader() else {
+        return world.run(down_ms);
     };
-    w.crash(old);
-    w.run(away_ms);
-    w.start(old);
+    world.crash(old);
+    world.run(down_ms);
+    world.start(old);
 }
 
-/// All of these jobs are done before long, wherever one asks.
-fn all_done(w: &mut World, ids: &[&str], ms: u64) {
+/// Asserts that each job is done within `ms` of the one before it, also as node 1 answers, and that no rule is broken.
+fn assert_all_done(world: &mut World, ids: &[&str], ms: u64) {
     for id in ids {
-        assert!(done(w, id, ms), "{id}");
-        assert_eq!(w.phase(1, id), Some(Phase::Done));
+        assert!(completes_within(world, id, ms), "{id}");
+        assert_eq!(world.phase(1, id), Some(Phase::Done));
     }
-    clean(w);
+    assert_no_violations(world);
 }
 
 #[test]
-fn a_leader_ends_while_machines_with_long_tasks_can_not_be_reached_or_hear_nothing() {
-    for (unreached, away_ms) in [(false, 0), (false, 4_000), (true, 0), (true, 4_000)] {
-        let mut w = world(3, 4, 0.0);
-        assert_eq!(w.submit(0, &array("run-1", 4), runs(25_000)), 201);
-        assert!(w.until(10_000, |w| w.on_machines("run-1").len() == 4));
-        let until = w.now + 30_000;
-        for worker in w.workers.values_mut().take(2) {
+fn the_leader_crashes_while_machines_with_long_tasks_are_cut_off_or_receive_nothing() {
+    for (unreached, down_ms) in [(false, 0), (false, 4_000), (true, 0), (true, 4_000)] {
+        let mut world = start_cluster(3, 4, 0.0);
+        assert_eq!(world.submit(0, &array("run-1", 4), runs_for(25_000)), 201);
+        assert!(world.until(10_000, |world| world.on_machines("run-1").len() == 4));
+        let until = world.now + 30_000;
+        for worker in world.workers.values_mut().take(2) {
             match unreached {
                 true => worker.one_way = true,
                 false => worker.cut_until = until,
             }
         }
-        w.run(300);
-        change_leader(&mut w, away_ms);
-        w.run(28_000);
-        w.heal();
-        all_done(&mut w, &["run-1"], 90_000);
+        world.run(300);
+        change_leader(&mut world, down_ms);
+        world.run(28_000);
+        world.heal();
+        assert_all_done(&mut world, &["run-1"], 90_000);
     }
 }
 
 #[test]
-fn arrays_bound_to_one_zone_or_spread_over_two_lose_machines_and_stay_within_bounds() {
+fn arrays_with_zone_constraints_keep_them_when_machines_are_lost() {
     for seed in 0..6 {
-        let mut w = world(3, 8, 0.0);
-        w.seed(seed);
-        w.capacity = 4;
-        let bound = Submission {
+        let mut world = start_cluster(3, 8, 0.0);
+        world.seed(seed);
+        world.capacity = 4;
+        let one_zone = Submission {
             one_zone: true,
             ..array("run-1", 6)
         };
-        let named = Submission {
+        let named_zone = Submission {
             zone: Some("b".into()),
             ..array("run-2", 6)
         };
@@ -373,27 +404,33 @@
             spread: true,
             ..array("run-3", 6)
         };
-        for (n, job) in [&bound, &named, &spread].into_iter().enumerate() {
-            assert_eq!(w.submit(n, job, runs(6_000)), 201);
+        for (n, job) in [&one_zone, &named_zone, &spread].into_iter().enumerate() {
+            assert_eq!(world.submit(n, job, runs_for(6_000)), 201);
         }
-        w.run(2_500 + 300 * seed);
-        // Most of a zone is silent, one machine is gone for good, and the next leader knows only records.
-        let until = w.now + 25_000;
+        world.run(2_500 + 300 * seed);
+        // Most machines of a zone are cut off, one machine is gone for good, and the next leader knows only what is
+        // recorded.
+        let until = world.now + 25_000;
         let zone = if seed % 2 == 0 { "a" } else { "b" };
-        for worker in w.workers.values_mut().filter(|m| m.zone == zone).skip(1) {
+        for worker in world
+            .workers
+            .values_mut()
+            .filter(|m| m.zone == zone)
+            .skip(1)
+        {
             worker.cut_until = until;
         }
-        w.workers.remove("vm-000000");
-        change_leader(&mut w, 500);
-        all_done(&mut w, &["run-1", "run-2", "run-3"], 120_000);
+        world.workers.remove("vm-000000");
+        change_leader(&mut world, 500);
+        assert_all_done(&mut world, &["run-1", "run-2", "run-3"], 120_000);
     }
 }
 
 #[test]
-fn more_work_than_room_urgent_and_not_over_slow_links() {
-    let mut w = world(3, 3, 0.0);
-    w.troubles.slow_state = (0..3).map(|n| (n, 400)).collect();
-    w.troubles.slow_to_state = (0..3).map(|n| (n, 400)).collect();
+fn more_work_than_capacity_with_all_priorities_and_a_slow_state_service() {
+    let mut world = start_cluster(3, 3, 0.0);
+    world.troubles.slow_state = (0..3).map(|n| (n, 400)).collect();
+    world.troubles.slow_to_state = (0..3).map(|n| (n, 400)).collect();
     let mut ids = Vec::new();
     for n in 0..10 {
         let job = Submission {
@@ -405,480 +442,517 @@
             gpus: 2.0,
             ..array(&format!("run-{n}"), 3)
         };
-        w.describe(&job, runs(3_000));
-        w.send(n % 3, "POST", "/submissions", wire::encode(&job));
-        w.run(400);
+        world.describe(&job, runs_for(3_000));
+        world.send(n % 3, "POST", "/submissions", wire::encode(&job));
+        world.run(400);
         ids.push(job);
     }
-    w.run(3_000);
-    change_leader(&mut w, 300);
-    w.run(10_000);
+    world.run(3_000);
+    change_leader(&mut world, 300);
+    world.run(10_000);
     for job in &ids {
-        w.submit(1, job, runs(3_000));
+        world.submit(1, job, runs_for(3_000));
     }
     let ids: Vec<&str> = ids.iter().map(|j| j.id.as_str()).collect();
-    all_done(&mut w, &ids, 120_000);
+    assert_all_done(&mut world, &ids, 120_000);
 }
 
 #[test]
-fn a_slow_store_refuses_the_leader_and_then_all_while_users_cancel_and_ask() {
+fn a_slow_state_service_refuses_the_leader_and_then_all_while_users_cancel_and_query() {
     for seed in 0..4 {
-        let mut w = world(3, 4, 0.0);
-        w.seed(seed);
-        w.troubles.slow_state = (0..3).map(|n| (n, 500)).collect();
+        let mut world = start_cluster(3, 4, 0.0);
+        world.seed(seed);
+        world.troubles.slow_state = (0..3).map(|n| (n, 500)).collect();
         for n in 0..4 {
             let job = array(&format!("run-{n}"), 2);
-            w.describe(&job, runs(600_000));
-            w.send(n % 3, "POST", "/submissions", wire::encode(&job));
+            world.describe(&job, runs_for(600_000));
+            world.send(n % 3, "POST", "/submissions", wire::encode(&job));
         }
-        w.run(8_000);
-        let old = w.leader().expect("leader");
-        w.refused.insert(old);
+        world.run(8_000);
+        let old = world.leader().expect("leader");
+        world.refused.insert(old);
         let mut asked = Vec::new();
         for n in 0..4 {
             let abort = format!("/submissions/run-{n}/abort");
-            asked.push(w.send((old + 1 + n % 2) % 3, "POST", &abort, vec![]));
-            look_closely(&mut w, &["run-0", "run-1"], 200 + 150 * seed);
-        }
-        w.state_down = true;
-        w.run(10_000);
-        w.refused.clear();
-        w.run(35_000);
-        w.state_down = false;
-        w.run(5_000);
+            asked.push(world.send((old + 1 + n % 2) % 3, "POST", &abort, vec![]));
+            query_all_nodes(&mut world, &["run-0", "run-1"], 200 + 150 * seed);
+        }
+        world.state_down = true;
+        world.run(10_000);
+        world.refused.clear();
+        world.run(35_000);
+        world.state_down = false;
+        world.run(5_000);
         for n in 0..4 {
             let id = format!("run-{n}");
-            assert_eq!(w.abort(old, &id), Some(Phase::Aborted));
+            assert_eq!(world.abort(old, &id), Some(Phase::Aborted));
         }
-        w.run(15_000);
-        assert!((0..4).all(|n| w.on_machines(&format!("run-{n}")).is_empty()));
-        clean(&w);
+        world.run(15_000);
+        assert!((0..4).all(|n| world.on_machines(&format!("run-{n}")).is_empty()));
+        assert_no_violations(&world);
     }
 }
 
 #[test]
-fn leaders_change_ten_times_in_two_minutes_also_inside_an_outage() {
-    let mut w = limited(3, 5);
+fn leaders_change_ten_times_in_two_minutes_also_during_an_outage() {
+    let mut world = cluster_with_gpu_limits(3, 5);
     assert_eq!(
-        w.submit(0, &of_team("t", array("run-1", 12)), runs(9_000)),
+        world.submit(0, &of_team("t", array("run-1", 12)), runs_for(9_000)),
         201
     );
     assert_eq!(
-        w.submit(0, &of_team("u", array("run-2", 9)), runs(5_000)),
+        world.submit(0, &of_team("u", array("run-2", 9)), runs_for(5_000)),
         201
     );
     for n in 0..10 {
-        w.run(5_000);
-        w.state_down = n % 4 == 2;
-        w.run(1_000);
-        change_leader(&mut w, 300 * n);
-        w.run(2_000);
-        w.state_down = false;
-    }
-    all_done(&mut w, &["run-1", "run-2"], 90_000);
+        world.run(5_000);
+        world.state_down = n % 4 == 2;
+        world.run(1_000);
+        change_leader(&mut world, 300 * n);
+        world.run(2_000);
+        world.state_down = false;
+    }
+    assert_all_done(&mut world, &["run-1", "run-2"], 90_000);
 }
 
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
-    for one_first in [false, true] {
-        let mut w = limited(3, 4);
+fn all_controllers_are_down_for_longer_than_a_lease() {
+    for first_runs_alone in [false, true] {
+        let mut world = cluster_with_gpu_limits(3, 4);
         assert_eq!(
-            w.submit(0, &of_team("t", array("run-1", 6)), runs(15_000)),
+            world.submit(0, &of_team("t", array("run-1", 6)), runs_for(15_000)),
             201
         );
         assert_eq!(
-            w.submit(0, &of_team("u", array("run-2", 3)), runs(600_000)),
+            world.submit(0, &of_team("u", array("run-2", 3)), runs_for(600_000)),
             201
         );
-        w.run(5_000);
-        assert_eq!(w.abort(0, "run-2"), Some(Phase::Aborted));
-        (0..3).for_each(|n| w.crash(n));
-        w.run(17_000);
-        w.start(0);
-        w.run(if one_first { 20_000 } else { 500 });
-        w.start(1);
-        w.start(2);
-        all_done(&mut w, &["run-1"], 90_000);
-        assert_eq!(w.phase(2, "run-2"), Some(Phase::Aborted));
-        clean(&w);
+        world.run(5_000);
+        assert_eq!(world.abort(0, "run-2"), Some(Phase::Aborted));
+        (0..3).for_each(|n| world.crash(n));
+        world.run(17_000);
+        world.start(0);
+        world.run(if first_runs_alone { 20_000 } else { 500 });
+        world.start(1);
+        world.start(2);
+        assert_all_done(&mut world, &["run-1"], 90_000);
+        assert_eq!(world.phase(2, "run-2"), Some(Phase::Aborted));
+        assert_no_violations(&world);
     }
 }
 
 #[test]
-fn controllers_hand_over_and_back_all_end_and_one_returns_at_once() {
+fn leaders_change_repeatedly_then_all_controllers_crash_and_one_restarts_first() {
     for away in [10, 200, 900, 2_500] {
-        let mut w = limited(3, 4);
+        let mut world = cluster_with_gpu_limits(3, 4);
         assert_eq!(
-            w.submit(0, &of_team("t", array("run-1", 12)), runs(4_000)),
+            world.submit(0, &of_team("t", array("run-1", 12)), runs_for(4_000)),
             201
         );
-        w.run(3_000);
+        world.run(3_000);
         for _ in 0..3 {
-            change_leader(&mut w, away);
-            w.run(1_500);
+            change_leader(&mut world, away);
+            world.run(1_500);
         }
-        (0..3).for_each(|n| w.crash(n));
-        w.run(away);
-        w.start(1);
-        w.run(3_000);
-        w.start(0);
-        w.start(2);
-        all_done(&mut w, &["run-1"], 90_000);
+        (0..3).for_each(|n| world.crash(n));
+        world.run(away);
+        world.start(1);
+        world.run(3_000);
+        world.start(0);
+        world.start(2);
+        assert_all_done(&mut world, &["run-1"], 90_000);
     }
 }
 
 #[test]
-fn commands_and_answers_held_for_seconds_arrive_when_they_no_longer_matter() {
+fn orders_and_answers_delayed_for_seconds_arrive_when_they_are_outdated() {
     for seed in 0..6 {
-        let mut w = limited(3, 4);
-        w.seed(seed);
+        let mut world = cluster_with_gpu_limits(3, 4);
+        world.seed(seed);
         assert_eq!(
-            w.submit(0, &of_team("t", array("run-1", 4)), runs(40_000)),
+            world.submit(0, &of_team("t", array("run-1", 4)), runs_for(40_000)),
             201
         );
         assert_eq!(
-            w.submit(0, &of_team("u", array("run-2", 6)), runs(4_000)),
+            world.submit(0, &of_team("u", array("run-2", 6)), runs_for(4_000)),
             201
         );
-        w.run(1_500 + 400 * seed);
-        let until = w.now + 7_000;
-        for name in w.workers.keys().take(3) {
-            w.troubles.delayed_orders.insert(name.clone(), until);
-        }
-        let other = follower(&w);
-        w.send(other, "POST", "/submissions/run-1/abort", vec![]);
-        w.run(2_000);
+        world.run(1_500 + 400 * seed);
+        let until = world.now + 7_000;
+        for name in world.workers.keys().take(3) {
+            world.troubles.delayed_orders.insert(name.clone(), until);
+        }
+        let other = follower(&world);
+        world.send(other, "POST", "/submissions/run-1/abort", vec![]);
+        world.run(2_000);
         if seed % 2 == 0 {
-            change_leader(&mut w, 500);
+            change_leader(&mut world, 500);
         }
-        all_done(&mut w, &["run-2"], 90_000);
-        w.run(15_000);
-        assert!(w.on_machines("run-1").is_empty());
-        clean(&w);
+        assert_all_done(&mut world, &["run-2"], 90_000);
+        world.run(15_000);
+        assert!(world.on_machines("run-1").is_empty());
+        assert_no_violations(&world);
     }
 }
 
 #[test]
 fn a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease() {
-    for leads_inside in [true, false] {
-        let mut w = limited(3, 6);
+    for cut_off_node_leads in [true, false] {
+        let mut world = cluster_with_gpu_limits(3, 6);
         assert_eq!(
-            w.submit(0, &of_team("t", array("run-1", 8)), runs(20_000)),
+            world.submit(0, &of_team("t", array("run-1", 8)), runs_for(20_000)),
             201
         );
         assert_eq!(
-            w.submit(0, &of_team("u", array("run-2", 3)), runs(600_000)),
+            world.submit(0, &of_team("u", array("run-2", 3)), runs_for(600_000)),
             201
         );
-        w.run(6_000);
-        let leader = w.leader().expect("leader");
-        let inside = if leads_inside {
+        world.run(6_000);
+        let leader = world.leader().expect("leader");
+        let cut_off_node = if cut_off_node_leads {
             leader
         } else {
             (leader + 1) % 3
         };
-        for worker in w.workers.values_mut().filter(|m| m.zone == "a") {
-            worker.only = Some(inside);
-        }
-        w.silent_peers.insert(inside);
-        w.troubles.cut_from_state.insert(inside);
-        w.run(1_000);
-        let other = (inside + 1) % 3;
-        assert!(w.until(10_000, |w| w.abort(other, "run-2") == Some(Phase::Aborted)));
-        w.run(40_000);
-        assert!(w.on_machines("run-2").is_empty(), "also in the cut zone");
-        w.heal();
-        all_done(&mut w, &["run-1"], 90_000);
+        for worker in world.workers.values_mut().filter(|m| m.zone == "a") {
+            worker.only = Some(cut_off_node);
+        }
+        world.silent_peers.insert(cut_off_node);
+        world.troubles.cut_from_state.insert(cut_off_node);
+        world.run(1_000);
+        let other = (cut_off_node + 1) % 3;
+        assert!(world.until(10_000, |world| world.abort(other, "run-2")
+            == Some(Phase::Aborted)));
+        world.run(40_000);
+        assert!(
+            world.on_machines("run-2").is_empty(),
+            "tasks of a cancelled job still run, possibly in the zone that is cut off"
+        );
+        world.heal();
+        assert_all_done(&mut world, &["run-1"], 90_000);
     }
 }
 
 #[test]
-fn jobs_of_two_or_three_tasks_end_far_apart_across_a_change_of_leader() {
-    let mut w = world(3, 3, 0.0);
+fn jobs_whose_two_or_three_tasks_end_far_apart_across_changes_of_leader() {
+    let mut world = start_cluster(3, 3, 0.0);
     for (n, tasks) in [2, 3, 3, 2].into_iter().enumerate() {
         let id = format!("run-{n}");
-        // One task at a time: they begin and end far apart.
+        // Each task takes all GPUs of a machine, so that the tasks start and end far apart.
         let job = Submission {
             gpus: 4.0,
             ..array(&id, tasks)
         };
-        assert_eq!(w.submit(n % 3, &job, runs(6_000)), 201);
+        assert_eq!(world.submit(n % 3, &job, runs_for(6_000)), 201);
     }
     for _ in 0..3 {
-        w.run(7_000);
-        change_leader(&mut w, 700);
-        look_closely(&mut w, &["run-0", "run-1", "run-2", "run-3"], 150);
+        world.run(7_000);
+        change_leader(&mut world, 700);
+        query_all_nodes(&mut world, &["run-0", "run-1", "run-2", "run-3"], 150);
     }
-    all_done(&mut w, &["run-0", "run-1", "run-2", "run-3"], 90_000);
+    assert_all_done(&mut world, &["run-0", "run-1", "run-2", "run-3"], 90_000);
 }
 
 #[test]
-fn workers_reach_no_controller_while_direct_commands_reach_them() {
-    for change in [false, true] {
-        let mut w = limited(3, 4);
+fn workers_reach_no_controller_while_direct_orders_reach_them() {
+    for leader_changes in [false, true] {
+        let mut world = cluster_with_gpu_limits(3, 4);
         assert_eq!(
-            w.submit(0, &of_team("t", array("run-1", 4)), runs(600_000)),
+            world.submit(0, &of_team("t", array("run-1", 4)), runs_for(600_000)),
             201
         );
         assert_eq!(
-            w.submit(0, &of_team("u", array("run-2", 3)), runs(8_000)),
+            world.submit(0, &of_team("u", array("run-2", 3)), runs_for(8_000)),
             201
         );
-        w.run(6_000);
-        for worker in w.workers.values_mut() {
+        world.run(6_000);
+        for worker in world.workers.values_mut() {
             worker.mute = true;
         }
-        w.run(3_000);
-        let other = follower(&w);
-        assert_eq!(w.abort(other, "run-1"), Some(Phase::Aborted));
-        if !change {
-            // Told directly, long before their leases run out.
-            assert!(w.until(3_000, |w| w.on_machines("run-1").is_empty()));
+        world.run(3_000);
+        let other = follower(&world);
+        assert_eq!(world.abort(other, "run-1"), Some(Phase::Aborted));
+        if !leader_changes {
+            // Direct orders reach the workers long before their leases expire.
+            assert!(world.until(3_000, |world| world.on_machines("run-1").is_empty()));
         } else {
-            change_leader(&mut w, 300);
+            change_leader(&mut world, 300);
         }
-        w.run(20_000);
-        assert!(w.on_machines("run-1").is_empty());
-        w.heal();
-        all_done(&mut w, &["run-2"], 90_000);
+        world.run(20_000);
+        assert!(world.on_machines("run-1").is_empty());
+        world.heal();
+        assert_all_done(&mut world, &["run-2"], 90_000);
     }
 }
 
-/// The leader hears of a cancellation only by notice, its lease is over, and its workers only hear direct commands.
+/// The leader learns of a cancellation only by a notice of its peers, its lease has expired, and its workers receive
+/// only direct orders.
 #[test]
-fn a_leader_without_its_lease_still_ends_what_is_cancelled() {
-    let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array("run-1", 2), runs(600_000)), 201);
-    w.run(5_000);
-    w.state_down = true;
-    w.run(5_000);
-    // Out a moment longer for the leader, whose peers confirm a cancellation meanwhile.
-    let old = w.leader().expect("leader");
-    w.refused.insert(old);
-    w.state_down = false;
-    for worker in w.workers.values_mut() {
+fn a_leader_without_its_lease_still_stops_tasks_of_cancelled_jobs() {
+    let mut world = start_cluster(3, 2, 0.0);
+    assert_eq!(world.submit(0, &array("run-1", 2), runs_for(600_000)), 201);
+    world.run(5_000);
+    world.state_down = true;
+    world.run(5_000);
+    // The state service is back, but still refuses the leader. Its peers confirm a cancellation meanwhile.
+    let old = world.leader().expect("leader");
+    world.refused.insert(old);
+    world.state_down = false;
+    for worker in world.workers.values_mut() {
         worker.mute = true;
     }
     let other = (old + 1) % 3;
-    assert!(w.until(1_500, |w| w.abort(other, "run-1") == Some(Phase::Aborted)));
-    assert!(w.until(1_200, |w| w.on_machines("run-1").is_empty()));
-    assert_eq!(w.leader(), Some(old), "nobody else was elected yet");
-    clean(&w);
+    assert!(world.until(1_500, |world| world.abort(other, "run-1")
+        == Some(Phase::Aborted)));
+    assert!(world.until(1_200, |world| world.on_machines("run-1").is_empty()));
+    assert_eq!(
+        world.leader(),
+        Some(old),
+        "another node was elected already"
+    );
+    assert_no_violations(&world);
 }
 
 #[test]
-fn a_leader_cut_from_state_and_peers_keeps_no_task_that_is_cancelled_through_the_new_one() {
+fn an_isolated_leader_keeps_no_task_of_a_job_cancelled_through_the_new_leader() {
     for wait in [0, 3_000, 9_000] {
-        let mut w = world(3, 4, 0.0);
-        assert_eq!(w.submit(0, &array("run-1", 4), runs(600_000)), 201);
-        w.run(5_000);
-        let old = w.leader().expect("leader");
-        w.stuck_workers = Some(old);
-        w.silent_peers.insert(old);
-        w.troubles.cut_from_state.insert(old);
-        w.run(wait);
+        let mut world = start_cluster(3, 4, 0.0);
+        assert_eq!(world.submit(0, &array("run-1", 4), runs_for(600_000)), 201);
+        world.run(5_000);
+        let old = world.leader().expect("leader");
+        world.stuck_workers = Some(old);
+        world.silent_peers.insert(old);
+        world.troubles.cut_from_state.insert(old);
+        world.run(wait);
         let other = (old + 1) % 3;
-        assert!(w.until(8_000, |w| w.abort(other, "run-1") == Some(Phase::Aborted)));
-        w.run(40_000);
-        assert!(w.on_machines("run-1").is_empty());
-        clean(&w);
+        assert!(world.until(8_000, |world| world.abort(other, "run-1")
+            == Some(Phase::Aborted)));
+        world.run(40_000);
+        assert!(world.on_machines("run-1").is_empty());
+        assert_no_violations(&world);
     }
 }
 
-/// A copy that tells of a machine as it was before a task began there reaches the next leader first, while the machine
-/// can't be reached: taken as current it would free the task's place.
+/// The first report of a machine that the next leader receives is a copy from before a task began there, while the
+/// machine itself can't be reached. Treated as current, it would free the task's place.
 #[test]
-fn an_old_report_that_is_the_first_of_its_machine_frees_nothing() {
+fn an_outdated_report_that_arrives_first_from_its_machine_releases_no_task() {
     for pause in [0, 400, 1_200] {
-        let mut w = world(3, 4, 0.0);
-        w.troubles.late_reports = Some((1.0, CopyTo::NextLeader));
-        w.run(2_500);
-        w.troubles.late_reports = None;
+        let mut world = start_cluster(3, 4, 0.0);
+        world.troubles.late_reports = Some((1.0, CopyTo::NextLeader));
+        world.run(2_500);
+        world.troubles.late_reports = None;
         let whole = Submission {
             gpus: 4.0,
             ..array("run-1", 3)
         };
-        assert_eq!(w.submit(0, &whole, runs(20_000)), 201);
-        assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 3));
-        // One machine is free, and reached.
-        let until = w.now + 8_000;
+        assert_eq!(world.submit(0, &whole, runs_for(20_000)), 201);
+        assert!(world.until(8_000, |world| world.on_machines("run-1").len() == 3));
+        // The machines with tasks are cut off; the remaining one is idle and reachable.
+        let until = world.now + 8_000;
         let busy = |m: &&mut fakes::FakeWorker| !m.tasks.is_empty();
-        w.workers
+        world
+            .workers
             .values_mut()
             .filter(busy)
             .for_each(|m| m.cut_until = until);
-        // Where the records say that its tasks are.
-        let recorded = |w: &World| {
-            let last = parts(w).into_iter().filter(|p| p.job == "run-1");
+        // The machines on which its tasks are by the newest record.
+        let recorded_assignments = |world: &World| {
+            let last = recorded_page_entries(world)
+                .into_iter()
+                .filter(|p| p.job == "run-1");
             last.max_by_key(|p| p.seq).map(|p| p.chunk.at)
         };
-        let before = recorded(&w);
+        let before = recorded_assignments(&world);
         assert_eq!(before.as_ref().map_or(0, Vec::len), 3);
-        w.run(10);
-        change_leader(&mut w, pause);
-        w.run(4_500);
-        assert_eq!(recorded(&w), before, "while they are cut off");
-        all_done(&mut w, &["run-1"], 90_000);
+        world.run(10);
+        change_leader(&mut world, pause);
+        world.run(4_500);
+        assert_eq!(
+            recorded_assignments(&world),
+            before,
+            "recorded assignments changed while the machines were cut off"
+        );
+        assert_all_done(&mut world, &["run-1"], 90_000);
     }
 }
 
-/// The reading for a question was sent before the job was cancelled elsewhere, and comes back after that was confirmed.
+/// The read for a status query is sent before the job is cancelled at another node, and its response arrives after that
+/// cancellation was confirmed.
 #[test]
-fn a_reading_that_comes_back_late_does_not_hide_a_confirmed_cancellation() {
+fn a_late_read_response_does_not_hide_a_confirmed_cancellation() {
     let mut seen = 0;
     for seed in 0..12 {
-        let mut w = world(3, 2, 0.0);
-        w.seed(seed);
-        assert_eq!(w.submit(0, &array("run-1", 2), runs(60_000)), 201);
-        w.run(5_000);
-        let ask = |w: &mut World| w.send(1, "GET", "/submissions/run-1", vec![]);
-        w.troubles.slow_state.insert(1, 900);
-        let question = ask(&mut w);
-        // Proofs wait for others for some 40 ms.
-        w.run(100);
-        assert_eq!(w.abort(2, "run-1"), Some(Phase::Aborted));
-        w.run(20);
-        if w.answer(question).is_none() {
-            w.run(1_500);
-            let (status, body) = w.answer(question).expect("an answer");
+        let mut world = start_cluster(3, 2, 0.0);
+        world.seed(seed);
+        assert_eq!(world.submit(0, &array("run-1", 2), runs_for(60_000)), 201);
+        world.run(5_000);
+        world.troubles.slow_state.insert(1, 900);
+        let query = world.send(1, "GET", "/submissions/run-1", vec![]);
+        // Validations of answers are collected for some 40 ms and sent as a batch.
+        world.run(100);
+        assert_eq!(world.abort(2, "run-1"), Some(Phase::Aborted));
+        world.run(20);
+        if world.answer(query).is_none() {
+            world.run(1_500);
+            let (status, body) = world.answer(query).expect("an answer");
             let phase = wire::decode::<wire::users::JobStatus>(&body).map(|s| s.phase);
             assert!(matches!((status, phase), (200, Ok(Phase::Aborted))));
             seen += 1;
         }
-        clean(&w);
+        assert_no_violations(&world);
     }
-    assert!(seen > 2, "{seen} readings came back late");
+    assert!(seen > 2, "only {seen} read responses came back late");
 }
 
-/// The creation is recorded, a repeat is answered and the job cancelled at another node, and only then does the first
-/// node hear of its creation.
+/// The creation of a job is recorded; another node answers a repeated submission and cancels the job. Only then does
+/// the first node receive the response to its create transaction.
 #[test]
-fn a_late_creation_is_not_answered_as_if_nothing_had_happened_since() {
+fn a_late_create_response_does_not_hide_a_cancellation_made_since() {
     let mut seen = 0;
     for seed in 0..12 {
-        let mut w = world(3, 2, 0.0);
-        w.seed(seed);
+        let mut world = start_cluster(3, 2, 0.0);
+        world.seed(seed);
         let job = array("run-1", 1);
-        w.describe(&job, runs(60_000));
-        w.troubles.slow_state.insert(1, 1_000);
-        let first = w.send(1, "POST", "/submissions", wire::encode(&job));
-        w.run(40);
-        assert_eq!(w.submit(2, &job, runs(60_000)), 200);
-        assert_eq!(w.abort(2, "run-1"), Some(Phase::Aborted));
-        w.run(20);
-        if w.answer(first).is_none() {
-            w.run(1_500);
-            let (status, body) = w.answer(first).expect("an answer");
+        world.describe(&job, runs_for(60_000));
+        world.troubles.slow_state.insert(1, 1_000);
+        let first = world.send(1, "POST", "/submissions", wire::encode(&job));
+        world.run(40);
+        assert_eq!(world.submit(2, &job, runs_for(60_000)), 200);
+        assert_eq!(world.abort(2, "run-1"), Some(Phase::Aborted));
+        world.run(20);
+        if world.answer(first).is_none() {
+            world.run(1_500);
+            let (status, body) = world.answer(first).expect("an answer");
             let phase = wire::decode::<wire::users::JobStatus>(&body).map(|s| s.phase);
             assert!(matches!((status, phase), (200 | 201, Ok(Phase::Aborted))));
             seen += 1;
         }
-        clean(&w);
+        assert_no_violations(&world);
     }
-    assert!(seen > 2, "{seen} creations came back late");
+    assert!(seen > 2, "only {seen} create responses came back late");
 }
 
-/// A node that passes requests on to a peer ends, and its next process gets the answers that were meant for it.
+/// A node that forwards requests to a peer crashes, and its next process receives the answers to the forwarded requests
+/// of the earlier one.
 #[test]
-fn an_answer_for_an_earlier_process_answers_nobody() {
-    let mut w = world(3, 2, 0.0);
-    let alone = follower(&w);
+fn an_answer_for_an_earlier_process_answers_no_request_of_the_next() {
+    let mut world = start_cluster(3, 2, 0.0);
+    let isolated = follower(&world);
     let ids = ["run-1", "run-2", "run-3", "run-4"];
     for id in ids {
-        assert_eq!(w.submit(alone, &array(id, 1), runs(60_000)), 201);
+        assert_eq!(world.submit(isolated, &array(id, 1), runs_for(60_000)), 201);
     }
-    w.run(5_000);
-    w.refused.insert(alone);
-    for n in (0..3).filter(|n| *n != alone) {
-        w.troubles.slow_state.insert(n, 1_000);
+    world.run(5_000);
+    world.refused.insert(isolated);
+    for n in (0..3).filter(|n| *n != isolated) {
+        world.troubles.slow_state.insert(n, 1_000);
     }
-    w.run(3_000);
+    world.run(3_000);
     for _ in 0..6 {
-        // Some of these are on their way to the store when the process ends.
+        // Some of these are on their way to the state service when the process ends.
         for id in ids {
-            w.send(alone, "GET", &format!("/submissions/{id}"), vec![]);
-        }
-        w.run(150);
-        w.crash(alone);
-        w.run(20);
-        w.start(alone);
-        // Until it knows a peer that reaches the store nothing is passed on.
-        w.run(620);
+            world.send(isolated, "GET", &format!("/submissions/{id}"), vec![]);
+        }
+        world.run(150);
+        world.crash(isolated);
+        world.run(20);
+        world.start(isolated);
+        // Nothing is forwarded until the node knows a peer that reaches the state service.
+        world.run(620);
         for id in ids {
             let abort = format!("/submissions/{id}/abort");
-            w.send(alone, "POST", &abort, vec![]);
+            world.send(isolated, "POST", &abort, vec![]);
         }
-        w.run(1_200);
+        world.run(1_200);
     }
-    w.heal();
+    world.heal();
     for id in ids {
-        assert!(w.until(5_000, |w| w.abort(alone, id) == Some(Phase::Aborted)));
+        assert!(world.until(5_000, |world| world.abort(isolated, id)
+            == Some(Phase::Aborted)));
     }
-    clean(&w);
+    assert_no_violations(&world);
 }
 
-/// The former leader is cut off and goes on renewing a machine's lease for a while; the new one has only a late copy of a
-/// report of that machine, and then silence.
+/// The former leader is cut off from the state service and its peers, and goes on renewing a machine's lease for a
+/// while. The new leader receives only a late copy of a report of that machine, and then nothing.
 #[test]
-fn the_silence_of_a_machine_that_has_not_heard_the_new_leader_frees_nothing() {
-    let mut w = world(3, 2, 0.0);
+fn silence_of_a_machine_without_contact_to_the_new_leader_releases_no_task() {
+    let mut world = start_cluster(3, 2, 0.0);
     let whole = Submission {
         gpus: 4.0,
         ..array("run-1", 1)
     };
-    assert_eq!(w.submit(0, &whole, runs(40_000)), 201);
-    assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 1));
-    w.troubles.late_reports = Some((1.0, CopyTo::NextLeader));
-    w.run(2_500);
-    let old = w.leader().expect("leader");
+    assert_eq!(world.submit(0, &whole, runs_for(40_000)), 201);
+    assert!(world.until(8_000, |world| world.on_machines("run-1").len() == 1));
+    world.troubles.late_reports = Some((1.0, CopyTo::NextLeader));
+    world.run(2_500);
+    let old = world.leader().expect("leader");
     let busy = |m: &&mut fakes::FakeWorker| !m.tasks.is_empty();
-    w.workers
+    world
+        .workers
         .values_mut()
         .filter(busy)
         .for_each(|m| m.only = Some(old));
-    w.silent_peers.insert(old);
-    w.troubles.cut_from_state.insert(old);
-    w.run(40_000);
-    w.heal();
-    all_done(&mut w, &["run-1"], 90_000);
+    world.silent_peers.insert(old);
+    world.troubles.cut_from_state.insert(old);
+    world.run(40_000);
+    world.heal();
+    assert_all_done(&mut world, &["run-1"], 90_000);
 }
 
-/// A task where no record has it, on a machine that hears nothing: it counts against its team's limit while it may be
-/// there, and ends with its worker's lease, though nobody can tell it to.
+/// A task runs on a machine that no record names for it and that receives no messages. The task counts against its
+/// team's limit while it may be there, and ends when the worker's lease expires, although no order to stop reaches it.
 #[test]
-fn an_orphan_on_an_unreached_machine_counts_until_its_lease_ends_it() {
-    let mut w = limited(3, 4);
-    let pairs = |id: &str, tasks: u64| Submission {
+fn an_orphan_task_on_an_unreachable_machine_counts_until_its_lease_expires() {
+    let mut world = cluster_with_gpu_limits(3, 4);
+    let two_gpu_job = |id: &str, tasks: u64| Submission {
         gpus: 2.0,
         ..of_team("t", array(id, tasks))
     };
-    assert_eq!(w.submit(0, &pairs("run-1", 2), runs(60_000)), 201);
-    assert!(w.until(8_000, |w| w.on_machines("run-1").len() == 2));
-    assert_eq!(w.submit(0, &pairs("run-2", 2), runs(2_000)), 201);
-    w.run(3_000);
-    // One of its tasks is on another machine than its record says, under another attempt.
-    let (from, task, attempt) = w.on_machines("run-1").remove(1);
-    let moved = w
+    assert_eq!(
+        world.submit(0, &two_gpu_job("run-1", 2), runs_for(60_000)),
+        201
+    );
+    assert!(world.until(8_000, |world| world.on_machines("run-1").len() == 2));
+    assert_eq!(
+        world.submit(0, &two_gpu_job("run-2", 2), runs_for(2_000)),
+        201
+    );
+    world.run(3_000);
+    // Moves one of its tasks to another machine than its record names, under another attempt.
+    let (from, task, attempt) = world.on_machines("run-1").remove(1);
+    let moved = world
         .workers
         .get_mut(&from)
         .and_then(|m| m.tasks.remove(&(task.clone(), attempt)));
     let free = |m: &&mut fakes::FakeWorker| m.tasks.is_empty() && m.name != from;
-    let unreached = w.workers.values_mut().find(free).expect("a free machine");
+    let unreached = world
+        .workers
+        .values_mut()
+        .find(free)
+        .expect("a free machine");
     unreached
         .tasks
         .insert((task, attempt + 8), moved.expect("it was there"));
     unreached.one_way = true;
-    // It tells of the task before the other machine tells that it is gone.
-    (unreached.in_flight, unreached.report_at) = (None, w.now);
+    // This machine reports the task before the other machine reports that it is gone.
+    (unreached.in_flight, unreached.report_at) = (None, world.now);
     let name = unreached.name.clone();
-    let now = w.now;
-    let left = w.workers.get_mut(&from).expect("worker");
-    (left.in_flight, left.report_at) = (None, now + 1_500);
-    w.run(10_000);
-    assert!(w.on_machines("run-2").is_empty(), "the limit is reached");
-    w.run(6_000);
-    let ended = w.workers.get(&name).is_none_or(|m| m.tasks.is_empty());
-    assert!(ended, "its lease is over, or it was given back");
-    w.heal();
-    all_done(&mut w, &["run-2", "run-1"], 120_000);
+    let now = world.now;
+    let former = world.workers.get_mut(&from).expect("worker");
+    (former.in_flight, former.report_at) = (None, now + 1_500);
+    world.run(10_000);
+    assert!(
+        world.on_machines("run-2").is_empty(),
+        "the team exceeds its limit"
+    );
+    world.run(6_000);
+    let ended = world.workers.get(&name).is_none_or(|m| m.tasks.is_empty());
+    assert!(
+        ended,
+        "the task outlived the lease of its worker, and the machine was not returned"
+    );
+    world.heal();
+    assert_all_done(&mut world, &["run-2", "run-1"], 120_000);
 }
--- a/crates/control/tests/unknown_ids.rs
+++ b/crates/control/tests/unknown_ids.rs
@@ -11,13 +11,13 @@
 fn a_404_that_was_overtaken_by_a_submission_at_the_same_node_is_read_again() {
     let mut overtaken = 0;
     for seed in 0..24 {
-        let mut w = world(3, 1, 0.0);
+        let mut w = start_cluster(3, 1, 0.0);
         w.seed(seed);
         w.troubles.slow_state = (0..3).map(|n| (n, 900)).collect();
         let question = w.send(0, "GET", "/submissions/run-1", vec![]);
         w.run(60);
         let job = array("run-1", 1);
-        w.describe(&job, runs(600_000));
+        w.describe(&job, runs_for(600_000));
         let submission = w.send(0, "POST", "/submissions", wire::encode(&job));
         w.run(2_500);
         let (Some((asked, status)), Some((answered, 201))) =
@@ -39,7 +39,7 @@
 /// A 404 that rests on anything but a reading sent after the question would deny a job that another node has accepted.
 #[test]
 fn a_404_is_never_remembered() {
-    let mut w = world(3, 1, 0.0);
+    let mut w = start_cluster(3, 1, 0.0);
     for n in 0..3 {
         let (open, over) = (format!("run-{n}0"), format!("run-{n}1"));
         for id in [&open, &over] {
@@ -50,7 +50,7 @@
             );
             let spent = w.state.counts.since(&before);
             assert!(spent.questions() >= 1, "{spent:?}");
-            w.describe(&array(id, 1), runs(1_000));
+            w.describe(&array(id, 1), runs_for(1_000));
         }
         // Written by a process that this node hears nothing of.
         w.silent_peers.insert(n);
--- a/crates/control/tests/upgrade.rs
+++ b/crates/control/tests/upgrade.rs
@@ -101,7 +101,7 @@
 
 /// Three nodes of which the last is not yet upgraded.
 fn rolling() -> World {
-    let mut w = World::new(3, |i| settings_next(i, 3));
+    let mut w = World::new(3, |i| settings_with_next_limits(i, 3));
     w.crash(2);
     for m in 0..6 {
         w.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
@@ -126,7 +126,7 @@
         };
         let behaviour = fakes::Behaviour {
             gang: if n % 4 == 0 { 2 } else { 0 },
-            ..runs(4_000)
+            ..runs_for(4_000)
         };
         let mut status = 0;
         for tries in 0..20 {
@@ -178,7 +178,7 @@
         for id in ids.iter().filter(|id| *id != "run-5") {
             assert_eq!(w.phase(2, id), Some(Phase::Done), "{id} {steps}");
         }
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -200,17 +200,21 @@
     }
     assert!(w.until(20_000, |w| mark(w) == GENERATION));
     assert!(all_over(&mut w, &ids));
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
 fn the_mark_stays_and_a_node_that_is_down_for_good_does_not_hold_up_what_is_proven() {
     let mut w = rolling();
-    assert_eq!(w.submit(0, &array("run-1", 2), runs(1_000)), 201);
+    assert_eq!(w.submit(0, &array("run-1", 2), runs_for(1_000)), 201);
     w.run(5_000);
     assert_eq!(mark(&w), 0, "the third node has never told");
     assert_eq!(
-        w.submit(1, &after(array("run-2", 2), &["run-1"]), runs(1_000)),
+        w.submit(
+            1,
+            &with_dependencies(array("run-2", 2), &["run-1"]),
+            runs_for(1_000)
+        ),
         201
     );
     assert!(
@@ -225,8 +229,8 @@
     }
     w.run(10_000);
     assert_eq!(mark(&w), 7);
-    assert!(done(&mut w, "run-2", 20_000));
-    clean(&w);
+    assert!(completes_within(&mut w, "run-2", 20_000));
+    assert_no_violations(&w);
 }
 
 /// Every page of the version before was refused from the moment the limits fell, and nothing started any more.
@@ -246,7 +250,7 @@
         w.run(3_000);
         let wide: Vec<String> = (20..24).map(|n| format!("run-{n}")).collect();
         for id in &wide {
-            assert_eq!(w.submit(0, &array(id, 60), runs(40_000)), 201);
+            assert_eq!(w.submit(0, &array(id, 60), runs_for(40_000)), 201);
         }
         w.run(4_000);
         assert!(w.state.largest(PAGES) > 2048, "large pages are stored");
@@ -264,7 +268,7 @@
         assert_eq!(w.state.too_large, refused, "none is tried over and over");
         assert!(mark(&w) == GENERATION);
         assert!(w.state.largest(PAGES) <= 2048 || w.state.keys(JOBS).is_empty());
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -278,8 +282,8 @@
     w.run(3_000);
     // On the same page: tasks that stay, too many for it to be written anew in a small value, and tasks of which most
     // are placed only after the switch.
-    assert_eq!(w.submit(0, &array("run-1", 70), runs(120_000)), 201);
-    assert_eq!(w.submit(0, &array("run-2", 120), runs(9_000)), 201);
+    assert_eq!(w.submit(0, &array("run-1", 70), runs_for(120_000)), 201);
+    assert_eq!(w.submit(0, &array("run-2", 120), runs_for(9_000)), 201);
     w.run(6_000);
     assert_eq!(w.on_machines("run-2").len(), 30);
     w.start(2);
@@ -305,7 +309,7 @@
     assert!(w.until(120_000, |w| w.phase(0, "run-2") == Some(Phase::Done)));
     let twice: Vec<_> = starts(&w).into_iter().filter(|(_, n)| *n > 1).collect();
     assert!(twice.is_empty(), "{twice:?}");
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// If the limits fall though a node has never told, the refusal is the proof.
@@ -316,10 +320,10 @@
         w.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
     }
     w.run(3_000);
-    assert_eq!(w.submit(0, &array("run-1", 100), runs(20_000)), 201);
+    assert_eq!(w.submit(0, &array("run-1", 100), runs_for(20_000)), 201);
     w.run(4_000);
     w.lower_limits();
-    assert_eq!(w.submit(0, &array("run-2", 100), runs(5_000)), 201);
+    assert_eq!(w.submit(0, &array("run-2", 100), runs_for(5_000)), 201);
     assert!(
         w.until(8_000, |w| w.on_machines("run-2").len() >= 100),
         "starts go on"
@@ -330,7 +334,7 @@
         &["run-1".to_string(), "run-2".to_string()]
     ));
     assert!(w.state.too_large < 6, "{}", w.state.too_large);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -345,26 +349,26 @@
     };
     let mut w = rolling();
     // Written while old ones are about, and too large for what is to come.
-    assert_eq!(w.submit(0, &long("run-1", 30), runs(60_000)), 201);
-    assert_eq!(w.submit(0, &long("run-2", 30), runs(6_000)), 201);
+    assert_eq!(w.submit(0, &long("run-1", 30), runs_for(60_000)), 201);
+    assert_eq!(w.submit(0, &long("run-2", 30), runs_for(6_000)), 201);
     w.start(2);
     assert!(w.until(10_000, |w| mark(w) == GENERATION));
     w.lower_limits();
     assert_eq!(w.abort(1, "run-1"), Some(Phase::Aborted));
-    assert!(done(&mut w, "run-2", 20_000));
+    assert!(completes_within(&mut w, "run-2", 20_000));
     assert!(w.until(10_000, |w| w.state.keys(JOBS).is_empty()));
     assert_eq!(w.phase(2, "run-1"), Some(Phase::Aborted));
     // Now in parts: seen by the leader of today and by the next one.
-    assert_eq!(w.submit(0, &long("run-3", 30), runs(3_000)), 201);
-    assert_eq!(w.submit(0, &long("run-4", 30), runs(300_000)), 201);
+    assert_eq!(w.submit(0, &long("run-3", 30), runs_for(3_000)), 201);
+    assert_eq!(w.submit(0, &long("run-4", 30), runs_for(300_000)), 201);
     assert_eq!(w.state.keys(MORE).len(), 4);
     w.run(3_000);
     assert_eq!(w.on_machines("run-4").len(), 2);
     let old = w.leader().expect("leader");
     w.crash(old);
     w.start(old);
-    assert!(done(&mut w, "run-3", 20_000));
-    assert_eq!(w.submit(1, &long("run-4", 30), runs(0)), 200);
+    assert!(completes_within(&mut w, "run-3", 20_000));
+    assert_eq!(w.submit(1, &long("run-4", 30), runs_for(0)), 200);
     assert_eq!(w.abort(2, "run-4"), Some(Phase::Aborted));
     assert!(w.until(10_000, |w| w.state.keys(JOBS).is_empty()));
     assert!(w.state.keys(MORE).is_empty(), "they go with their job");
@@ -382,11 +386,11 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     assert!(w.until(20_000, |w| w.submit(
         0,
-        &after(array("run-6", 1), &names),
-        runs(500)
+        &with_dependencies(array("run-6", 1), &names),
+        runs_for(500)
     ) < 300));
-    assert!(done(&mut w, "run-6", 20_000));
-    clean(&w);
+    assert!(completes_within(&mut w, "run-6", 20_000));
+    assert_no_violations(&w);
 }
 
 /// What can't be read costs what it said, and nothing else: no process ends, and other work goes on.
@@ -413,18 +417,26 @@
     let ids: Vec<String> = (1..4).map(|n| format!("run-{n}")).collect();
     for id in &ids {
         let accepted =
-            |w: &mut World| (200..300).contains(&w.submit(1, &array(id, 2), runs(1_000)));
+            |w: &mut World| (200..300).contains(&w.submit(1, &array(id, 2), runs_for(1_000)));
         assert!(w.until(10_000, accepted), "{id}");
     }
     // Behind a job whose end can't be read nothing is known, so nothing is promised.
     assert_eq!(
-        w.submit(0, &after(array("run-4", 1), &["run-7"]), runs(100)),
+        w.submit(
+            0,
+            &with_dependencies(array("run-4", 1), &["run-7"]),
+            runs_for(100)
+        ),
         503
     );
     assert_eq!(
-        w.submit(0, &after(array("run-4", 1), &["run-9"]), runs(100)),
+        w.submit(
+            0,
+            &with_dependencies(array("run-4", 1), &["run-9"]),
+            runs_for(100)
+        ),
         503
     );
     assert!(all_over(&mut w, &ids));
-    clean(&w);
+    assert_no_violations(&w);
 }
