--- a/crates/control/tests/bad_input.rs
+++ b/crates/control/tests/bad_input.rs
@@ -62,7 +62,7 @@
 
 #[test]
 fn every_field_of_a_submission_is_refused_when_missing_or_wrong() {
-    let mut w = world(1, 1, 0.0);
+    let mut w = start_cluster(1, 1, 0.0);
     let optional = ["breeds", "valley", "due_s", "awaits"];
     let names: Vec<String> = fields(&complete_submission())
         .into_iter()
@@ -154,12 +154,12 @@
         is_unknown(&mut w, JOB_ID),
         "no refused submission was recorded"
     );
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
 fn fields_that_are_optional_or_not_known_yet_are_accepted() {
-    let mut w = world(1, 2, 0.0);
+    let mut w = start_cluster(1, 2, 0.0);
     let mut bodies = vec![with_field("added_later", Some(text_value("ignored")))];
     for name in ["breeds", "valley", "due_s", "awaits"] {
         bodies.push(with_field(name, None));
@@ -177,19 +177,19 @@
         };
         map.retain(|(name, _)| *name != text_value("id"));
         map.push((text_value("id"), text_value(&id)));
-        w.upload_job(&array_job(&id, 2), runs(500));
+        w.upload_job(&array_job(&id, 2), runs_for(500));
         let status = submit_body(&mut w, wire::encode(&Value::Map(map)));
         assert_eq!(status, 201, "{id}");
     }
-    assert!(done(&mut w, "run-100", 20_000));
+    assert!(completes_within(&mut w, "run-100", 20_000));
     let last = w.jobs.keys().last().cloned().expect("jobs");
-    assert!(done(&mut w, &last, 20_000));
-    clean(&w);
+    assert!(completes_within(&mut w, &last, 20_000));
+    assert_no_violations(&w);
 }
 
 #[test]
 fn a_job_that_can_never_run_is_refused_with_422_and_stays_unknown() {
-    let mut w = world(1, 1, 8.0);
+    let mut w = start_cluster(1, 1, 8.0);
     let job = || array_job(JOB_ID, 1);
     let changed_job = |change: fn(&mut Submission)| {
         let mut job = job();
@@ -226,9 +226,12 @@
         ("a gang over its team's limit", gang_job(JOB_ID, 3)),
         (
             "a dependency that was never submitted",
-            after(job(), &["run-999"]),
+            with_dependencies(job(), &["run-999"]),
+        ),
+        (
+            "a dependency on itself",
+            with_dependencies(job(), &[JOB_ID]),
         ),
-        ("a dependency on itself", after(job(), &[JOB_ID])),
     ];
     for (description, job) in impossible_jobs {
         assert_eq!(
@@ -248,14 +251,14 @@
         ..array_job("run-2", 9)
     };
     assert_eq!(submit_body(&mut w, wire::encode(&known)), 200);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
 fn a_cancellation_answers_done_for_a_completed_job_and_404_for_an_unknown_one() {
-    let mut w = world(3, 2, 0.0);
-    assert_eq!(w.submit(0, &array_job(JOB_ID, 2), runs(500)), 201);
-    assert!(done(&mut w, JOB_ID, 20_000));
+    let mut w = start_cluster(3, 2, 0.0);
+    assert_eq!(w.submit(0, &array_job(JOB_ID, 2), runs_for(500)), 201);
+    assert!(completes_within(&mut w, JOB_ID, 20_000));
     for node in 0..3 {
         assert_eq!(w.abort(node, JOB_ID), Some(Phase::Done), "node {node}");
         let (status, _) = w.send_and_wait(node, "POST", "/submissions/run-2/abort", vec![]);
@@ -284,13 +287,13 @@
             "{method} {target}"
         );
     }
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Records that another program left or that a later version writes must not stop the work on other jobs.
 #[test]
 fn unreadable_records_stop_no_other_work() {
-    let mut w = world(3, 2, 0.0);
+    let mut w = start_cluster(3, 2, 0.0);
     let unreadable = "not a record";
     w.state_service.write(&job_key("run-7"), &unreadable, None);
     w.state_service
@@ -307,8 +310,8 @@
             }
         }
         let id = format!("run-1{round}");
-        assert_eq!(w.submit(leader, &array_job(&id, 4), runs(500)), 201);
-        assert!(done(&mut w, &id, 20_000), "round {round}");
+        assert_eq!(w.submit(leader, &array_job(&id, 4), runs_for(500)), 201);
+        assert!(completes_within(&mut w, &id, 20_000), "round {round}");
         // The next leader has to read all records, including the unreadable ones.
         w.crash(leader);
         assert!(w.run_until(6_000, |w| w.leader().is_some()));
@@ -320,7 +323,7 @@
         assert_eq!(w.send_and_wait(0, "POST", "/v1/report", body).0, 400);
     }
     assert!(w.leader().is_some());
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -341,14 +344,17 @@
         settings.validate().expect("valid");
         settings
     };
-    let mut w = cluster(5, 9, settings);
+    let mut w = start_cluster_with(5, 9, settings);
     for n in 0..10 {
         let job = array_job(&format!("run-{n}"), 6);
-        assert_eq!(w.submit(n % 5, &job, runs(2_000)), 201);
+        assert_eq!(w.submit(n % 5, &job, runs_for(2_000)), 201);
     }
     for n in 0..10 {
-        assert!(done(&mut w, &format!("run-{n}"), 30_000), "job {n}");
+        assert!(
+            completes_within(&mut w, &format!("run-{n}"), 30_000),
+            "job {n}"
+        );
     }
     assert_eq!(w.state_service.throttled_requests, 0);
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/cancellations.rs
+++ b/crates/control/tests/cancellations.rs
@@ -13,7 +13,7 @@
 /// Submits a job whose tasks run for minutes, and waits until all of them are on machines.
 fn start_long_job(w: &mut World, id: &str, tasks: u64) {
     assert_eq!(
-        w.submit(follower(w), &array_job(id, tasks), runs(600_000)),
+        w.submit(follower(w), &array_job(id, tasks), runs_for(600_000)),
         201
     );
     assert!(w.run_until(10_000, |w| w.placed_tasks(id).len() as u64 == tasks));
@@ -22,7 +22,7 @@
 /// A cluster in which a job was cancelled through a follower while the leader, whose index is returned, can't read the
 /// open jobs, though its other requests are answered, and receives nothing from its peers.
 fn cluster_with_unread_cancellation() -> (World, usize) {
-    let mut w = world(3, 2, 0.0);
+    let mut w = start_cluster(3, 2, 0.0);
     let leader = w.leader().expect("leader");
     let other_node = follower(&w);
     start_long_job(&mut w, "run-1", 2);
@@ -48,7 +48,7 @@
 #[test]
 fn cancellations_between_a_refused_leader_and_an_outage_are_carried_out() {
     for wait_ms in [200, 900, 1_700, 2_600] {
-        let mut w = world(3, 4, 0.0);
+        let mut w = start_cluster(3, 4, 0.0);
         let old_leader = w.leader().expect("leader");
         let other_node = follower(&w);
         for id in ["run-1", "run-2", "run-3"] {
@@ -72,7 +72,7 @@
             3,
             "leases are renewed after {wait_ms} ms"
         );
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -91,7 +91,7 @@
     w.state_service_down = true;
     w.run_for(CANCEL_DEADLINE_MS);
     assert!(w.placed_tasks("run-1").is_empty());
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Without an outage, too, a leader must not keep renewing the leases of tasks whose records it can't read.
@@ -103,14 +103,14 @@
     w.isolated_from_peers.clear();
     (w.fail_watches, w.fail_lists) = (false, false);
     assert!(w.run_until(20_000, |w| w.phase(leader, "run-1") == Some(Phase::Aborted)));
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// A leader that had not yet read its records renewed, with its answers, the leases of tasks that it did not know.
 #[test]
 fn a_leader_that_has_yet_to_read_its_records_renews_no_worker_lease() {
     for steps in [0, 3, 6, 9] {
-        let mut w = world(3, 3, 0.0);
+        let mut w = start_cluster(3, 3, 0.0);
         let old_leader = w.leader().expect("leader");
         let other_node = follower(&w);
         start_long_job(&mut w, "run-1", 3);
@@ -127,7 +127,7 @@
         w.refused_by_state_service.clear();
         w.run_for(20_000);
         assert_eq!(w.phase(other_node, "run-1"), Some(Phase::Aborted));
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -135,7 +135,7 @@
 #[test]
 fn a_notification_that_arrives_while_the_records_are_read_takes_effect() {
     for steps in 0..16 {
-        let mut w = world(3, 3, 0.0);
+        let mut w = start_cluster(3, 3, 0.0);
         let old_leader = w.leader().expect("leader");
         start_long_job(&mut w, "run-1", 3);
         w.refused_by_state_service.insert(old_leader);
@@ -151,7 +151,7 @@
         w.state_service_down = true;
         w.run_for(CANCEL_DEADLINE_MS);
         assert!(w.placed_tasks("run-1").is_empty(), "after {steps} steps");
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -185,13 +185,13 @@
         .receives_nothing = true;
     w.run_for(20_000);
     assert!(w.placed_tasks("run-1").is_empty());
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// A node that was told of a cancellation answers with it at once, without the state service, and never reverts it.
 #[test]
 fn every_node_answers_a_cancellation_as_soon_as_one_has_confirmed_it() {
-    let mut w = world(3, 2, 0.0);
+    let mut w = start_cluster(3, 2, 0.0);
     start_long_job(&mut w, "run-1", 2);
     assert_eq!(w.abort(1, "run-1"), Some(Phase::Aborted));
     w.run_for(20);
@@ -199,7 +199,7 @@
     for node in 0..3 {
         assert_eq!(w.phase(node, "run-1"), Some(Phase::Aborted));
         assert_eq!(w.abort(node, "run-1"), Some(Phase::Aborted));
-        assert_eq!(w.submit(node, &array_job("run-1", 2), runs(1)), 200);
+        assert_eq!(w.submit(node, &array_job("run-1", 2), runs_for(1)), 200);
     }
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/failing_jobs.rs
+++ b/crates/control/tests/failing_jobs.rs
@@ -15,7 +15,7 @@
 
 /// A simulated cluster that keeps idle machines, with two teams.
 fn two_team_cluster(nodes: usize) -> World {
-    cluster(nodes, MACHINES, |i| {
+    start_cluster_with(nodes, MACHINES, |i| {
         let mut settings = settings(i, nodes, 0.0);
         settings.deployment.objectives[0].kind = "guarantee".into();
         settings.deployment.teams = vec![team("t", TEAM_GPUS), team("u", 0.0)];
@@ -27,7 +27,7 @@
 fn failing_behaviour() -> TaskBehaviour {
     TaskBehaviour {
         fails_after_run: true,
-        ..runs(2_000)
+        ..runs_for(2_000)
     }
 }
 
@@ -57,14 +57,14 @@
 fn assert_all_machines_are_used(w: &mut World, id: &str, busy_gpus: usize) {
     assert_eq!(returned_machines(w), Vec::<String>::new());
     let job = of_team("u", array_job(id, (CLUSTER_GPUS - busy_gpus) as u64));
-    assert_eq!(w.submit(0, &job, runs(20_000)), 201);
+    assert_eq!(w.submit(0, &job, runs_for(20_000)), 201);
     let all_placed = |w: &mut World| w.placed_tasks(id).len() == CLUSTER_GPUS - busy_gpus;
     assert!(
         w.run_until(15_000, all_placed),
         "{}",
         w.placed_tasks(id).len()
     );
-    assert!(done(w, id, 60_000));
+    assert!(completes_within(w, id, 60_000));
 }
 
 #[test]
@@ -110,8 +110,11 @@
                 let team = ["t", "u"][second / 10 % 2];
                 let id = format!("run-{}", 100 + 10 * minute + second / 10);
                 let job = of_team(team, array_job(&id, 2));
-                assert_eq!(w.submit(0, &job, runs(1_000)), 201);
-                assert!(done(&mut w, &id, 9_000), "minute {minute}, second {second}");
+                assert_eq!(w.submit(0, &job, runs_for(1_000)), 201);
+                assert!(
+                    completes_within(&mut w, &id, 9_000),
+                    "minute {minute}, second {second}"
+                );
             }
             w.run_for(1_000);
             if minute > 0 {
@@ -141,7 +144,7 @@
     let writes_with_failing_jobs = count_writes(&mut w, 120_000);
     let [single_starts, array_starts, gang_starts] = ids.map(|id| start_count(&w, id));
     for id in ids {
-        let timed: u32 = parts(&w)
+        let timed: u32 = recorded_page_entries(&w)
             .iter()
             .filter(|entry| entry.job == id)
             .map(|entry| entry.chunk.timed_tasks)
@@ -168,7 +171,7 @@
         [single_starts, array_starts, gang_starts],
         "never started again"
     );
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Two of the jobs had failed on each machine before any job had failed on a third machine, so that all machines were
@@ -184,11 +187,11 @@
         let team = ["t", "u"][n % 2];
         let id = format!("run-{}", 200 + n);
         let job = of_team(team, array_job(&id, 2));
-        assert_eq!(w.submit(0, &job, runs(1_000)), 201);
-        assert!(done(&mut w, &id, 9_000), "{id}");
+        assert_eq!(w.submit(0, &job, runs_for(1_000)), 201);
+        assert!(completes_within(&mut w, &id, 9_000), "{id}");
     }
     assert_all_machines_are_used(&mut w, "run-50", 0);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// A new leader did not know of earlier failures: all failing jobs started again with short backoffs, large arrays with
@@ -206,7 +209,7 @@
     }
     // The tasks of a healthy job keep running under the new leader.
     let healthy_job = of_team("u", array_job("run-3", 8));
-    assert_eq!(w.submit(0, &healthy_job, runs(600_000)), 201);
+    assert_eq!(w.submit(0, &healthy_job, runs_for(600_000)), 201);
     w.run_for(200_000);
     let placed = w.placed_tasks("run-3");
     let start_counts = |w: &World| {
@@ -233,7 +236,7 @@
     w.start(leader);
     w.run_for(4_000);
     assert_all_machines_are_used(&mut w, "run-50", 8);
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// A faulty machine is recognized by jobs that succeed elsewhere, also in the presence of jobs that fail everywhere.
@@ -251,7 +254,7 @@
     let mut starts_there = 0;
     for n in 0..40 {
         let job = of_team("u", array_job(&format!("run-{}", 200 + n), 4));
-        assert_eq!(w.submit(0, &job, runs(8_000)), 201);
+        assert_eq!(w.submit(0, &job, runs_for(8_000)), 201);
         w.run_for(2_000);
         let there = w.workers.get("vm-000003").map(|m| m.started_attempts.len());
         starts_there = there.unwrap_or(starts_there);
@@ -263,6 +266,6 @@
     );
     assert!(starts_there <= 24, "{starts_there} starts there");
     let last = "run-239";
-    assert!(done(&mut w, last, 40_000));
-    clean(&w);
+    assert!(completes_within(&mut w, last, 40_000));
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/four_thousand_machines.rs
+++ b/crates/control/tests/four_thousand_machines.rs
@@ -54,13 +54,13 @@
     w.run_for(12_000);
     for number in 0..RUNNING_JOBS {
         let job = array_job(&running_id(number), TASKS_PER_JOB);
-        w.upload_job(&job, runs(600_000));
+        w.upload_job(&job, runs_for(600_000));
         record_open_job(&mut w, job);
     }
     for number in 0..WAITING_JOBS {
         let mut job = array_job(&waiting_id(number), 1);
         job.zone = Some("c".into());
-        w.upload_job(&job, runs(1_000));
+        w.upload_job(&job, runs_for(1_000));
         record_open_job(&mut w, job);
     }
     let running_tasks = RUNNING_JOBS * TASKS_PER_JOB as usize;
@@ -124,7 +124,7 @@
     assert!(w.run_until(60_000, |w| w.served_list_pages
         >= pages_before + pages_per_list));
     assert_eq!(w.workers.len(), MACHINES, "no machine was returned");
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -152,5 +152,5 @@
     }
     let requests = w.state_service.request_counts.since(&counts_before);
     assert!(requests.reads_and_comparisons() < 60, "{requests:?}");
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/guest_teams.rs
+++ b/crates/control/tests/guest_teams.rs
@@ -24,7 +24,7 @@
 
 /// A simulated cluster that keeps idle machines, with two teams that have guarantees and a guest team.
 fn cluster_with_guest() -> World {
-    cluster(1, MACHINES, |i| {
+    start_cluster_with(1, MACHINES, |i| {
         let mut settings = settings(i, 1, 0.0);
         settings.deployment.objectives[0].kind = "guarantee".into();
         settings.deployment.teams = vec![
@@ -56,14 +56,14 @@
 fn guest_tasks_are_preempted_for_a_guarantee_and_not_vice_versa() {
     let mut w = cluster_with_guest();
     let guest_job = of_team("guest", array_job("run-1", 64));
-    assert_eq!(w.submit(0, &guest_job, runs(300_000)), 201);
+    assert_eq!(w.submit(0, &guest_job, runs_for(300_000)), 201);
     assert!(w.run_until(10_000, |w| w.placed_tasks("run-1").len() == 32));
     // The guest uses the whole cluster. Each other team gets its guarantee within seconds, and no more.
     // (Arrays of more than seven tasks would wait for their pilot tasks first, which preempt nothing.)
     for n in 0..3 {
         for (first_id, name) in [(10, "t"), (20, "u")] {
             let job = of_team(name, array_job(&format!("run-{}", first_id + n), 6));
-            assert_eq!(w.submit(0, &job, runs(120_000)), 201);
+            assert_eq!(w.submit(0, &job, runs_for(120_000)), 201);
         }
     }
     let have_guarantees =
@@ -75,10 +75,10 @@
         due_s: Some(30.0),
         ..of_team("guest", array_job("run-4", 8))
     };
-    assert_eq!(w.submit(0, &job_with_deadline, runs(5_000)), 201);
+    assert_eq!(w.submit(0, &job_with_deadline, runs_for(5_000)), 201);
     let behaviour = TaskBehaviour {
         gang_size: 2,
-        ..runs(5_000)
+        ..runs_for(5_000)
     };
     let guest_gang = of_team("guest", gang_job("run-5", 2));
     assert_eq!(w.submit(0, &guest_gang, behaviour), 201);
@@ -89,7 +89,7 @@
         [12, 12],
         "no task was preempted"
     );
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 /// Number of jobs of a team that are not final.
@@ -125,7 +125,7 @@
             estimated_run_s: 30.0,
             ..array_job(&format!("run-{}", 100 + n), 6)
         };
-        submit(&mut w, job, runs(30_000));
+        submit(&mut w, job, runs_for(30_000));
     }
     let small_tasks = |id: &str, tasks: u64| Submission {
         cpus: 0.25,
@@ -134,11 +134,11 @@
         estimated_run_s: 5.0,
         ..array_job(id, tasks)
     };
-    submit(&mut w, small_tasks("run-200", 5_000), runs(5_000));
+    submit(&mut w, small_tasks("run-200", 5_000), runs_for(5_000));
     for n in 0..4 {
         let gang_behaviour = TaskBehaviour {
             gang_size: 2,
-            ..runs(15_000)
+            ..runs_for(15_000)
         };
         let job = gang_job(&format!("run-{}", 300 + n), 2);
         submit(&mut w, job, gang_behaviour);
@@ -147,7 +147,7 @@
         submit(
             &mut w,
             small_tasks(&format!("run-{}", 400 + n), 1),
-            runs(3_000),
+            runs_for(3_000),
         );
     }
     // Both teams request more than their guarantees throughout, in jobs of eight tasks of 10 s.
@@ -156,7 +156,7 @@
         for name in ["t", "u"] {
             while open_job_count(&w, name) < 3 {
                 let job = of_team(name, array_job(&format!("run-{next_job}"), 8));
-                assert_eq!(w.submit(0, &job, runs(10_000)), 201);
+                assert_eq!(w.submit(0, &job, runs_for(10_000)), 201);
                 next_job += 1;
             }
         }
@@ -194,5 +194,5 @@
             "{started} tasks of {name}"
         );
     }
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/large_arrays.rs
+++ b/crates/control/tests/large_arrays.rs
@@ -18,7 +18,7 @@
 /// A simulated cluster that keeps idle machines, with two teams and a stopwatch that counts its readings: a scheduling
 /// round reads it once for each decision.
 fn cluster_with_stopwatch(stopwatch: fn() -> u64) -> World {
-    let mut w = cluster(1, MACHINES, |i| {
+    let mut w = start_cluster_with(1, MACHINES, |i| {
         let mut settings = settings(i, 1, 0.0);
         settings.deployment.objectives[0].kind = "guarantee".into();
         settings.deployment.teams = vec![team("t", 0.0), team("u", 0.0)];
@@ -45,8 +45,8 @@
 /// Submits a single small task of another team and asserts that it is done within `within_ms`.
 fn assert_small_task_is_done(w: &mut World, id: &str, within_ms: u64) {
     let job = of_team("u", small_tasks(id, 1));
-    assert_eq!(w.submit(0, &job, runs(1_000)), 201);
-    assert!(done(w, id, within_ms), "{id}");
+    assert_eq!(w.submit(0, &job, runs_for(1_000)), 201);
+    assert!(completes_within(w, id, within_ms), "{id}");
 }
 
 #[test]
@@ -56,7 +56,7 @@
     let (writes_before, bytes_before) =
         (w.state_service.write_count, w.state_service.written_bytes);
     assert_eq!(
-        w.submit(0, &small_tasks("run-1", ARRAY_TASKS), runs(5_000)),
+        w.submit(0, &small_tasks("run-1", ARRAY_TASKS), runs_for(5_000)),
         201
     );
     w.run_for(3_000);
@@ -76,7 +76,7 @@
         );
         assert!(w.placed_tasks("run-1").len() <= MACHINES * 128);
     }
-    let tasks_done: u64 = parts(&w)
+    let tasks_done: u64 = recorded_page_entries(&w)
         .iter()
         .filter(|entry| entry.job == "run-1")
         .map(|entry| {
@@ -101,7 +101,7 @@
         bytes_per_write <= 2_048,
         "{bytes_per_write} bytes per write"
     );
-    clean(&w);
+    assert_no_violations(&w);
 }
 
 #[test]
@@ -112,7 +112,7 @@
     for n in 0..ONE_TASK_JOBS {
         let id = format!("run-{}", 1_000 + n);
         let body = wire::encode(&small_tasks(&id, 1));
-        w.upload_job(&small_tasks(&id, 1), runs(3_000));
+        w.upload_job(&small_tasks(&id, 1), runs_for(3_000));
         w.send_user_request(0, "POST", "/submissions", body);
         w.run_for(120);
         if n % 80 == 40 {
@@ -129,5 +129,5 @@
     );
     let writes = w.state_service.write_count - writes_before;
     assert!(writes <= 1_600, "{writes} writes for {ONE_TASK_JOBS} jobs");
-    clean(&w);
+    assert_no_violations(&w);
 }
--- a/crates/control/tests/node_wakeup.rs
+++ b/crates/control/tests/node_wakeup.rs
@@ -50,7 +50,7 @@
 fn a_resumed_leader_starts_no_task_of_a_job_cancelled_while_it_was_frozen() {
     for freeze_ms in [1_500, 2_000, 2_600, 3_500] {
         for offset in 0..24 {
-            let mut w = world(3, 4, 0.0);
+            let mut w = start_cluster(3, 4, 0.0);
             let leader = w.leader().expect("leader");
             let [first, second] = other_nodes(leader);
             // Renewals of the leader's lease are answered late, too.
@@ -58,7 +58,7 @@
             let slow_ms = if offset < 10 { 0 } else { 400 };
             w.faults.max_state_response_delay_ms.insert(leader, slow_ms);
             assert_eq!(
-                w.submit(first, &whole_machine_job("run-1", 4), runs(LONG_RUN_MS)),
+                w.submit(first, &whole_machine_job("run-1", 4), runs_for(LONG_RUN_MS)),
                 201
             );
             w.run_for(10 * (offset % 12));
@@ -74,7 +74,7 @@
             );
             w.run_for(15_000);
             assert!(w.placed_tasks("run-1").is_empty());
-            clean(&w);
+            assert_no_violations(&w);
         }
     }
 }
@@ -93,11 +93,11 @@
 #[test]
 fn replies_that_waited_prove_nothing_later_than_the_time_they_were_sent() {
     for (freeze_ms, offset) in [(8_000, 0), (8_000, 1_000), (8_000, 2_000), (4_000, 500)] {
-        let mut w = world(3, 2, 0.0);
+        let mut w = start_cluster(3, 2, 0.0);
         let leader = w.leader().expect("leader");
         let [first, second] = other_nodes(leader);
         assert_eq!(
-            w.submit(first, &array_job("run-1", 8), runs(LONG_RUN_MS)),
+            w.submit(first, &array_job("run-1", 8), runs_for(LONG_RUN_MS)),
             201
         );
         assert!(w.run_until(8_000, |w| w.placed_tasks("run-1").len() == 8));
@@ -117,7 +117,7 @@
         assert_eq!(w.placed_tasks("run-1").len(), 8, "not ended so far, {case}");
         w.run_for(40_000);
         assert!(w.placed_tasks("run-1").is_empty(), "{case}");
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -126,7 +126,7 @@
 #[test]
 fn a_resumed_follower_redirects_no_worker_to_a_former_leader() {
     for offset in 0..8 {
-        let mut w = world(3, 0, 0.0);
+        let mut w = start_cluster(3, 0, 0.0);
         let old_leader = w.leader().expect("leader");
         let [first, _] = other_nodes(old_leader);
         // The answer takes some time, so that it is in transit when the node is frozen.
@@ -148,7 +148,7 @@
             .ok()
             .and_then(|redirect| redirect.controller);
         assert_eq!((status, named_leader), (421, None), "offset {offset}");
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -165,7 +165,7 @@
     ];
     for (freeze_ms, frozen) in frozen {
         for offset in [0, 1, 3, 6] {
-            let mut w = world(3, 2, 0.0);
+            let mut w = start_cluster(3, 2, 0.0);
             let leader = w.leader().expect("leader");
             let [first, second] = other_nodes(leader);
             let node = match frozen {
@@ -173,14 +173,14 @@
                 FrozenNode::Follower | FrozenNode::Forwarding => first,
             };
             assert_eq!(
-                w.submit(second, &array_job("run-1", 1), runs(LONG_RUN_MS)),
+                w.submit(second, &array_job("run-1", 1), runs_for(LONG_RUN_MS)),
                 201
             );
             if frozen == FrozenNode::Forwarding {
                 w.refused_by_state_service.insert(node);
             }
             w.run_for(4_000);
-            w.upload_job(&array_job("run-2", 1), runs(LONG_RUN_MS));
+            w.upload_job(&array_job("run-2", 1), runs_for(LONG_RUN_MS));
             let body = wire::encode(&array_job("run-2", 1));
             let poll = w.send_user_request(node, "GET", "/submissions/run-1", vec![]);
             let submission = w.send_user_request(node, "POST", "/submissions", body);
@@ -210,9 +210,9 @@
             w.refused_by_state_service.clear();
             w.run_for(2_000);
             assert_eq!(w.phase(node, "run-1"), Some(Phase::Aborted), "{case}");
-            let again = w.submit(node, &array_job("run-2", 1), runs(LONG_RUN_MS));
+            let again = w.submit(node, &array_job("run-2", 1), runs_for(LONG_RUN_MS));
             assert!(matches!(again, 200 | 201), "{case}: {again}");
-            clean(&w);
+            assert_no_violations(&w);
         }
     }
 }
@@ -228,11 +228,11 @@
         (65_000, false, false),
         (65_000, false, true),
     ] {
-        let mut w = world(3, 6, 0.0);
+        let mut w = start_cluster(3, 6, 0.0);
         w.cloud_capacity = 6;
         let leader = w.leader().expect("leader");
         assert_eq!(
-            w.submit(leader, &array_job("run-1", 24), runs(LONG_RUN_MS)),
+            w.submit(leader, &array_job("run-1", 24), runs_for(LONG_RUN_MS)),
             201
         );
         assert!(w.run_until(8_000, |w| w.placed_tasks("run-1").len() == 24));
@@ -258,7 +258,7 @@
         let lost_worker = w.workers.get_mut("vm-000000").expect("worker");
         lost_worker.disconnected_until = u64::MAX;
         assert!(w.run_until(60_000, |w| !w.workers.contains_key("vm-000000")));
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
 
@@ -267,8 +267,11 @@
 #[test]
 fn freezes_across_elections_cancellations_and_completions_violate_no_rule() {
     for freeze_ms in [2_000, 3_200, 20_000, 61_000] {
-        let mut w = world(3, 12, 0.0);
-        assert_eq!(w.submit(0, &array_job("run-1", 12), runs(LONG_RUN_MS)), 201);
+        let mut w = start_cluster(3, 12, 0.0);
+        assert_eq!(
+            w.submit(0, &array_job("run-1", 12), runs_for(LONG_RUN_MS)),
+            201
+        );
         assert!(w.run_until(8_000, |w| w.placed_tasks("run-1").len() == 12));
         let mut placed_before = w.placed_tasks("run-1");
         placed_before.sort();
@@ -276,9 +279,12 @@
             let leader = w.leader().expect("leader");
             let [first, second] = other_nodes(leader);
             let (short_job, cancelled_job) = (format!("run-{round}1"), format!("run-{round}2"));
-            assert_eq!(w.submit(first, &array_job(&short_job, 6), runs(3_000)), 201);
             assert_eq!(
-                w.submit(leader, &array_job(&cancelled_job, 6), runs(LONG_RUN_MS)),
+                w.submit(first, &array_job(&short_job, 6), runs_for(3_000)),
+                201
+            );
+            assert_eq!(
+                w.submit(leader, &array_job(&cancelled_job, 6), runs_for(LONG_RUN_MS)),
                 201
             );
             w.run_for(150 + 900 * round);
@@ -299,6 +305,6 @@
             "healthy tasks kept running, {freeze_ms}"
         );
         assert!(w.rules.late_starts.is_empty(), "{:?}", w.rules.late_starts);
-        clean(&w);
+        assert_no_violations(&w);
     }
 }
--- a/crates/control/tests/one_sided_cuts.rs
+++ b/crates/control/tests/one_sided_cuts.rs
@@ -47,7 +47,7 @@
 /// Submits a job to one node after another until one accepts it, as users do.
 fn submit_anywhere(w: &mut World, id: &str, run_ms: u64) {
     let accepted = (0..30).any(|n| {
-        let status = w.submit(n % 3, &array_job(id, 2), runs(run_ms));
+        let status = w.submit(n % 3, &array_job(id, 2), runs_for(run_ms));
         w.run_for(300);
         matches!(status, 200 | 201)
     });
@@ -86,9 +86,12 @@
     ];
     for (fault, max_new_terms) in faults {
         for of_leader in [true, false] {
-            let mut w = world(3, 4, 0.0);
+            let mut w = start_cluster(3, 4, 0.0);
             let leader = w.leader().expect("leader");
-            assert_eq!(w.submit(leader, &array_job("run-1", 4), runs(150_000)), 201);
+            assert_eq!(
+                w.submit(leader, &array_job("run-1", 4), runs_for(150_000)),
+                201
+            );
             assert!(w.run_until(8_000, |w| w.placed_tasks("run-1").len() == 4));
             let node = if of_leader { leader } else { (leader + 1) % 3 };
             let first_term = leader_term(&w);
@@ -114,10 +117,11 @@
             );
             w.end_faults();
             assert!(
-                done(&mut w, "run-2", 30_000) && done(&mut w, "run-1", 200_000),
+                completes_within(&mut w, "run-2", 30_000)
+                    && completes_within(&mut w, "run-1", 200_000),
                 "{case}"
             );
-            clean(&w);
+            assert_no_violations(&w);
         }
     }
 }
@@ -144,7 +148,7 @@
     ];
     for faults in fault_sets {
         for rotation in 0..3 {
-            let mut w = world(3, 4, 0.0);
+            let mut w = start_cluster(3, 4, 0.0);
             let leader = w.leader().expect("leader");
             let first_term = leader_term(&w);
             for (n, fault) in faults.into_iter().enumerate() {
@@ -170,8 +174,8 @@
                 "{case}: leadership changed again"
             );
             w.end_faults();
-            assert!(done(&mut w, "run-1", 30_000), "{case}");
-            clean(&w);
+            assert!(completes_within(&mut w, "run-1", 30_000), "{case}");
+            assert_no_violations(&w);
         }
     }
 }
@@ -185,7 +189,7 @@
         ConnectionFault::ResponsesLost,
         ConnectionFault::Refused,
     ] {
-        let mut w = world(3, 4, 0.0);
+        let mut w = start_cluster(3, 4, 0.0);
         let first_term = leader_term(&w);
         for node in 0..3 {
             start_fault(&mut w, node, Connection(Party::Workers, fault));
@@ -198,10 +202,10 @@
         assert!(new_terms <= 3, "{fault:?}: {new_terms} terms");
         w.end_faults();
         submit_anywhere(&mut w, "run-1", 5_000);
-        assert!(done(&mut w, "run-1", 30_000), "{fault:?}");
-        clean(&w);
+        assert!(completes_within(&mut w, "run-1", 30_000), "{fault:?}");
+        assert_no_violations(&w);
     }
-    let mut w = world(3, 0, 0.0);
+    let mut w = start_cluster(3, 0, 0.0);
     let first_term = leader_term(&w);
     w.run_for(300_000);
     assert_eq!(leader_term(&w), first_term, "without machines");
--- a/crates/control/tests/partitions.rs
+++ b/crates/control/tests/partitions.rs
@@ -168,7 +168,7 @@
     let job = array_job(id, 4 * MACHINE_COUNT as u64);
     let accepted = |world: &mut World| {
         let node = running_node(world);
-        world.submit(node, &job, runs(run_ms)) == 201
+        world.submit(node, &job, runs_for(run_ms)) == 201
     };
     assert!(world.run_until(10_000, accepted), "{id} is accepted");
 }
@@ -235,7 +235,7 @@
         "{:?}",
         partition_counts(world)
     );
-    clean(world);
+    assert_no_violations(world);
 }
 
 /// Asserts that the jobs end as expected and that no rule was broken.
@@ -259,7 +259,7 @@
     for id in cancelled {
         assert_eq!(outcome(world, id), Some(JobOutcome::Aborted), "{id}");
     }
-    clean(world);
+    assert_no_violations(world);
 }
 
 /// Asserts that no start was executed well after the cancellation of its job was confirmed.
@@ -333,9 +333,9 @@
     }
     assert!(world.run_until(10_000, |world| world.leader().is_some()));
     submit_job_on_all_machines(&mut world, "run-1", 20_000);
-    assert!(done(&mut world, "run-1", 120_000));
+    assert!(completes_within(&mut world, "run-1", 120_000));
     assert_eq!(steady_machine_count(&world), 0);
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 /// Partitions move while the tasks of a gang wait for each other on machines of the old, the new and
@@ -348,7 +348,7 @@
         let behaviour = TaskBehaviour {
             gang_size: 6,
             image_fetch_ms: 900,
-            ..runs(20_000)
+            ..runs_for(20_000)
         };
         assert_eq!(world.submit(0, &job, behaviour), 201);
         world.run_for(offset);
@@ -648,7 +648,7 @@
         assert_eq!(answered, Some(JobPhase::Aborted));
         world.state_service_down = true;
         world.run_for(60_000);
-        clean(&world);
+        assert_no_violations(&world);
         assert_recovery(&mut world, &[], &["run-1"]);
         assert_no_late_start(&world);
     }
@@ -668,7 +668,7 @@
         let id = format!("run-{}", 100 + number);
         let mut job = array_job(&id, 2);
         job.priority = wire::users::Priority::Critical;
-        assert_eq!(world.submit(follower, &job, runs(8_000)), 201);
+        assert_eq!(world.submit(follower, &job, runs_for(8_000)), 201);
         world.run_for(60 + 20 * number);
         world.refused_by_state_service.insert(leader);
         world.run_for(2_200);
@@ -680,7 +680,7 @@
     }
     assert!(slowest < 7_000, "{slowest} ms until the start");
     world.end_faults();
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -701,7 +701,7 @@
             let mut job = array_job(&id, 3);
             job.priority = wire::users::Priority::Critical;
             let node = running_node(&world);
-            assert_eq!(world.submit(node, &job, runs(2_000)), 201);
+            assert_eq!(world.submit(node, &job, runs_for(2_000)), 201);
             for machine in world.workers.values_mut() {
                 machine.responses_to_lose = u32::from(number % 3 == 0);
             }
@@ -884,7 +884,7 @@
     assert_ne!(recorded_owners(&world)[0].0, "n1");
     world.start(1);
     assert!(world.run_until(120_000, |world| recorded_owners(world)[0].0 == "n1"));
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 /// While a controller has not announced the feature level of partitions, no controller is granted any,
@@ -930,7 +930,7 @@
         world.workers.values().filter(|m| m.incarnation > 1).count(),
         0
     );
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 /// Partitions move repeatedly under load while controllers crash and connections fail. Each job must
@@ -1033,7 +1033,7 @@
     };
     let behaviour = TaskBehaviour {
         gang_size: if is_gang { job.tasks as u32 } else { 0 },
-        ..runs(rng.u64(2_000..40_000))
+        ..runs_for(rng.u64(2_000..40_000))
     };
     let submit = |world: &mut World| {
         let node = running_node(world);
--- a/crates/control/tests/staged_upgrades.rs
+++ b/crates/control/tests/staged_upgrades.rs
@@ -137,12 +137,14 @@
             self.submitted += 1;
             let job = match kind {
                 0 => gang_job(&id, 2),
-                1 if with_pipelines => after(array_job(&id, 2), &[&format!("run-{}", 100 + first)]),
+                1 if with_pipelines => {
+                    with_dependencies(array_job(&id, 2), &[&format!("run-{}", 100 + first)])
+                }
                 _ => array_job(&id, 5),
             };
             let behaviour = fakes::TaskBehaviour {
                 gang_size: if kind == 0 { 2 } else { 0 },
-                ..runs(3_000)
+                ..runs_for(3_000)
             };
             let accepted = |world: &mut World| {
                 (0..NODE_COUNT).any(|node| {
@@ -208,7 +210,7 @@
         let twice: Vec<_> = starts.iter().filter(|(_, n)| **n > 1).collect();
         assert!(twice.is_empty(), "{twice:?}");
         assert_eq!(world.workers.len(), 6, "a machine was returned");
-        clean(world);
+        assert_no_violations(world);
     }
 }
 
@@ -513,7 +515,7 @@
         "{:?}",
         level_record(&world)
     );
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -522,7 +524,7 @@
     world.run_for(60_000);
     assert_eq!((active_level(&world), finalized_level(&world)), (2, 0));
     assert!(!term_record(&world).fenced);
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -542,7 +544,7 @@
     );
     assert_eq!(world.state_service.version(CLUSTER_LEVEL_KEY), version);
     assert_eq!(world.send_and_wait(1, "GET", "/ready", vec![]).0, 503);
-    assert_eq!(world.submit(1, &array_job("run-1", 1), runs(100)), 503);
+    assert_eq!(world.submit(1, &array_job("run-1", 1), runs_for(100)), 503);
     // The old build does not lead even if it is the only controller not_upgraded.
     world.crash(0);
     world.crash(2);
@@ -650,7 +652,7 @@
         level_record(&world)
     );
     assert_eq!(level_record(&world).pause, None);
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -682,7 +684,7 @@
         "{:?}",
         level_record(&world)
     );
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -802,7 +804,7 @@
     world.run_for(12_000);
     assert_eq!(world.leader(), None);
     assert_eq!(world.send_and_wait(0, "GET", "/ready", vec![]).0, 503);
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -845,7 +847,7 @@
         "{:?}",
         level_record(&world)
     );
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 /// A cluster of five controllers whose level 1 is final.
@@ -905,7 +907,7 @@
             );
             let elections = term_record(&world).term - before;
             assert!(elections <= 2, "{order:?} {orderly}: {elections} elections");
-            clean(&world);
+            assert_no_violations(&world);
         }
     }
 }
@@ -956,7 +958,7 @@
         zone: Some("c".into()),
         ..job
     };
-    world.upload_job(&job, runs(100));
+    world.upload_job(&job, runs_for(100));
     let newer = NewerJob {
         spec: job,
         at: 1_700_000_000_000,
--- a/crates/control/tests/unknown_ids.rs
+++ b/crates/control/tests/unknown_ids.rs
@@ -12,13 +12,13 @@
 fn a_404_that_a_submission_at_the_same_node_overtook_is_checked_again() {
     let mut overtaken = 0;
     for seed in 0..24 {
-        let mut w = world(3, 1, 0.0);
+        let mut w = start_cluster(3, 1, 0.0);
         w.seed(seed);
         w.faults.max_state_response_delay_ms = (0..3).map(|n| (n, 900)).collect();
         let query = w.send_user_request(0, "GET", "/submissions/run-1", vec![]);
         w.run_for(60);
         let job = array_job("run-1", 1);
-        w.upload_job(&job, runs(600_000));
+        w.upload_job(&job, runs_for(600_000));
         let submission = w.send_user_request(0, "POST", "/submissions", wire::encode(&job));
         w.run_for(2_500);
         let (Some((query_answered_at, status)), Some((submission_answered_at, 201))) = (
@@ -41,7 +41,7 @@
 /// A 404 that is based on anything but a read sent after the query would deny a job that another node has accepted.
 #[test]
 fn a_404_is_never_cached() {
-    let mut w = world(3, 1, 0.0);
+    let mut w = start_cluster(3, 1, 0.0);
     for n in 0..3 {
         let (open_id, final_id) = (format!("run-{n}0"), format!("run-{n}1"));
         for id in [&open_id, &final_id] {
@@ -53,7 +53,7 @@
             );
             let requests = w.state_service.request_counts.since(&counts_before);
             assert!(requests.reads_and_comparisons() >= 1, "{requests:?}");
-            w.upload_job(&array_job(id, 1), runs(1_000));
+            w.upload_job(&array_job(id, 1), runs_for(1_000));
         }
         // Written by a process that sends no messages to this node.
         w.isolated_from_peers.insert(n);
--- a/crates/control/tests/upgrade.rs
+++ b/crates/control/tests/upgrade.rs
@@ -119,7 +119,7 @@
 
 /// A cluster of three nodes of which the last one is down and has not been upgraded.
 fn partly_upgraded_cluster() -> World {
-    let mut world = World::new(3, |i| settings_next(i, 3));
+    let mut world = World::new(3, |i| settings_with_next_limits(i, 3));
     world.crash(2);
     for m in 0..6 {
         world.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
@@ -149,7 +149,7 @@
         };
         let behaviour = fakes::TaskBehaviour {
             gang_size: if number % 4 == 0 { 2 } else { 0 },
-            ..runs(4_000)
+            ..runs_for(4_000)
         };
         let mut status = 0;
         for tries in 0..20 {
@@ -212,7 +212,7 @@
         for id in ids.iter().filter(|id| *id != "run-5") {
             assert_eq!(world.phase(2, id), Some(Phase::Done), "{id} {steps}");
         }
-        clean(&world);
+        assert_no_violations(&world);
     }
 }
 
@@ -234,14 +234,17 @@
     }
     assert!(world.run_until(20_000, |world| cluster_generation(world) == GENERATION));
     assert!(wait_until_ended(&mut world, &ids));
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
 fn the_cluster_generation_never_decreases_and_a_node_that_is_down_does_not_block_a_proven_upgrade()
 {
     let mut world = partly_upgraded_cluster();
-    assert_eq!(world.submit(0, &array_job("run-1", 2), runs(1_000)), 201);
+    assert_eq!(
+        world.submit(0, &array_job("run-1", 2), runs_for(1_000)),
+        201
+    );
     world.run_for(5_000);
     assert_eq!(
         cluster_generation(&world),
@@ -249,7 +252,11 @@
         "the third node has not recorded its generation"
     );
     assert_eq!(
-        world.submit(1, &after(array_job("run-2", 2), &["run-1"]), runs(1_000)),
+        world.submit(
+            1,
+            &with_dependencies(array_job("run-2", 2), &["run-1"]),
+            runs_for(1_000)
+        ),
         201
     );
     assert!(
@@ -266,8 +273,8 @@
     }
     world.run_for(10_000);
     assert_eq!(cluster_generation(&world), 7);
-    assert!(done(&mut world, "run-2", 20_000));
-    clean(&world);
+    assert!(completes_within(&mut world, "run-2", 20_000));
+    assert_no_violations(&world);
 }
 
 /// Guards against a standstill: once the limits were lowered, the state service refused every page in
@@ -288,7 +295,7 @@
         world.run_for(3_000);
         let large: Vec<String> = (20..24).map(|n| format!("run-{n}")).collect();
         for id in &large {
-            assert_eq!(world.submit(0, &array_job(id, 60), runs(40_000)), 201);
+            assert_eq!(world.submit(0, &array_job(id, 60), runs_for(40_000)), 201);
         }
         world.run_for(4_000);
         assert!(
@@ -319,7 +326,7 @@
             world.state_service.largest_value_bytes(PAGE_PREFIX) <= 2048
                 || world.state_service.keys(JOB_PREFIX).is_empty()
         );
-        clean(&world);
+        assert_no_violations(&world);
     }
 }
 
@@ -334,8 +341,14 @@
     world.run_for(3_000);
     // Both jobs are on the same page. The tasks of run-1 keep running and are too many for the page to
     // be rewritten as a small value. Most tasks of run-2 are placed only after the switch of the layout.
-    assert_eq!(world.submit(0, &array_job("run-1", 70), runs(120_000)), 201);
-    assert_eq!(world.submit(0, &array_job("run-2", 120), runs(9_000)), 201);
+    assert_eq!(
+        world.submit(0, &array_job("run-1", 70), runs_for(120_000)),
+        201
+    );
+    assert_eq!(
+        world.submit(0, &array_job("run-2", 120), runs_for(9_000)),
+        201
+    );
     world.run_for(6_000);
     assert_eq!(world.placed_tasks("run-2").len(), 30);
     world.start(2);
@@ -369,7 +382,7 @@
         .filter(|(_, n)| *n > 1)
         .collect();
     assert!(twice.is_empty(), "{twice:?}");
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 /// If the limits are lowered although a node has not recorded its generation, the refusal proves that the
@@ -381,10 +394,16 @@
         world.add_machine(&format!("vm-{m:06}"), if m % 2 == 0 { "a" } else { "b" });
     }
     world.run_for(3_000);
-    assert_eq!(world.submit(0, &array_job("run-1", 100), runs(20_000)), 201);
+    assert_eq!(
+        world.submit(0, &array_job("run-1", 100), runs_for(20_000)),
+        201
+    );
     world.run_for(4_000);
     world.apply_next_limits();
-    assert_eq!(world.submit(0, &array_job("run-2", 100), runs(5_000)), 201);
+    assert_eq!(
+        world.submit(0, &array_job("run-2", 100), runs_for(5_000)),
+        201
+    );
     assert!(
         world.run_until(8_000, |world| world.placed_tasks("run-2").len() >= 100),
         "tasks are still started"
@@ -399,7 +418,7 @@
         "{}",
         world.state_service.oversized_txns
     );
-    clean(&world);
+    assert_no_violations(&world);
 }
 
 #[test]
@@ -414,29 +433,29 @@
     };
     let mut world = partly_upgraded_cluster();
     // Written while old nodes may be running, and too large for the lower limits to come.
-    assert_eq!(world.submit(0, &long("run-1", 30), runs(60_000)), 201);
-    assert_eq!(world.submit(0, &long("run-2", 30), runs(6_000)), 201);
+    assert_eq!(world.submit(0, &long("run-1", 30), runs_for(60_000)), 201);
+    assert_eq!(world.submit(0, &long("run-2", 30), runs_for(6_000)), 201);
     world.start(2);
     assert!(world.run_until(10_000, |world| cluster_generation(world) == GENERATION));
     world.apply_next_limits();
     assert_eq!(world.abort(1, "run-1"), Some(Phase::Aborted));
-    assert!(done(&mut world, "run-2", 20_000));
+    assert!(completes_within(&mut world, "run-2", 20_000));
     assert!(world.run_until(10_000, |world| world
         .state_service
         .keys(JOB_PREFIX)
         .is_empty()));
     assert_eq!(world.phase(2, "run-1"), Some(Phase::Aborted));
     // Submissions are now stored in several records, which the current leader and the next one read.
-    assert_eq!(world.submit(0, &long("run-3", 30), runs(3_000)), 201);
-    assert_eq!(world.submit(0, &long("run-4", 30), runs(300_000)), 201);
+    assert_eq!(world.submit(0, &long("run-3", 30), runs_for(3_000)), 201);
+    assert_eq!(world.submit(0, &long("run-4", 30), runs_for(300_000)), 201);
     assert_eq!(world.state_service.keys(JOB_OVERFLOW_PREFIX).len(), 4);
     world.run_for(3_000);
     assert_eq!(world.placed_tasks("run-4").len(), 2);
     let old = world.leader().expect("leader");
     world.crash(old);
     world.start(old);
-    assert!(done(&mut world, "run-3", 20_000));
-    assert_eq!(world.submit(1, &long("run-4", 30), runs(0)), 200);
+    assert!(completes_within(&mut world, "run-3", 20_000));
+    assert_eq!(world.submit(1, &long("run-4", 30), runs_for(0)), 200);
     assert_eq!(world.abort(2, "run-4"), Some(Phase::Aborted));
     assert!(world.run_until(10_000, |world| world
         .state_service
@@ -463,11 +482,11 @@
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     assert!(world.run_until(20_000, |world| world.submit(
         0,
-        &after(array_job("run-6", 1), &ids),
-        runs(500)
+        &with_dependencies(array_job("run-6", 1), &ids),
+        runs_for(500)
     ) < 300));
-    assert!(done(&mut world, "run-6", 20_000));
-    clean(&world);
+    assert!(completes_within(&mut world, "run-6", 20_000));
+    assert_no_violations(&world);
 }
 
 /// An unreadable record costs only its own content: no process ends, and other work continues.
@@ -494,20 +513,28 @@
     let ids: Vec<String> = (1..4).map(|n| format!("run-{n}")).collect();
     for id in &ids {
         let accepted = |world: &mut World| {
-            (200..300).contains(&world.submit(1, &array_job(id, 2), runs(1_000)))
+            (200..300).contains(&world.submit(1, &array_job(id, 2), runs_for(1_000)))
         };
         assert!(world.run_until(10_000, accepted), "{id}");
     }
     // The state of a dependency whose record is unreadable is unknown, so a job that depends on it is
     // not accepted.
     assert_eq!(
-        world.submit(0, &after(array_job("run-4", 1), &["run-7"]), runs(100)),
+        world.submit(
+            0,
+            &with_dependencies(array_job("run-4", 1), &["run-7"]),
+            runs_for(100)
+        ),
         503
     );
     assert_eq!(
-        world.submit(0, &after(array_job("run-4", 1), &["run-9"]), runs(100)),
+        world.submit(
+            0,
+            &with_dependencies(array_job("run-4", 1), &["run-9"]),
+            runs_for(100)
+        ),
         503
     );
     assert!(wait_until_ended(&mut world, &ids));
-    clean(&world);
+    assert_no_violations(&world);
 }
