--- a/crates/standins/examples/local_outside.rs
+++ b/crates/standins/examples/local_outside.rs
@@ -1,25 +1,25 @@
-//! State service, cloud and workers on loopback, for trying the service by hand.
+//! Runs a state service, a cloud and workers on loopback, for manual tests of the service.
 //!
-//! `local_outside FOLDER MINUTES` writes settings of three controllers to FOLDER, `n0.toml` to `n2.toml`, and ends
-//! after so many minutes.
+//! `local_outside FOLDER MINUTES` writes the settings of three controllers to FOLDER, as `n0.toml` to `n2.toml`, and
+//! exits after MINUTES minutes.
 
 use std::path::Path;
 use std::process::ExitCode;
 use std::time::Duration;
-use vetchmount_standins::{Controllers, Outside};
+use vetchmount_standins::{Controllers, Environment};
 
 const CONTROLLERS: usize = 3;
 const MACHINES: usize = 6;
 
 fn run(folder: &Path, minutes: u64) -> std::io::Result<()> {
     let controllers = Controllers::new(folder, CONTROLLERS)?;
-    let outside = Outside::start(controllers.labels(), controllers.addresses(), MACHINES);
+    let environment = Environment::start(controllers.labels(), controllers.addresses(), MACHINES);
     for (number, addr) in controllers.addresses().iter().enumerate() {
-        let settings = controllers.write_settings(number, &outside)?;
+        let settings = controllers.write_settings(number, &environment)?;
         println!("{} serves users at {addr}", settings.display());
     }
     std::thread::sleep(Duration::from_secs(60 * minutes));
-    outside.stop();
+    environment.stop();
     Ok(())
 }
 
@@ -35,8 +35,8 @@
     };
     match run(Path::new(folder), minutes) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("local_outside: {why}");
+        Err(error) => {
+            eprintln!("local_outside: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/standins/examples/upgrade_rounds.rs
+++ b/crates/standins/examples/upgrade_rounds.rs
@@ -1,28 +1,30 @@
-//! Rounds of upgrade, rollback and upgrade again with an older build on loopback, under load; see
+//! Repeatedly upgrades a cluster on loopback from an older build, rolls it back and upgrades it again, under load; see
 //! `scripts/upgrade-rounds`.
 //!
-//! `upgrade_rounds OLD NEW ROUNDS FOLDER`: OLD and NEW are programs, OLD is started without operators' settings.
-//! Measures each pass through the controllers, and compares it with plain restarts of the same build. Not part of CI.
+//! `upgrade_rounds OLD NEW ROUNDS FOLDER`: OLD and NEW are executables; OLD is started without operator settings.
+//! Measures each pass through the controllers, and plain restarts of the same build for comparison. Not part of CI.
 
 use hdrhistogram::Histogram;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
-use vetchmount_standins::{Build, Controllers, Outside};
+use vetchmount_standins::{Build, Controllers, Environment};
 
-/// Newest feature level of the build.
+/// Newest feature level of the NEW build.
 const NEWEST_LEVEL: u32 = 3;
 const CONTROLLERS: usize = 3;
 const MACHINES: usize = 8;
-/// Between two restarts.
-const SETTLE: Duration = Duration::from_millis(2_000);
-/// Milliseconds for which what is waited for may take.
-const WITHIN_MS: u64 = 60_000;
+/// Pause after each restart.
+const SETTLE_TIME: Duration = Duration::from_millis(2_000);
+/// Timeout, in milliseconds, for the finalization of the level and for the completion of all jobs.
+const WAIT_TIMEOUT_MS: u64 = 60_000;
 
-const HELD: &str = r#"{"rollout": {"finalize": "held"}}"#;
-const AUTOMATIC: &str = r#"{"rollout": {"finalize": "automatic", "soak_s": 1.0}}"#;
+/// Operator settings that hold finalization back.
+const HELD_SETTINGS: &str = r#"{"rollout": {"finalize": "held"}}"#;
+/// Operator settings that finalize automatically after a soak time of 1 s.
+const AUTOMATIC_SETTINGS: &str = r#"{"rollout": {"finalize": "automatic", "soak_s": 1.0}}"#;
 
-/// A pass through all controllers.
+/// A kind of pass that restarts all controllers, one after another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Pass {
     RestartOld,
@@ -40,18 +42,18 @@
     Pass::UpgradeAgain,
 ];
 
-/// What was measured of a kind of pass.
-struct Measured {
+/// Measurements of all passes of one kind.
+struct PassMeasurements {
     elections: Histogram<u64>,
     refused: Histogram<u64>,
     answers_ms: Histogram<u64>,
     starts_ms: Histogram<u64>,
 }
 
-impl Measured {
+impl PassMeasurements {
     fn new() -> Self {
-        let histogram = || Histogram::new(3).expect("three digits");
-        Measured {
+        let histogram = || Histogram::new(3).expect("three significant digits are supported");
+        PassMeasurements {
             elections: histogram(),
             refused: histogram(),
             answers_ms: histogram(),
@@ -60,14 +62,17 @@
     }
 }
 
+/// The builds that the passes start.
 struct Builds {
     old: Build,
+    /// The new build with finalization held back.
     held: Build,
+    /// The new build with automatic finalization.
     automatic: Build,
 }
 
 impl Builds {
-    fn of(&self, pass: Pass) -> &Build {
+    fn for_pass(&self, pass: Pass) -> &Build {
         match pass {
             Pass::RestartOld | Pass::Rollback => &self.old,
             Pass::Upgrade | Pass::RestartNew => &self.held,
@@ -76,122 +81,135 @@
     }
 }
 
-fn through(
+/// Restarts all controllers in the given order with the build of the pass, and records measurements.
+fn run_pass(
     pass: Pass,
     order: [usize; CONTROLLERS],
     builds: &Builds,
     controllers: &mut Controllers,
-    outside: &Outside,
-    measured: &mut Measured,
+    environment: &Environment,
+    measured: &mut PassMeasurements,
 ) -> std::io::Result<()> {
-    let (from, term) = (outside.now_ms(), outside.term());
-    let refused = outside.history().refusals();
+    let (from, term) = (environment.now_ms(), environment.term());
+    let refused = environment.history().refused_requests();
     for number in order {
         controllers.stop(number)?;
-        controllers.start(number, builds.of(pass), outside)?;
-        std::thread::sleep(SETTLE);
+        controllers.start(number, builds.for_pass(pass), environment)?;
+        std::thread::sleep(SETTLE_TIME);
     }
-    let gaps = outside.history().gaps(from, outside.now_ms(), refused);
+    let gaps = environment
+        .history()
+        .longest_gaps(from, environment.now_ms(), refused);
     let record = |histogram: &mut Histogram<u64>, value: u64| histogram.saturating_record(value);
-    record(&mut measured.elections, outside.term() - term);
+    record(&mut measured.elections, environment.term() - term);
     record(&mut measured.refused, gaps.refused);
     record(&mut measured.answers_ms, gaps.answers_ms);
     record(&mut measured.starts_ms, gaps.starts_ms);
     Ok(())
 }
 
-/// Plays a round; whether it ended as it must.
-fn round(
+/// Runs a round on a new cluster. Returns whether the newest level was finalized, all jobs ended and no rule was
+/// violated.
+fn run_round(
     number: usize,
     folder: &Path,
     builds: &Builds,
-    measured: &mut [Measured],
+    measured: &mut [PassMeasurements],
 ) -> std::io::Result<bool> {
     let folder = folder.join(format!("round-{number}"));
     let mut controllers = Controllers::new(&folder, CONTROLLERS)?;
-    let mut outside = Outside::start(controllers.labels(), controllers.addresses(), MACHINES);
+    let mut environment =
+        Environment::start(controllers.labels(), controllers.addresses(), MACHINES);
     for controller in 0..CONTROLLERS {
-        controllers.start(controller, &builds.old, &outside)?;
+        controllers.start(controller, &builds.old, &environment)?;
     }
-    std::thread::sleep(2 * SETTLE);
-    outside.start_users();
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(2 * SETTLE_TIME);
+    environment.start_users();
+    std::thread::sleep(SETTLE_TIME);
     for (pass, measured) in PASSES.into_iter().zip(measured) {
-        // Another order each time.
+        // The controller that restarts first varies by round and pass.
         let first = (number + pass as usize) % CONTROLLERS;
         let order = [first, (first + 1) % CONTROLLERS, (first + 2) % CONTROLLERS];
-        through(pass, order, builds, &mut controllers, &outside, measured)?;
+        run_pass(
+            pass,
+            order,
+            builds,
+            &mut controllers,
+            &environment,
+            measured,
+        )?;
     }
-    let until = outside.now_ms() + WITHIN_MS;
-    while outside.finalized() < NEWEST_LEVEL && outside.now_ms() < until {
-        std::thread::sleep(SETTLE / 10);
+    let deadline = environment.now_ms() + WAIT_TIMEOUT_MS;
+    while environment.finalized_level() < NEWEST_LEVEL && environment.now_ms() < deadline {
+        std::thread::sleep(SETTLE_TIME / 10);
     }
-    let is_final = outside.finalized() == NEWEST_LEVEL;
-    let is_drained = outside.drain(WITHIN_MS);
-    let (jobs, starts) = outside.history().counts();
-    let breaches = outside.history().breaches().to_vec();
+    let is_final = environment.finalized_level() == NEWEST_LEVEL;
+    let is_drained = environment.drain(WAIT_TIMEOUT_MS);
+    let (jobs, starts) = environment.history().job_and_start_counts();
+    let violations = environment.history().violations().to_vec();
     println!(
-        "round {number}: {jobs} jobs, {starts} starts, final {is_final}, all over {is_drained}, breaches {breaches:?}"
+        "round {number}: {jobs} jobs, {starts} starts, final {is_final}, all over {is_drained}, breaches {violations:?}"
     );
-    outside.stop();
+    environment.stop();
     drop(controllers);
-    let is_good = is_final && is_drained && breaches.is_empty();
-    if is_good {
+    let succeeded = is_final && is_drained && violations.is_empty();
+    if succeeded {
         std::fs::remove_dir_all(&folder)?;
     }
-    Ok(is_good)
+    Ok(succeeded)
 }
 
-fn print_table(measured: &[Measured]) {
+fn print_table(measured: &[PassMeasurements]) {
     println!("| pass | n | elections | refused | no answer, ms | no start, ms |");
     println!("| --- | --- | --- | --- | --- | --- |");
-    for (pass, m) in PASSES.iter().zip(measured) {
-        let of = |h: &Histogram<u64>| {
+    for (pass, measurements) in PASSES.iter().zip(measured) {
+        let quantiles = |histogram: &Histogram<u64>| {
             format!(
                 "{} / {} / {}",
-                h.value_at_quantile(0.5),
-                h.value_at_quantile(0.9),
-                h.max()
+                histogram.value_at_quantile(0.5),
+                histogram.value_at_quantile(0.9),
+                histogram.max()
             )
         };
         println!(
             "| {pass:?} | {} | {} | {} | {} | {} |",
-            m.elections.len(),
-            of(&m.elections),
-            of(&m.refused),
-            of(&m.answers_ms),
-            of(&m.starts_ms)
+            measurements.elections.len(),
+            quantiles(&measurements.elections),
+            quantiles(&measurements.refused),
+            quantiles(&measurements.answers_ms),
+            quantiles(&measurements.starts_ms)
         );
     }
 }
 
 fn run(old: PathBuf, new: PathBuf, rounds: usize, folder: &Path) -> std::io::Result<bool> {
     std::fs::create_dir_all(folder)?;
-    let with = |name: &str, json: &str| -> std::io::Result<Build> {
-        let operator = folder.join(name);
-        std::fs::write(&operator, json)?;
+    let write_build = |name: &str, json: &str| -> std::io::Result<Build> {
+        let operator_settings = folder.join(name);
+        std::fs::write(&operator_settings, json)?;
         Ok(Build {
             program: new.clone(),
-            operator: Some(operator),
+            operator_settings: Some(operator_settings),
         })
     };
     let builds = Builds {
         old: Build {
             program: old,
-            operator: None,
+            operator_settings: None,
         },
-        held: with("held.json", HELD)?,
-        automatic: with("automatic.json", AUTOMATIC)?,
+        held: write_build("held.json", HELD_SETTINGS)?,
+        automatic: write_build("automatic.json", AUTOMATIC_SETTINGS)?,
     };
-    let mut measured: Vec<Measured> = PASSES.iter().map(|_| Measured::new()).collect();
-    let mut good = 0;
+    let mut measured: Vec<PassMeasurements> =
+        PASSES.iter().map(|_| PassMeasurements::new()).collect();
+    let mut succeeded_rounds = 0;
     for number in 0..rounds {
-        good += usize::from(round(number, folder, &builds, &mut measured)?);
+        succeeded_rounds += usize::from(run_round(number, folder, &builds, &mut measured)?);
     }
-    println!("{good} of {rounds} rounds ended as they must");
+    println!("{succeeded_rounds} of {rounds} rounds ended as they must");
     println!("median / p90 / most:");
     print_table(&measured);
-    Ok(good == rounds)
+    Ok(succeeded_rounds == rounds)
 }
 
 fn main() -> ExitCode {
@@ -207,8 +225,8 @@
     match run(old.into(), new.into(), rounds, Path::new(folder)) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("upgrade_rounds: {why}");
+        Err(error) => {
+            eprintln!("upgrade_rounds: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/standins/src/connections.rs
+++ b/crates/standins/src/connections.rs
@@ -1,4 +1,4 @@
-//! HTTP over blocking sockets.
+//! An HTTP server and client over blocking sockets.
 
 use crate::Shared;
 use http::{encode_request, encode_response, RequestParser, Response, ResponseParser};
@@ -7,23 +7,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes read at a time.
-const READ_CHUNK: usize = 16 * 1024;
-/// How long a server waits for the next request until it checks whether it must end.
+/// Maximum number of bytes per read.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// How long a server waits for data before it checks whether it has to stop.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often a server without a new connection checks again.
+/// How long a server sleeps when there is no new connection to accept.
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Answers a request, given method, target and body, with status and body.
+/// Handles a request, given its method, target and body, and returns the status and body of the response.
 pub type Handler = dyn Fn(&str, &str, &[u8]) -> (u16, Vec<u8>) + Send + Sync;
 
-/// Serves a free port of the loopback interface until all threads are to end, with one thread per connection.
+/// Starts a server on a free loopback port and returns its address. It uses one thread per connection and runs until the
+/// environment stops.
 pub fn serve(shared: Arc<Shared>, handler: Arc<Handler>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let addr = listener.local_addr().expect("its address");
-    listener.set_nonblocking(true).expect("non-blocking");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind a free loopback port");
+    let addr = listener
+        .local_addr()
+        .expect("read the local address of the listener");
+    listener
+        .set_nonblocking(true)
+        .expect("make the listener non-blocking");
     std::thread::spawn(move || {
-        while !shared.is_over() {
+        while !shared.is_stopping() {
             match listener.accept() {
                 Ok((stream, _)) => {
                     let (shared, handler) = (Arc::clone(&shared), Arc::clone(&handler));
@@ -41,8 +46,8 @@
     let _ = stream.set_nodelay(true);
     let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
     let mut parser = RequestParser::default();
-    let mut chunk = vec![0; READ_CHUNK];
-    while !shared.is_over() {
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
+    while !shared.is_stopping() {
         match parser.next_request() {
             Ok(Some(request)) => {
                 let (status, body) = handler(&request.method, &request.target, &request.body);
@@ -72,7 +77,7 @@
     )
 }
 
-/// Makes one call on a connection of its own.
+/// Sends one request on a new connection and returns the status and body of the response.
 pub fn call(
     addr: SocketAddr,
     method: &str,
@@ -83,14 +88,14 @@
     Client::default().call(addr, method, target, body, timeout)
 }
 
-/// A client that keeps its connection until one side closes it or another address is called.
+/// A client that reuses its connection until one side closes it or a request goes to another address.
 #[derive(Default)]
 pub struct Client {
-    open: Option<(SocketAddr, TcpStream)>,
+    connection: Option<(SocketAddr, TcpStream)>,
 }
 
 impl Client {
-    /// Makes a call.
+    /// Sends a request and returns the status and body of the response.
     pub fn call(
         &mut self,
         addr: SocketAddr,
@@ -99,8 +104,8 @@
         body: &[u8],
         timeout: Duration,
     ) -> io::Result<(u16, Vec<u8>)> {
-        let mut stream = match self.open.take() {
-            Some((to, stream)) if to == addr => stream,
+        let mut stream = match self.connection.take() {
+            Some((peer, stream)) if peer == addr => stream,
             _ => TcpStream::connect_timeout(&addr, timeout)?,
         };
         stream.set_nodelay(true)?;
@@ -110,7 +115,7 @@
         stream.write_all(&out)?;
         let response = read_response(&mut stream)?;
         if !response.close {
-            self.open = Some((addr, stream));
+            self.connection = Some((addr, stream));
         }
         Ok((response.status, response.body))
     }
@@ -118,7 +123,7 @@
 
 fn read_response(stream: &mut TcpStream) -> io::Result<Response> {
     let mut parser = ResponseParser::default();
-    let mut chunk = vec![0; READ_CHUNK];
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
     loop {
         let n = stream.read(&mut chunk)?;
         if n == 0 {
--- a/crates/standins/src/history.rs
+++ b/crates/standins/src/history.rs
@@ -1,147 +1,157 @@
-//! What users and workers observed, and whether it is consistent.
+//! Records what users and workers observe, and collects violations of the consistency rules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use wire::users::Phase;
 
-/// What a user knows of a job.
+/// The last state of a job that its user observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Known {
+struct ObservedJob {
     phase: Phase,
+    /// Whether its user has asked to cancel it.
     cancelled: bool,
 }
 
-/// The history of a cluster. Broken rules are collected as they are observed.
+/// The observations made of a cluster. Violations of rules are collected as they are observed.
 #[derive(Default)]
 pub struct History {
-    jobs: BTreeMap<String, Known>,
-    /// Tasks that are on machines now, by machine.
+    jobs: BTreeMap<String, ObservedJob>,
+    /// Tasks that are on machines now, by machine name.
     live: BTreeMap<String, BTreeSet<String>>,
     /// Tasks that have completed.
     completed: BTreeSet<String>,
-    /// When requests of users were answered successfully, in milliseconds.
-    answers: Vec<u64>,
-    /// When tasks were started, in milliseconds.
-    starts: Vec<u64>,
+    /// Times of successful answers to users.
+    answer_times_ms: Vec<u64>,
+    /// Times of task starts.
+    start_times_ms: Vec<u64>,
+    /// Number of requests that were refused or not answered.
     refused: u64,
-    /// Leases of workers that have expired.
-    lapses: u64,
-    breaches: Vec<String>,
-    /// Whether no more jobs are submitted.
-    has_ended: bool,
+    /// Number of worker leases that have expired.
+    expired_leases: u64,
+    violations: Vec<String>,
+    /// Whether users have to stop submitting jobs.
+    submissions_ended: bool,
 }
 
-/// The longest times without an answer or a start, and the number of refused requests.
+/// The longest intervals without an answer or a task start, and the number of refused requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Gaps {
-    /// Milliseconds without a successful answer to any user.
+    /// Longest interval without a successful answer to any user, in milliseconds.
     pub answers_ms: u64,
-    /// Milliseconds without the start of a task.
+    /// Longest interval without a task start, in milliseconds.
     pub starts_ms: u64,
-    /// Requests that were refused, or not answered.
+    /// Number of requests that were refused or not answered.
     pub refused: u64,
 }
 
 impl History {
-    /// No more jobs are to be submitted.
-    pub(crate) fn submissions_end(&mut self) {
-        self.has_ended = true;
+    /// Tells users to stop submitting jobs.
+    pub(crate) fn end_submissions(&mut self) {
+        self.submissions_ended = true;
     }
 
-    /// Whether jobs may still be submitted.
-    pub(crate) fn takes_jobs(&self) -> bool {
-        !self.has_ended
+    /// Whether users may still submit jobs.
+    pub(crate) fn accepts_submissions(&self) -> bool {
+        !self.submissions_ended
     }
 
-    /// A submission was accepted.
-    pub(crate) fn accepted(&mut self, job: &str, now: u64) {
-        self.answers.push(now);
-        self.jobs.entry(job.to_string()).or_insert(Known {
+    /// Records that a submission was accepted.
+    pub(crate) fn record_accepted(&mut self, job: &str, now: u64) {
+        self.answer_times_ms.push(now);
+        self.jobs.entry(job.to_string()).or_insert(ObservedJob {
             phase: Phase::Queued,
             cancelled: false,
         });
     }
 
-    /// A request was refused or not answered.
-    pub(crate) fn refused(&mut self) {
+    /// Records that a request was refused or not answered.
+    pub(crate) fn record_refused(&mut self) {
         self.refused += 1;
     }
 
-    /// A worker's lease has expired.
-    pub(crate) fn lease_expired(&mut self) {
-        self.lapses += 1;
+    /// Records that a worker's lease has expired.
+    pub(crate) fn record_expired_lease(&mut self) {
+        self.expired_leases += 1;
     }
 
-    /// Leases of workers that have expired.
-    pub fn lapses(&self) -> u64 {
-        self.lapses
+    /// Number of worker leases that have expired.
+    pub fn expired_leases(&self) -> u64 {
+        self.expired_leases
     }
 
-    /// Machines that run tasks now.
+    /// Number of machines that run tasks now.
     pub fn busy_machines(&self) -> usize {
         self.live.values().filter(|tasks| !tasks.is_empty()).count()
     }
 
-    /// A user was answered with a job's phase, or with `None` if there is no such job.
-    pub(crate) fn answered(&mut self, job: &str, phase: Option<Phase>, now: u64) {
-        self.answers.push(now);
-        let Some(known) = self.jobs.get_mut(job) else {
+    /// Records the phase of a job in an answer to its user, or `None` if the answer says that there is no such job. An
+    /// accepted job must not disappear, a final phase must not change, and only jobs that users cancel may be aborted.
+    pub(crate) fn record_phase(&mut self, job: &str, phase: Option<Phase>, now: u64) {
+        self.answer_times_ms.push(now);
+        let Some(job_state) = self.jobs.get_mut(job) else {
             return;
         };
         let Some(phase) = phase else {
-            self.breaches.push(format!("{job} is forgotten at {now}"));
+            self.violations
+                .push(format!("{job} is unknown to the service at {now} ms"));
             return;
         };
-        let final_before = matches!(known.phase, Phase::Done | Phase::Aborted);
-        if final_before && phase != known.phase {
-            let breach = format!("{job} was {:?} and is {phase:?} at {now}", known.phase);
-            self.breaches.push(breach);
+        let was_final = matches!(job_state.phase, Phase::Done | Phase::Aborted);
+        if was_final && phase != job_state.phase {
+            let violation = format!(
+                "phase of {job} changed from final {:?} to {phase:?} at {now} ms",
+                job_state.phase
+            );
+            self.violations.push(violation);
         }
-        if phase == Phase::Aborted && !known.cancelled {
-            self.breaches.push(format!("{job} is cancelled by nobody"));
+        if phase == Phase::Aborted && !job_state.cancelled {
+            self.violations
+                .push(format!("{job} was aborted without a cancel request"));
         }
-        known.phase = phase;
+        job_state.phase = phase;
     }
 
-    /// A user is about to cancel a job.
-    pub(crate) fn cancel_requested(&mut self, job: &str) {
-        if let Some(known) = self.jobs.get_mut(job) {
-            known.cancelled = true;
+    /// Records that a user is about to cancel a job.
+    pub(crate) fn record_cancel_request(&mut self, job: &str) {
+        if let Some(job_state) = self.jobs.get_mut(job) {
+            job_state.cancelled = true;
         }
     }
 
-    /// Jobs whose users do not know yet how they ended.
-    pub(crate) fn open_job_names(&self) -> Vec<String> {
-        let is_open = |known: &Known| !matches!(known.phase, Phase::Done | Phase::Aborted);
-        let jobs = self.jobs.iter().filter(|(_, known)| is_open(known));
+    /// Ids of the accepted jobs for which no user has observed a final phase yet.
+    pub(crate) fn open_jobs(&self) -> Vec<String> {
+        let is_open =
+            |job_state: &ObservedJob| !matches!(job_state.phase, Phase::Done | Phase::Aborted);
+        let jobs = self.jobs.iter().filter(|(_, job_state)| is_open(job_state));
         jobs.map(|(job, _)| job.clone()).collect()
     }
 
-    /// Number of those jobs.
-    pub(crate) fn open_jobs(&self) -> usize {
-        self.open_job_names().len()
+    /// Number of accepted jobs for which no user has observed a final phase yet.
+    pub(crate) fn open_job_count(&self) -> usize {
+        self.open_jobs().len()
     }
 
-    /// Tasks were started on a machine.
-    pub(crate) fn started(&mut self, machine: &str, tasks: &[String], now: u64) {
+    /// Records that tasks were started on a machine. A task must not start while it is on another machine or after it
+    /// completed.
+    pub(crate) fn record_starts(&mut self, machine: &str, tasks: &[String], now: u64) {
         for task in tasks {
-            self.starts.push(now);
+            self.start_times_ms.push(now);
             let elsewhere = self
                 .live
                 .iter()
                 .find(|(name, tasks)| *name != machine && tasks.contains(task));
             if let Some((other, _)) = elsewhere {
-                let breach = format!("{task} starts on {machine} and is on {other}");
-                self.breaches.push(breach);
+                let violation = format!("{task} started on {machine} while it was on {other}");
+                self.violations.push(violation);
             }
             if self.completed.contains(task) {
-                self.breaches
-                    .push(format!("{task} starts after it completed"));
+                self.violations
+                    .push(format!("{task} started after it completed"));
             }
         }
     }
 
-    /// The tasks on a machine now, and those that have just completed there.
-    pub(crate) fn on_machine(
+    /// Records which tasks are on a machine now and which have just completed there. A task must complete only once.
+    pub(crate) fn record_machine_tasks(
         &mut self,
         machine: &str,
         live: BTreeSet<String>,
@@ -149,25 +159,25 @@
     ) {
         for task in completed {
             if !self.completed.insert(task.clone()) {
-                self.breaches.push(format!("{task} completed twice"));
+                self.violations.push(format!("{task} completed twice"));
             }
         }
         self.live.insert(machine.to_string(), live);
     }
 
-    /// Rules that were broken.
-    pub fn breaches(&self) -> &[String] {
-        &self.breaches
+    /// Descriptions of the rule violations so far.
+    pub fn violations(&self) -> &[String] {
+        &self.violations
     }
 
-    /// Jobs that were accepted, and tasks that were started.
-    pub fn counts(&self) -> (usize, usize) {
-        (self.jobs.len(), self.starts.len())
+    /// Number of accepted jobs and number of task starts.
+    pub fn job_and_start_counts(&self) -> (usize, usize) {
+        (self.jobs.len(), self.start_times_ms.len())
     }
 
-    /// The longest times without an answer or a start between two moments, and the requests refused since there were
-    /// `refused`.
-    pub fn gaps(&self, from: u64, to: u64, refused: u64) -> Gaps {
+    /// The longest intervals without an answer or a task start between two times, and the number of requests that were
+    /// refused since the count was `refused_before`.
+    pub fn longest_gaps(&self, from: u64, to: u64, refused_before: u64) -> Gaps {
         let longest = |times: &[u64]| {
             let within = times.iter().copied().filter(|at| (from..=to).contains(at));
             let mut sorted: Vec<u64> = within.chain([from, to]).collect();
@@ -176,14 +186,14 @@
             gaps.max().unwrap_or(0)
         };
         Gaps {
-            answers_ms: longest(&self.answers),
-            starts_ms: longest(&self.starts),
-            refused: self.refused - refused,
+            answers_ms: longest(&self.answer_times_ms),
+            starts_ms: longest(&self.start_times_ms),
+            refused: self.refused - refused_before,
         }
     }
 
-    /// Requests refused so far.
-    pub fn refusals(&self) -> u64 {
+    /// Number of requests that were refused or not answered so far.
+    pub fn refused_requests(&self) -> u64 {
         self.refused
     }
 }
--- a/crates/standins/src/services.rs
+++ b/crates/standins/src/services.rs
@@ -1,4 +1,4 @@
-//! State service and cloud.
+//! HTTP servers for the state service and the cloud.
 
 use crate::connections::serve;
 use crate::{lock, Shared};
@@ -11,35 +11,36 @@
 use wire::cloud::{ListedMachine, MachineList, MachinePhase, MachineType, MachineTypes};
 use wire::users::ErrorResponse;
 
-/// How often leases and watches are checked.
-const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between checks for expired leases and for watches that are due.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Answers to watches, by the number of the request.
-type Answers = HashMap<u64, Vec<u8>>;
+/// Response bodies of watches that are due, by request number.
+type WatchAnswers = HashMap<u64, Vec<u8>>;
 
-/// The state service.
+/// A running state service.
 pub struct StateService {
-    /// Its address.
+    /// Address that it listens on.
     pub addr: SocketAddr,
     store: Arc<Store>,
 }
 
-/// The records and open watches.
+/// The records and the open watches.
 struct Store {
     state: Mutex<FakeState>,
     /// Number of the last request.
-    last_call: Mutex<u64>,
-    answers: Mutex<Answers>,
+    last_request: Mutex<u64>,
+    answers: Mutex<WatchAnswers>,
+    /// Notified when answers are added and when the service stops.
     answered: Condvar,
 }
 
 impl StateService {
-    /// Starts to serve, and the thread that expires leases and answers watches.
+    /// Starts the server and a thread that expires leases and answers watches.
     pub fn start(shared: Arc<Shared>) -> Arc<Self> {
         let store = Arc::new(Store {
             state: Mutex::new(FakeState::default()),
-            last_call: Mutex::new(0),
-            answers: Mutex::new(Answers::new()),
+            last_request: Mutex::new(0),
+            answers: Mutex::new(WatchAnswers::new()),
             answered: Condvar::new(),
         });
         let handler = {
@@ -49,18 +50,18 @@
             }
         };
         let addr = serve(Arc::clone(&shared), Arc::new(handler));
-        let ticking = Arc::clone(&store);
+        let polled = Arc::clone(&store);
         std::thread::spawn(move || {
-            while !shared.is_over() {
-                ticking.tick(shared.now_ms());
-                std::thread::sleep(CHECK_INTERVAL);
+            while !shared.is_stopping() {
+                polled.expire_leases_and_answer_watches(shared.now_ms());
+                std::thread::sleep(POLL_INTERVAL);
             }
-            ticking.answered.notify_all();
+            polled.answered.notify_all();
         });
         Arc::new(StateService { addr, store })
     }
 
-    /// A record as it is now.
+    /// Reads the current value of a record.
     pub fn read<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
         lock(&self.store.state).read(key)
     }
@@ -68,7 +69,7 @@
 
 impl Store {
     /// Expires leases and answers watches.
-    fn tick(&self, now: u64) {
+    fn expire_leases_and_answer_watches(&self, now: u64) {
         let due = {
             let mut state = lock(&self.state);
             state.expire(now);
@@ -84,26 +85,30 @@
         self.answered.notify_all();
     }
 
+    /// Answers a request. A watch blocks until its answer is available.
     fn handle(&self, shared: &Shared, method: &str, target: &str, body: &[u8]) -> (u16, Vec<u8>) {
-        let call = {
-            let mut last_call = lock(&self.last_call);
-            *last_call += 1;
-            *last_call
+        let request = {
+            let mut last_request = lock(&self.last_request);
+            *last_request += 1;
+            *last_request
         };
         let now = shared.now_ms();
-        let waiter = Waiter { node: 0, call };
+        let waiter = Waiter {
+            node: 0,
+            call: request,
+        };
         let served = lock(&self.state).serve(now, waiter, method, target, body);
-        served.unwrap_or_else(|| self.wait(shared, call))
+        served.unwrap_or_else(|| self.wait_for_answer(shared, request))
     }
 
-    /// Waits for the answer to a watch.
-    fn wait(&self, shared: &Shared, call: u64) -> (u16, Vec<u8>) {
+    /// Waits for the answer to a watch. Returns status 503 once the environment stops.
+    fn wait_for_answer(&self, shared: &Shared, request: u64) -> (u16, Vec<u8>) {
         let mut answers = lock(&self.answers);
-        while !shared.is_over() {
-            if let Some(body) = answers.remove(&call) {
+        while !shared.is_stopping() {
+            if let Some(body) = answers.remove(&request) {
                 return (200, body);
             }
-            let waited = self.answered.wait_timeout(answers, CHECK_INTERVAL * 10);
+            let waited = self.answered.wait_timeout(answers, POLL_INTERVAL * 10);
             answers = match waited {
                 Ok((answers, _)) => answers,
                 Err(poisoned) => poisoned.into_inner().0,
@@ -113,14 +118,14 @@
     }
 }
 
-/// A cloud whose machines are all rented.
+/// A cloud that lists a fixed set of running machines and refuses to rent more.
 pub struct Cloud {
-    /// Its address.
+    /// Address that it listens on.
     pub addr: SocketAddr,
 }
 
 impl Cloud {
-    /// Starts to serve a list of these machines.
+    /// Starts a server that lists these machines.
     pub fn start(shared: Arc<Shared>, machines: Vec<String>) -> Arc<Self> {
         let handler = move |method: &str, target: &str, _: &[u8]| -> (u16, Vec<u8>) {
             match (method, target.split('?').next().unwrap_or_default()) {
--- a/crates/standins/src/users.rs
+++ b/crates/standins/src/users.rs
@@ -1,4 +1,4 @@
-//! Users: they submit jobs, ask about them, and cancel some.
+//! Users, who submit jobs, query their status and cancel some of them.
 
 use crate::connections::call;
 use crate::{lock, Shared};
@@ -8,21 +8,21 @@
 use std::time::Duration;
 use wire::users::{JobStatus, Phase};
 
-/// How long a user waits for an answer.
+/// How long a user waits for the response to a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two submissions.
+/// Pause between submissions.
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause between two status queries.
+/// Pause between status queries.
 const QUERY_INTERVAL: Duration = Duration::from_millis(60);
-/// One job in so many is cancelled.
-const CANCELLED_PART: u64 = 6;
-/// Attempts of a request until its user gives up.
-const ATTEMPTS: usize = 60;
-/// Pause between two attempts.
-const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Users cancel each job whose number is a multiple of this.
+const CANCEL_EVERY_NTH_JOB: u64 = 6;
+/// Number of attempts after which a user gives up on a request.
+const MAX_ATTEMPTS: usize = 60;
+/// Pause between attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How the tasks of a job behave: some seconds each, by its number.
-pub(crate) fn behaviour(task: &str) -> Behaviour {
+/// Behaviour of a task. The run time depends on the number of its job and ranges from 0.5 s to 2.1 s.
+pub(crate) fn task_behaviour(task: &str) -> Behaviour {
     let job = task.split('/').next().unwrap_or_default();
     let number: u64 = job.trim_start_matches("run-").parse().unwrap_or(0);
     Behaviour {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Starts one thread that submits and cancels, and another that queries.
+/// Starts one thread that submits and cancels jobs, and another that queries their status.
 pub fn start(shared: Arc<Shared>) -> Vec<JoinHandle<()>> {
     let (submitting, querying) = (Arc::clone(&shared), shared);
     vec![
@@ -45,33 +45,33 @@
 
 fn submit_jobs(shared: &Shared) {
     let mut number = 0;
-    while !shared.is_over() && lock(&shared.history).takes_jobs() {
+    while !shared.is_stopping() && lock(&shared.history).accepts_submissions() {
         number += 1;
         let id = format!("run-{number:06}");
         let body = wire::encode(&array(&id, 1 + number % 4));
-        if let Some((_, now)) = call_any(shared, "POST", "/submissions", &body) {
-            lock(&shared.history).accepted(&id, now);
+        if let Some((_, now)) = call_until_accepted(shared, "POST", "/submissions", &body) {
+            lock(&shared.history).record_accepted(&id, now);
         }
-        if number % CANCELLED_PART == 0 {
-            cancel(shared, &id);
+        if number % CANCEL_EVERY_NTH_JOB == 0 {
+            cancel_job(shared, &id);
         }
         std::thread::sleep(SUBMIT_INTERVAL);
     }
 }
 
-fn cancel(shared: &Shared, id: &str) {
-    lock(&shared.history).cancel_requested(id);
+fn cancel_job(shared: &Shared, id: &str) {
+    lock(&shared.history).record_cancel_request(id);
     let target = format!("/submissions/{id}/abort");
-    if let Some((body, now)) = call_any(shared, "POST", &target, &[]) {
-        lock(&shared.history).answered(id, phase_of(&body), now);
+    if let Some((body, now)) = call_until_accepted(shared, "POST", &target, &[]) {
+        lock(&shared.history).record_phase(id, phase_of(&body), now);
     }
 }
 
 fn query_jobs(shared: &Shared) {
-    while !shared.is_over() {
-        let open = lock(&shared.history).open_job_names();
-        for id in open {
-            if shared.is_over() {
+    while !shared.is_stopping() {
+        let open_jobs = lock(&shared.history).open_jobs();
+        for id in open_jobs {
+            if shared.is_stopping() {
                 return;
             }
             let target = format!("/submissions/{id}");
@@ -84,10 +84,10 @@
                 REQUEST_TIMEOUT,
             ) {
                 Ok((200, body)) => {
-                    lock(&shared.history).answered(&id, phase_of(&body), shared.now_ms());
+                    lock(&shared.history).record_phase(&id, phase_of(&body), shared.now_ms());
                 }
-                Ok((404, _)) => lock(&shared.history).answered(&id, None, shared.now_ms()),
-                _ => lock(&shared.history).refused(),
+                Ok((404, _)) => lock(&shared.history).record_phase(&id, None, shared.now_ms()),
+                _ => lock(&shared.history).record_refused(),
             }
             std::thread::sleep(QUERY_INTERVAL);
         }
@@ -101,19 +101,25 @@
         .map(|status| status.phase)
 }
 
-/// Sends a request to one controller after the other until one accepts it. Returns its answer and when it arrived.
-fn call_any(shared: &Shared, method: &str, target: &str, body: &[u8]) -> Option<(Vec<u8>, u64)> {
+/// Sends a request to one controller after another until one accepts it. Returns the response body and its arrival
+/// time in milliseconds, or `None` after [`MAX_ATTEMPTS`] attempts or once the environment stops.
+fn call_until_accepted(
+    shared: &Shared,
+    method: &str,
+    target: &str,
+    body: &[u8],
+) -> Option<(Vec<u8>, u64)> {
     let first = fastrand::usize(..shared.controllers.len());
-    for number in 0..ATTEMPTS {
-        if shared.is_over() {
+    for attempt in 0..MAX_ATTEMPTS {
+        if shared.is_stopping() {
             return None;
         }
-        let addr = shared.controllers[(first + number) % shared.controllers.len()];
+        let addr = shared.controllers[(first + attempt) % shared.controllers.len()];
         match call(addr, method, target, body, REQUEST_TIMEOUT) {
             Ok((200 | 201, answer)) => return Some((answer, shared.now_ms())),
-            _ => lock(&shared.history).refused(),
+            _ => lock(&shared.history).record_refused(),
         }
-        std::thread::sleep(RETRY_INTERVAL);
+        std::thread::sleep(RETRY_DELAY);
     }
     None
 }
--- a/crates/standins/src/workers.rs
+++ b/crates/standins/src/workers.rs
@@ -1,7 +1,7 @@
-//! Workers: one thread per machine, which reports and runs tasks.
+//! Workers: one thread per machine, which sends reports and runs tasks.
 
 use crate::connections::Client;
-use crate::users::behaviour;
+use crate::users::task_behaviour;
 use crate::{lock, Shared};
 use fakes::{FakeWorker, Gang, KIND};
 use std::collections::BTreeSet;
@@ -10,101 +10,110 @@
 use std::time::Duration;
 use wire::workers::{HeartbeatResponse, Redirect};
 
-/// How long a worker waits for an answer.
+/// How long a worker waits for the response to a report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
-/// How often it advances its tasks.
-const STEP: Duration = Duration::from_millis(20);
-/// Milliseconds between reports, as in the controllers' settings.
-pub(crate) const REPORT_MS: u64 = 1_000;
-/// Milliseconds of a lease, as in the controllers' settings.
+/// Interval at which a worker advances its tasks.
+const STEP_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between reports, in milliseconds. The settings of the controllers use the same value.
+pub(crate) const REPORT_INTERVAL_MS: u64 = 1_000;
+/// Duration of a worker's lease, in milliseconds. The settings of the controllers use the same value.
 pub(crate) const LEASE_MS: u64 = 10_000;
-/// Milliseconds after which the tasks of an incomplete gang end. There are no gangs here.
-const GANG_PEER_MS: u64 = 8_000;
-/// Milliseconds until a worker that got no answer reports to the next controller.
-const NEXT_NODE_MS: u64 = 1_000;
-/// Milliseconds after a start until a worker reports at the latest.
-const START_REPORT_MS: u64 = 500;
+/// Milliseconds after which the tasks of an incomplete gang end. The users of this crate submit no gangs.
+const GANG_PEER_TIMEOUT_MS: u64 = 8_000;
+/// Milliseconds until a worker that got no usable response reports to the next controller.
+const NEXT_CONTROLLER_DELAY_MS: u64 = 1_000;
+/// Upper limit, in milliseconds, on the time between the start of a task and the next report.
+const MAX_START_REPORT_DELAY_MS: u64 = 500;
 
-/// Starts the thread of a machine.
+/// Starts the worker thread of the machine called `name`.
 pub fn start(shared: Arc<Shared>, name: String) -> JoinHandle<()> {
     std::thread::spawn(move || {
         let mut worker = FakeWorker::new(&name, "a", false, shared.now_ms());
         worker.node = fastrand::usize(..shared.controllers.len());
         let mut client = Client::default();
-        while !shared.is_over() {
+        while !shared.is_stopping() {
             step(&shared, &mut worker, &mut client);
         }
     })
 }
 
+/// Advances the tasks of a worker and sends a report if one is due.
 fn step(shared: &Shared, worker: &mut FakeWorker, client: &mut Client) {
     let now = shared.now_ms();
     let incarnation = worker.incarnation;
     worker.wake(now, LEASE_MS);
     if worker.incarnation != incarnation {
-        lock(&shared.history).lease_expired();
+        lock(&shared.history).record_expired_lease();
     }
     let completed = worker.advance(
         now,
-        GANG_PEER_MS,
-        |task| Some(behaviour(task)),
+        GANG_PEER_TIMEOUT_MS,
+        |task| Some(task_behaviour(task)),
         |_| false,
         |_, _| Gang::default(),
     );
     let live: BTreeSet<String> = worker.live().map(|(task, _)| task.clone()).collect();
-    lock(&shared.history).on_machine(&worker.name, live, completed);
+    lock(&shared.history).record_machine_tasks(&worker.name, live, completed);
     if now < worker.report_at {
-        return std::thread::sleep(STEP);
+        return std::thread::sleep(STEP_INTERVAL);
     }
     report(shared, worker, client, now);
 }
 
+/// Sends a report and handles its response. On a redirect, the worker switches to the named leader immediately.
 fn report(shared: &Shared, worker: &mut FakeWorker, client: &mut Client, now: u64) {
-    worker.report_at = now + REPORT_MS;
+    worker.report_at = now + REPORT_INTERVAL_MS;
     let body = wire::encode(&worker.report(KIND, now));
     let addr = shared.controllers[worker.node];
-    let answer = client.call(addr, "POST", "/v1/report", &body, REPORT_TIMEOUT);
-    let nodes = shared.controllers.len();
-    match answer {
+    let response = client.call(addr, "POST", "/v1/report", &body, REPORT_TIMEOUT);
+    let controller_count = shared.controllers.len();
+    match response {
         Ok((200, body)) => {
-            if let Ok(answer) = wire::decode::<HeartbeatResponse>(&body) {
-                execute(shared, worker, now, &answer);
+            if let Ok(heartbeat) = wire::decode::<HeartbeatResponse>(&body) {
+                apply_response(shared, worker, now, &heartbeat);
             }
         }
         Ok((421, body)) => {
-            let named = wire::decode::<Redirect>(&body)
+            let leader_label = wire::decode::<Redirect>(&body)
                 .ok()
-                .and_then(|elsewhere| elsewhere.controller);
+                .and_then(|redirect| redirect.controller);
             let leader =
-                named.and_then(|name| shared.labels.iter().position(|label| *label == name));
+                leader_label.and_then(|name| shared.labels.iter().position(|label| *label == name));
             match leader.filter(|leader| *leader != worker.node) {
                 Some(leader) => {
                     worker.node = leader;
                     worker.report_at = now;
                 }
-                None => try_next(worker, now, nodes),
+                None => switch_to_next_controller(worker, now, controller_count),
             }
         }
-        _ => try_next(worker, shared.now_ms(), nodes),
+        _ => switch_to_next_controller(worker, shared.now_ms(), controller_count),
     }
 }
 
-fn try_next(worker: &mut FakeWorker, now: u64, nodes: usize) {
-    worker.node = (worker.node + 1) % nodes;
-    worker.report_at = now + NEXT_NODE_MS;
+/// Makes the worker report to the next controller after a delay.
+fn switch_to_next_controller(worker: &mut FakeWorker, now: u64, controller_count: usize) {
+    worker.node = (worker.node + 1) % controller_count;
+    worker.report_at = now + NEXT_CONTROLLER_DELAY_MS;
 }
 
-fn execute(shared: &Shared, worker: &mut FakeWorker, sent: u64, answer: &HeartbeatResponse) {
-    if answer.term < worker.term {
+/// Renews the lease of a worker and executes the orders of a response, unless the response has an outdated term.
+fn apply_response(
+    shared: &Shared,
+    worker: &mut FakeWorker,
+    sent_at: u64,
+    response: &HeartbeatResponse,
+) {
+    if response.term < worker.term {
         return;
     }
-    worker.term = answer.term;
-    worker.lease_from = sent;
+    worker.term = response.term;
+    worker.lease_from = sent_at;
     let now = shared.now_ms();
-    let started = worker.execute(&answer.orders, |task| Some(behaviour(task)), now);
+    let started = worker.execute(&response.orders, |task| Some(task_behaviour(task)), now);
     let tasks: Vec<String> = started.into_iter().map(|(task, _)| task).collect();
     if !tasks.is_empty() {
-        worker.report_at = worker.report_at.min(now + START_REPORT_MS);
-        lock(&shared.history).started(&worker.name, &tasks, now);
+        worker.report_at = worker.report_at.min(now + MAX_START_REPORT_DELAY_MS);
+        lock(&shared.history).record_starts(&worker.name, &tasks, now);
     }
 }
--- a/crates/vetchmount/tests/staged_upgrade_processes.rs
+++ b/crates/vetchmount/tests/staged_upgrade_processes.rs
@@ -1,7 +1,7 @@
 //! Tests with real processes on loopback, against the stand-ins of this repository for the state service, the cloud,
 //! workers and users.
 
-use standins::{Build, Controllers, Outside};
+use standins::{Build, Controllers, Environment};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     path
 }
 
-fn wait_until(outside: &Outside, what: &str, condition: impl Fn(&Outside) -> bool) {
+fn wait_until(outside: &Environment, what: &str, condition: impl Fn(&Environment) -> bool) {
     let until = outside.now_ms() + WAIT_TIMEOUT_MS;
     while outside.now_ms() < until {
         if condition(outside) {
@@ -41,7 +41,7 @@
     panic!("timed out waiting for {what}; level {:?}", outside.level());
 }
 
-fn active_level(outside: &Outside) -> u32 {
+fn active_level(outside: &Environment) -> u32 {
     outside.level().map_or(0, |level| level.active)
 }
 
@@ -56,7 +56,7 @@
     let folder = temporary_folder("staged-upgrade");
     let build = |name: &str, json: &str| Build {
         program: daemon_binary(),
-        operator: Some(write_operator_settings(&folder, name, json)),
+        operator_settings: Some(write_operator_settings(&folder, name, json)),
     };
     let old_build = build("old.json", r#"{"rollout": {"newest_level": 1}}"#);
     let new_build = build("new.json", r#"{"rollout": {"finalize": "held"}}"#);
@@ -65,12 +65,13 @@
         r#"{"rollout": {"finalize": "automatic", "soak_s": 2.0}}"#,
     );
     let mut controllers = Controllers::new(&folder, CONTROLLERS).expect("create the controllers");
-    let mut outside = Outside::start(controllers.labels(), controllers.addresses(), MACHINES);
-    let start = |controllers: &mut Controllers, number: usize, build: &Build, outside: &Outside| {
-        controllers
-            .start(number, build, outside)
-            .expect("start the controller");
-    };
+    let mut outside = Environment::start(controllers.labels(), controllers.addresses(), MACHINES);
+    let start =
+        |controllers: &mut Controllers, number: usize, build: &Build, outside: &Environment| {
+            controllers
+                .start(number, build, outside)
+                .expect("start the controller");
+        };
     for number in 0..CONTROLLERS {
         start(&mut controllers, number, &old_build, &outside);
     }
@@ -86,7 +87,7 @@
         start(&mut controllers, number, &new_build, &outside);
         sleep_ms(1_500);
     }
-    assert_eq!(outside.finalized(), 0);
+    assert_eq!(outside.finalized_level(), 0);
     // Level 1 is soaking and is finalized first, so the next upgrade waits.
     assert_eq!(active_level(&outside), 1);
     // Roll back.
@@ -95,7 +96,7 @@
         start(&mut controllers, number, &old_build, &outside);
         sleep_ms(1_500);
     }
-    assert_eq!((active_level(&outside), outside.finalized()), (1, 0));
+    assert_eq!((active_level(&outside), outside.finalized_level()), (1, 0));
     // Upgrade again; this build finalizes the new level.
     for number in [1, 2, 0] {
         controllers.stop(number).expect("stop the controller");
@@ -103,10 +104,10 @@
         sleep_ms(1_500);
     }
     wait_until(&outside, "a finalized level", |outside| {
-        outside.finalized() >= 1
+        outside.finalized_level() >= 1
     });
     wait_until(&outside, "the newest level to be finalized", |outside| {
-        outside.finalized() == NEWEST_LEVEL
+        outside.finalized_level() == NEWEST_LEVEL
     });
     // An older build that joins is refused: it logs this once, and is not ready.
     controllers.stop(0).expect("stop the controller");
@@ -122,8 +123,12 @@
     );
     {
         let history = outside.history();
-        assert!(history.breaches().is_empty(), "{:?}", history.breaches());
-        let (jobs, starts) = history.counts();
+        assert!(
+            history.violations().is_empty(),
+            "{:?}",
+            history.violations()
+        );
+        let (jobs, starts) = history.job_and_start_counts();
         assert!(jobs > 20 && starts > 40, "{jobs} jobs, {starts} starts");
     }
     outside.stop();
@@ -138,22 +143,22 @@
     let folder = temporary_folder("few-sockets");
     let build = Build {
         program: daemon_binary(),
-        operator: None,
+        operator_settings: None,
     };
     let mut controllers = Controllers::new(&folder, 1).expect("create the controllers");
     controllers.limit_sockets(32);
-    let mut outside = Outside::start(controllers.labels(), controllers.addresses(), 40);
+    let mut outside = Environment::start(controllers.labels(), controllers.addresses(), 40);
     controllers
         .start(0, &build, &outside)
         .expect("start the controller");
     outside.start_users();
     sleep_ms(30_000);
-    let expired_leases = outside.history().lapses();
+    let expired_leases = outside.history().expired_leases();
     assert!(
         outside.drain(WAIT_TIMEOUT_MS),
         "every job should have ended"
     );
-    let breaches = outside.history().breaches().to_vec();
+    let breaches = outside.history().violations().to_vec();
     outside.stop();
     drop(controllers);
     std::fs::remove_dir_all(&folder).expect("remove the folder");
