--- a/crates/constants/src/election.rs
+++ b/crates/constants/src/election.rs
@@ -25,8 +25,9 @@
 /// Milliseconds between two resignations of a node that does not know whether a peer receives
 /// worker reports. If no peer does, the nodes would otherwise keep replacing each other as leader.
 pub const UNCERTAIN_RESIGN_INTERVAL_MS: u64 = 600_000;
-/// Maximum random delay, in milliseconds, of the first attempt to fill a vacancy, so that two
-/// followers seldom collide.
+/// Maximum random delay, in milliseconds, that is added to the pause before the next poll of the
+/// leader key after a failed candidacy or the revocation of a leader's lease, so that two followers
+/// seldom collide.
 pub const ELECTION_JITTER_MS: u64 = 250;
 /// Milliseconds after which a candidate abandons an attempt and starts again.
 pub const CANDIDACY_TIMEOUT_MS: u64 = 4_000;
--- a/crates/constants/src/failures.rs
+++ b/crates/constants/src/failures.rs
@@ -1,6 +1,7 @@
 //! Failing jobs, and faulty or slow machines.
 
-/// Milliseconds of backoff after a job's first failed task, doubled by each further one.
+/// Milliseconds of backoff of a failing job before doubling. Each failed task in a row doubles it,
+/// the first one included.
 pub const JOB_FAILURE_BACKOFF_MS: u64 = 2_000;
 /// Upper bound of [`JOB_FAILURE_BACKOFF_MS`] after doubling, in milliseconds.
 pub const JOB_FAILURE_BACKOFF_MAX_MS: u64 = 60_000;
--- a/crates/constants/src/rebalancing.rs
+++ b/crates/constants/src/rebalancing.rs
@@ -15,7 +15,7 @@
 pub const LOST_OWNER_EXCLUSION_MS: u64 = 30_000;
 /// Upper bound of [`LOST_OWNER_EXCLUSION_MS`] after doubling, in milliseconds.
 pub const LOST_OWNER_EXCLUSION_MAX_MS: u64 = 600_000;
-/// Weight of the leader's share of the partitions. The leader also schedules, and answers every
+/// Factor on the weight of the controller that leads. The leader also schedules, and answers every
 /// worker that reports to it.
 pub const LEADER_WEIGHT: f64 = 0.1;
 /// Utilization in thousandths from which a controller is overloaded.
--- a/crates/constants/src/redirects.rs
+++ b/crates/constants/src/redirects.rs
@@ -3,7 +3,7 @@
 /// Workers per second that a leader redirects to their owners. Each of them has to reconnect.
 pub const REDIRECTS_PER_S: f64 = 50.0;
 /// Milliseconds until a worker that came back is redirected to its owner again, doubled by each
-/// further return.
+/// further return. Also how long an owner counts as unreachable after the last such return.
 pub const REDIRECT_BACKOFF_MS: u64 = 30_000;
 /// Times that [`REDIRECT_BACKOFF_MS`] is doubled at most.
 pub const REDIRECT_BACKOFF_DOUBLINGS_MAX: u32 = 4;
--- a/crates/constants/src/rollout.rs
+++ b/crates/constants/src/rollout.rs
@@ -1,7 +1,7 @@
 //! Staged upgrades of the controllers.
 
 /// Milliseconds between reads of the version that the other nodes run, until all are known to run
-/// this one.
+/// this one, and between reads of the cluster's feature level while an upgrade is under way.
 pub const GENERATION_POLL_INTERVAL_MS: u64 = 1_500;
 /// Milliseconds between reads of the cluster's feature level while no upgrade is under way.
 pub const LEVEL_POLL_INTERVAL_MS: u64 = 5_000;
@@ -14,12 +14,13 @@
 /// Restarts of a controller within [`RESTART_WINDOW_MS`] beyond which an upgrade is paused. An
 /// upgrade, its rollback and the next upgrade are three.
 pub const RESTARTS_PER_WINDOW_MAX: usize = 3;
-/// Milliseconds without a restart after which the cause that paused an upgrade counts as resolved.
+/// Milliseconds without a restart after which an upgrade that was paused by a regression may go on.
+/// Also how long the restart of a controller that is not configured pauses an upgrade.
 pub const RESTART_FREE_RESUME_MS: u64 = 30_000;
 /// Milliseconds between two log lines about an upgrade that waits.
 pub const ROLLOUT_LOG_INTERVAL_MS: u64 = 60_000;
-/// Seconds for which a level must be active without trouble until it is finalized, unless
-/// operators set another time.
+/// Seconds for which a level must be active, without a pause and with no controller restarting or
+/// falling silent, until it is finalized, unless operators set another time.
 pub const ROLLOUT_SOAK_S: f64 = 3_600.0;
 /// Seconds without progress after which an upgrade is paused, unless operators set another time.
 pub const ROLLOUT_STALL_S: f64 = 3_600.0;
--- a/crates/constants/src/scheduling.rs
+++ b/crates/constants/src/scheduling.rs
@@ -42,8 +42,10 @@
 /// first be sent. Comparable to the other costs that `sched` adds up for a placement.
 pub const DISPATCH_DELAY_COST_PER_S: f64 = 2.0;
 /// Placement cost of a spot machine for a task that takes no checkpoints and needs no GPU: more
-/// than that of fetching its image again, since one lost task of many makes its job late.
-pub const UNCHECKPOINTED_SPOT_COST: f64 = 150.0;
+/// than that of fetching its image again, since one lost task of many makes its job late. Twice as
+/// much for an on-demand machine whose GPUs are all free, which the task would keep from being
+/// returned.
+pub const UNCHECKPOINTED_TASK_COST: f64 = 150.0;
 /// Seconds before the latest start that still meets a deadline at which a job takes precedence
 /// over the weighted sharing.
 pub const DEADLINE_URGENT_SLACK_S: f64 = 12.0;
--- a/crates/constants/src/state_service.rs
+++ b/crates/constants/src/state_service.rs
@@ -15,7 +15,8 @@
 pub const WATCH_INTERVAL_MIN_MS: u64 = 50;
 /// Failed watches in a row after which everything is read again, page by page.
 pub const WATCH_FAILURES_MAX: u32 = 4;
-/// Milliseconds to wait after an answer of 429 or 503 before the state service is asked again.
+/// Milliseconds to wait after a failed call, or a refused check for users, before the state service
+/// is asked again. After an answer of 429, calls wait for [`RATE_LIMIT_RETRY_MS`].
 pub const STATE_RETRY_MS: u64 = 250;
 /// Milliseconds without any successful answer, the last answer being a failure, after which users
 /// are refused at once.
--- a/crates/constants/src/workers.rs
+++ b/crates/constants/src/workers.rs
@@ -26,13 +26,14 @@
 /// Sessions in a row that ended sooner than a lease after an answer, after which answers are
 /// assumed not to reach the worker.
 pub const EARLY_EXPIRIES_MAX: u32 = 2;
-/// Leases after which an empty machine that answers do not reach is returned to the cloud. Most
-/// network partitions are shorter.
+/// Time after which an empty machine that answers do not reach is returned to the cloud, as a
+/// multiple of the time until its worker's lease has certainly expired (clock drift and margin
+/// included). Most network partitions are shorter.
 pub const UNREACHABLE_RETURN_LEASES: u64 = 4;
 /// Milliseconds for which a removed machine is remembered, so that late copies of its reports
 /// change nothing.
 pub const REMOVED_MACHINE_RETENTION_MS: u64 = 600_000;
-/// Orders in one answer to a worker. 400 of at most 120 bytes stay below the body limit.
+/// Orders in one answer to a worker, or in one message of direct orders. 400 of at most 120 bytes stay below the body limit.
 pub const ORDERS_PER_ANSWER_MAX: usize = 400;
 /// Milliseconds subtracted when a leader computes how long it may renew leases that may cover
 /// tasks of a job cancelled without its knowledge. Clock drift is accounted for separately, and
@@ -44,7 +45,9 @@
 pub const PENDING_HEARTBEATS_PER_TURN_MAX: usize = 16;
 /// Milliseconds to wait for a worker's answer to a direct order.
 pub const DIRECT_ORDERS_TIMEOUT_MS: u64 = 2_000;
-/// Milliseconds between repeats of a `kill` for the same task.
+/// Milliseconds between direct orders to the same machine. Also how long after its request
+/// a stop is sent directly; that of a cancelled job's task also later, while its worker's report is
+/// overdue.
 pub const DIRECT_STOP_REPEAT_INTERVAL_MS: u64 = 1_000;
 /// Tasks on one machine at most. A report of that many tasks, 100 bytes each, stays below the body
 /// limit.
--- a/crates/control/src/leader/fleet/returns.rs
+++ b/crates/control/src/leader/fleet/returns.rs
@@ -10,9 +10,9 @@
 use crate::requests::{CloudOp, CloudPurpose};
 use constants::{
     BOOT_TIMEOUT_EXTRA_S, BOOT_TIMEOUT_FACTOR, CLOUD_TIMEOUT_MS, IDLE_RESERVE_FLEET_DIVISOR,
-    IDLE_RESERVE_MIN, IDLE_SURPLUS_RETURN_MS, MACHINES_PER_RETURN_MAX,
-    ON_DEMAND_IDLE_SURPLUS_FACTOR, SILENT_MACHINE_RETURN_LEASES, SILENT_WITH_TASKS_RETURN_DELAY_MS,
-    SPOT_IDLE_SURPLUS_FACTOR, SPOT_NOTICE_RETURN_DELAY_MS, UNREACHABLE_RETURN_LEASES,
+    IDLE_RESERVE_MIN, IDLE_SURPLUS_RETURN_MS, MACHINES_PER_RETURN_MAX, ON_DEMAND_IDLE_FACTOR,
+    SILENT_MACHINE_RETURN_LEASES, SILENT_WITH_TASKS_RETURN_DELAY_MS, SPOT_IDLE_FACTOR,
+    SPOT_NOTICE_RETURN_DELAY_MS, UNREACHABLE_RETURN_LEASES,
 };
 use reason::ReturnReason;
 
@@ -37,7 +37,7 @@
     heartbeat_timeout_ms: u64,
     unlisted_ms: u64,
     idle_spot_ms: u64,
-    idle_ordinary_ms: u64,
+    idle_on_demand_ms: u64,
 }
 
 impl ReturnTimeouts {
@@ -48,8 +48,8 @@
             lease_expiry_ms: leader.lease_expiry_ms(),
             heartbeat_timeout_ms: leader.heartbeat_timeout_ms(),
             unlisted_ms: (report_s * UNLISTED_MS_PER_REPORT_S) as u64 + UNLISTED_EXTRA_MS,
-            idle_spot_ms: idle_ms(SPOT_IDLE_SURPLUS_FACTOR),
-            idle_ordinary_ms: idle_ms(ON_DEMAND_IDLE_SURPLUS_FACTOR),
+            idle_spot_ms: idle_ms(SPOT_IDLE_FACTOR),
+            idle_on_demand_ms: idle_ms(ON_DEMAND_IDLE_FACTOR),
         }
     }
 
@@ -71,7 +71,7 @@
     fn idle_timeout_ms(&self, machine: &Machine) -> u64 {
         match machine.spot {
             true => self.idle_spot_ms,
-            false => self.idle_ordinary_ms,
+            false => self.idle_on_demand_ms,
         }
     }
 }
--- a/crates/control/src/leader/model/job.rs
+++ b/crates/control/src/leader/model/job.rs
@@ -35,7 +35,7 @@
     pub aborted: bool,
     /// The record of that version shows the cancellation. A peer's notice of it may arrive before the record.
     pub recorded_abort: bool,
-    /// Tasks per chunk: `CHUNK_TASKS` in the wide form, `SMALL_TASKS` in the dense form.
+    /// Tasks per chunk: `WIDE_CHUNK_TASKS` in the wide form, `DENSE_CHUNK_TASKS` in the dense form.
     pub tasks_per_chunk: u32,
     /// Chunks of the tasks, by number.
     pub chunks: BTreeMap<u32, Chunk>,
--- a/crates/control/src/leader/model/job/dense_form.rs
+++ b/crates/control/src/leader/model/job/dense_form.rs
@@ -1,7 +1,7 @@
 //! The two forms in which a job's tasks are divided into chunks.
 //!
-//! Chunks in the wide form hold `CHUNK_TASKS` tasks; every version can read them. Chunks in the dense form hold
-//! `SMALL_TASKS` tasks and fit into smaller records. A job is converted from the wide to the dense form, never back.
+//! Chunks in the wide form hold `WIDE_CHUNK_TASKS` tasks; every version can read them. Chunks in the dense form hold
+//! `DENSE_CHUNK_TASKS` tasks and fit into smaller records. A job is converted from the wide to the dense form, never back.
 
 use super::Job;
 use std::ops::Range;
--- a/crates/control/src/node/planned_stop.rs
+++ b/crates/control/src/node/planned_stop.rs
@@ -46,7 +46,7 @@
     }
 
     /// Hands leadership over once none of this leader's transactions is in flight, or after
-    /// `HANDOVER_DRAIN_MS` at the latest.
+    /// `HANDOVER_DRAIN_TIMEOUT_MS` at the latest.
     ///
     /// Leadership ends by revoking the lease, so transactions that are still in flight fail, as
     /// with any other loss of the lease. Naming a successor only saves the other controllers the
--- a/crates/control/tests/staged_upgrades.rs
+++ b/crates/control/tests/staged_upgrades.rs
@@ -545,7 +545,7 @@
     assert_eq!(world.state_service.version(CLUSTER_LEVEL_KEY), version);
     assert_eq!(world.send_and_wait(1, "GET", "/ready", vec![]).0, 503);
     assert_eq!(world.submit(1, &array_job("run-1", 1), runs_for(100)), 503);
-    // The old build does not lead even if it is the only controller not_upgraded.
+    // The old build does not lead even if it is the only controller that is left.
     world.crash(0);
     world.crash(2);
     world.run_for(20_000);
--- a/crates/sched/src/round/placement.rs
+++ b/crates/sched/src/round/placement.rs
@@ -2,7 +2,7 @@
 
 use super::Round;
 use crate::{MachineSnapshot, UNKNOWN_ZONE};
-use constants::{DISPATCH_DELAY_COST_PER_S, GANG_BOOT_WAIT_MAX_S, UNCHECKPOINTED_SPOT_COST};
+use constants::{DISPATCH_DELAY_COST_PER_S, GANG_BOOT_WAIT_MAX_S, UNCHECKPOINTED_TASK_COST};
 
 /// Placement cost of a pilot for each pilot that already runs on the machine.
 const RUNNING_PILOT_COST: f64 = 1000.0;
@@ -124,8 +124,8 @@
 fn uncheckpointed_cost(machine: &MachineSnapshot) -> f64 {
     let idle = machine.total.gpus > 0.0 && machine.free.gpus >= machine.total.gpus;
     match (machine.spot, idle) {
-        (true, _) => UNCHECKPOINTED_SPOT_COST,
-        (false, true) => 2.0 * UNCHECKPOINTED_SPOT_COST,
+        (true, _) => UNCHECKPOINTED_TASK_COST,
+        (false, true) => 2.0 * UNCHECKPOINTED_TASK_COST,
         (false, false) => 0.0,
     }
 }
